--- /dev/null
+++ b/tests/observed.py
@@ -0,0 +1,155 @@
+"""All that simulated runs show outside: bytes on the network, writes to disk, lines of the log.
+
+An observer is told of each while a run goes on. Nothing of the run is changed by it.
+"""
+
+import struct
+from collections.abc import Callable, Iterator
+from contextlib import ExitStack, contextmanager
+from typing import Any, Protocol
+from unittest import mock
+
+import cbor2
+
+from ryelock.events import Event, QuietLog
+from ryelock.proving.model.cluster import CarrierLines, Cluster
+from ryelock.proving.model.disk import ModelFolder
+from ryelock.proving.simulated import SimFolder, SimLink, World
+
+# What this file knows of the simulators' names: a rename inside changes this section only.
+
+FOLDER_WRITES = ("append", "sync", "truncate", "write_whole", "rename", "delete", "sync_names")
+ACCEPTED_PORTS_FROM = 50_000
+"""The simulated network gives the ends of accepted connections ports from here on."""
+
+
+class Observer(Protocol):
+    """Who is told of all that a run shows."""
+
+    def sent(self, time: float, connection: int, listener: str, answers: bool, data: bytes) -> None:
+        """Bytes were sent on a connection, no bytes at its end.
+
+        Args:
+            time: simulated seconds.
+            connection: number of the connection, in the order of first bytes.
+            listener: address that was connected to.
+            answers: whether they go from the listener to whoever connected.
+            data: the bytes.
+        """
+
+    def stored(self, time: float, node: str, what: str, arguments: tuple[object, ...]) -> None:
+        """Something was written to a disk."""
+
+    def logged(self, node: str, number: int, fields: dict[str, object]) -> None:
+        """An event was logged."""
+
+
+class Connections:
+    """Numbers the connections of the simulated network."""
+
+    def __init__(self) -> None:
+        """Create a table without connections."""
+        self.numbers: dict[SimLink, int] = {}
+        self.count = 0
+
+    def number_of(self, link: SimLink) -> int:
+        """Return the number that both ends of a connection share."""
+        if link not in self.numbers:
+            self.count += 1
+            self.numbers[link] = self.count
+            if link.other is not None:
+                self.numbers[link.other] = self.count
+        return self.numbers[link]
+
+
+def listener_of(link: SimLink) -> tuple[str, bool]:
+    """Return the address that was connected to, and whether this is the listener's end."""
+    accepted = int(link.peer.rpartition(":")[2]) >= ACCEPTED_PORTS_FROM
+    other = link.other if accepted else link
+    return (other.peer if other is not None else ""), accepted
+
+
+@contextmanager
+def observed(observer: Observer) -> Iterator[None]:
+    """Tell an observer of all that simulated runs show until the end of the block."""
+    connections = Connections()
+    carry, reset, write = World.carry, World.reset, QuietLog.write
+    model_carry, model_give = Cluster.carry, Cluster.give
+
+    def carried(world: World, link: SimLink, data: bytes) -> None:
+        listener, accepted = listener_of(link)
+        observer.sent(world.time, connections.number_of(link), listener, accepted, data)
+        carry(world, link, data)
+
+    def was_reset(world: World, link: SimLink) -> None:
+        listener, accepted = listener_of(link)
+        observer.sent(world.time, connections.number_of(link), listener, accepted, b"")
+        reset(world, link)
+
+    def written(log: QuietLog, event: Event, **fields: object) -> None:
+        observer.logged(log.node, event.number, fields)
+        write(log, event, **fields)
+
+    def asked(
+        cluster: Cluster, lines: CarrierLines, address: str, message: dict[str, object], number: int
+    ) -> None:
+        data = frame({**message, "ask": number})
+        observer.sent(cluster.world.time, number, address, False, data)
+        model_carry(cluster, lines, address, message, number)
+
+    def given(
+        cluster: Cluster, lines: CarrierLines, number: int, answer: dict[str, object]
+    ) -> None:
+        data = frame({**answer, "answer": number})
+        observer.sent(cluster.world.time, number, "", True, data)
+        model_give(cluster, lines, number, answer)
+
+    with ExitStack() as stack:
+        patch = mock.patch.object
+        stack.enter_context(patch(World, "carry", carried))
+        stack.enter_context(patch(World, "reset", was_reset))
+        stack.enter_context(patch(QuietLog, "write", written))
+        stack.enter_context(patch(Cluster, "carry", asked))
+        stack.enter_context(patch(Cluster, "give", given))
+        for name in FOLDER_WRITES:
+            for kind in (SimFolder, ModelFolder):
+                stack.enter_context(patch(kind, name, observed_write(kind, name, observer)))
+        yield
+
+
+def observed_write(kind: type, name: str, observer: Observer) -> Callable[..., Any]:
+    """Return a method of a simulated disk that tells an observer before it writes."""
+    original = getattr(kind, name)
+
+    def write(folder: Any, *arguments: object) -> Any:
+        node = getattr(folder, "node", None)
+        time, owner = (node.world.time, node.name) if node is not None else (0.0, "")
+        observer.stored(time, owner, name, arguments)
+        return original(folder, *arguments)
+
+    return write
+
+
+def frame(message: dict[str, object]) -> bytes:
+    """Return a message as a frame, without the product's code."""
+    body = cbor2.dumps(message)
+    return struct.pack(">I", len(body)) + body
+
+
+def frames_in(data: bytes) -> tuple[list[bytes], bytes]:
+    """Return the whole frames that bytes start with, and the rest."""
+    found: list[bytes] = []
+    while len(data) >= 4:
+        (size,) = struct.unpack(">I", data[:4])
+        if len(data) < 4 + size:
+            break
+        found.append(data[: 4 + size])
+        data = data[4 + size :]
+    return found, data
+
+
+def message_in(data: bytes) -> dict[str, object]:
+    """Return the message of a frame."""
+    found = cbor2.loads(data[4:])
+    assert isinstance(found, dict)
+    return found
--- /dev/null
+++ b/tests/simulated_client.py
@@ -0,0 +1,184 @@
+"""A client outside the product on the simulated network: raw frames and raw HTTP, to the byte."""
+
+import hashlib
+import json
+from collections.abc import Mapping
+
+from observed import frame, frames_in, message_in
+
+from ryelock.loop import Link, Step
+from ryelock.proving.simulated import SimFolder, SimNode, World
+
+# What this file knows of the simulator's names: a rename inside changes this section only.
+
+Message = dict[str, object]
+GREETING = frame({"protocol": "ryelock", "version": 1})
+SECONDS = 8.0
+FRAME_SHOWN = 300
+MALFORMED = "malformed: "
+
+
+def new_world(seed: int) -> World:
+    return World(seed)
+
+
+def start(
+    world: World,
+    name: str,
+    role: str,
+    host: str,
+    settings: Message,
+    files: Mapping[str, bytes] | None = None,
+) -> SimNode:
+    """Start a daemon on a new machine, perhaps with files on its disk."""
+    node = world.add(name, name, host)
+    plain: Message = {
+        "name": name,
+        "zone": "north",
+        "wire_address": f"{host}:1",
+        "control_address": f"{host}:2",
+        **settings,
+    }
+    if role == "core":
+        plain["data_folder"] = "/data"
+        node.folder = SimFolder()
+        for file, data in (files or {}).items():
+            node.folder.files[file] = bytearray(data)
+            node.folder.synced[file] = len(data)
+    if role == "edge":
+        plain["order_address"] = f"{host}:3"
+    world.start_daemon(node, role, plain)
+    return node
+
+
+def outside(world: World, host: str = "10.9.0.9") -> SimNode:
+    """Return a machine that runs nothing of the product."""
+    return world.add(f"outside {host}", f"outside {host}", host)
+
+
+class Client:
+    """A machine outside the product with one connection at a time."""
+
+    def __init__(self, world: World, host: str = "10.9.0.9") -> None:
+        self.world = world
+        self.node = outside(world, host)
+        self.link: Link | None = None
+        self.buffer = b""
+        self.count = 0
+
+    def connect(self, address: str) -> Link:
+        """Open a connection to an address, in place of one to another."""
+        if self.link is None or self.link.ended or self.link.peer != address:
+            self.link = self.node.network.connect(address)
+            self.buffer = b""
+        return self.link
+
+    def run(self, work: Step[bytes]) -> bytes:
+        return self.world.task(self.node, work, 60.0)
+
+    def receive(self) -> Step[bool]:
+        """Add what comes next to the buffer; False at the end or after too long."""
+        assert self.link is not None
+        data = yield from self.link.receive(SECONDS)
+        self.buffer += data or b""
+        return bool(data)
+
+    # Frames.
+
+    def ask(self, address: str, message: Message) -> Message:
+        """Send one message and return its answer, with the bytes of the frame."""
+        self.count += 1
+        data = self.run(self.asking(address, {**message, "ask": self.count}))
+        if not data:
+            return {"closed": True}
+        answer = message_in(data)
+        assert answer.pop("answer") == self.count
+        return {"answer": shown_answer(answer), "frame": shown_frame(answer, data)}
+
+    def asking(self, address: str, message: Message) -> Step[bytes]:
+        fresh = self.link is None or self.link.ended or self.link.peer != address
+        link = self.connect(address)
+        if fresh:
+            link.write(GREETING)
+        link.write(frame(message))
+        while True:
+            found, self.buffer = frames_in(self.buffer)
+            for piece in found:
+                if message_in(piece).get("answer") == message["ask"]:
+                    return piece
+            if not (yield from self.receive()):
+                return b""
+
+    def send_raw(self, address: str, data: bytes) -> bytes:
+        """Send bytes on a connection of their own and return all that comes until it ends."""
+
+        def sending() -> Step[bytes]:
+            self.link = None
+            self.connect(address).write(data)
+            while (yield from self.receive()):
+                pass
+            return self.buffer
+
+        return self.run(sending())
+
+    # HTTP.
+
+    def call(
+        self, address: str, method: str, target: str, body: bytes = b"", head: str = ""
+    ) -> Message:
+        """Send one HTTP request and return status line, header fields and body."""
+        return answer_in(self.run(self.calling(address, method, target, body, head)))
+
+    def calling(
+        self, address: str, method: str, target: str, body: bytes, head: str
+    ) -> Step[bytes]:
+        self.link = None
+        link = self.connect(address)
+        length = f"Content-Length: {len(body)}\r\n" if body or method == "POST" else ""
+        text = f"{method} {target} HTTP/1.1\r\nHost: shop.example\r\n{head}{length}\r\n"
+        link.write(text.encode() + body)
+        while not whole_answer(self.buffer, method) and (yield from self.receive()):
+            pass
+        link.abort()
+        return self.buffer
+
+
+def shown_answer(answer: Message) -> Message:
+    """Return an answer without the free text behind "malformed: "."""
+    fault = answer.get("fault")
+    malformed = isinstance(fault, str) and fault.startswith(MALFORMED)
+    return {**answer, "fault": f"{MALFORMED}..."} if malformed else answer
+
+
+def shown_frame(answer: Message, data: bytes) -> str:
+    """Return the bytes of a frame as hex, of a long one their digest."""
+    if shown_answer(answer) != answer:
+        return "of free text"
+    return f"hex:{data.hex()}" if len(data) <= FRAME_SHOWN else hashlib.sha256(data).hexdigest()
+
+
+def fields_in(data: bytes) -> tuple[str, list[list[str]], bytes]:
+    """Return the first line, the header fields in order and the rest of a request or answer."""
+    head, _, body = data.partition(b"\r\n\r\n")
+    first, *lines = head.decode("latin-1").split("\r\n")
+    return first, [list(line.partition(": ")[::2]) for line in lines], body
+
+
+def whole_answer(data: bytes, method: str) -> bool:
+    """Return whether bytes are a whole answer, by its Content-Length."""
+    if b"\r\n\r\n" not in data:
+        return False
+    _, fields, body = fields_in(data)
+    lengths = [int(value) for name, value in fields if name.lower() == "content-length"]
+    return method == "HEAD" or (bool(lengths) and len(body) >= lengths[0])
+
+
+def answer_in(data: bytes) -> Message:
+    """Return an answer in its parts; a body of JSON as its value and its length."""
+    first, fields, body = fields_in(data)
+    shown: object = body.decode("latin-1")
+    try:
+        shown = json.loads(body)
+    except ValueError:
+        pass
+    return {"status": first, "fields": fields, "body": shown}
