--- a/tests/simulated_client.py
+++ b/tests/simulated_client.py
@@ -168,9 +168,9 @@
     """Return whether bytes are a whole answer, by its Content-Length."""
     if b"\r\n\r\n" not in data:
         return False
-    _, fields, body = fields_in(data)
+    first, fields, body = fields_in(data)
     lengths = [int(value) for name, value in fields if name.lower() == "content-length"]
-    return method == "HEAD" or (bool(lengths) and len(body) >= lengths[0])
+    return method == "HEAD" or " 304 " in first or (bool(lengths) and len(body) >= lengths[0])
 
 
 def answer_in(data: bytes) -> Message:
