--- a/tests/observed.py
+++ b/tests/observed.py
@@ -3,6 +3,7 @@
 An observer is told of each while a run goes on. Nothing of the run is changed by it.
 """
 
+import gc
 import struct
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -12,6 +13,7 @@
 import cbor2
 
 from ryelock.events import Event, QuietLog
+from ryelock.proving.model.adapter import SilentLog
 from ryelock.proving.model.cluster import CarrierLines, Cluster
 from ryelock.proving.model.disk import ModelFolder
 from ryelock.proving.simulated import SimFolder, SimLink, World
@@ -22,6 +24,9 @@
 ACCEPTED_PORTS_FROM = 50_000
 """The simulated network gives the ends of accepted connections ports from here on."""
 
+MODEL = 0
+"""The number of the connection for all messages of the model, which has no connections."""
+
 
 class Observer(Protocol):
     """Who is told of all that a run shows."""
@@ -71,11 +76,22 @@
 
 @contextmanager
 def observed(observer: Observer) -> Iterator[None]:
-    """Tell an observer of all that simulated runs show until the end of the block."""
+    """Tell an observer of all that simulated runs show until the end of the block.
+
+    No garbage is collected meanwhile, and worlds that are created are kept: what is left of a run
+    closes its connections when it is collected, and that would be observed too, at a moment that
+    follows from nothing.
+    """
     connections = Connections()
+    worlds: list[World] = []
+    create = World.__init__
     carry, reset, write = World.carry, World.reset, QuietLog.write
     model_carry, model_give = Cluster.carry, Cluster.give
 
+    def created(world: World, seed: int) -> None:
+        worlds.append(world)
+        create(world, seed)
+
     def carried(world: World, link: SimLink, data: bytes) -> None:
         listener, accepted = listener_of(link)
         observer.sent(world.time, connections.number_of(link), listener, accepted, data)
@@ -90,25 +106,33 @@
         observer.logged(log.node, event.number, fields)
         write(log, event, **fields)
 
+    def silently_written(log: SilentLog, event: Event, **fields: object) -> None:
+        observer.logged(log.node, event.number, fields)
+
     def asked(
         cluster: Cluster, lines: CarrierLines, address: str, message: dict[str, object], number: int
     ) -> None:
         data = frame({**message, "ask": number})
-        observer.sent(cluster.world.time, number, address, False, data)
+        observer.sent(cluster.world.time, MODEL, address, False, data)
         model_carry(cluster, lines, address, message, number)
 
     def given(
         cluster: Cluster, lines: CarrierLines, number: int, answer: dict[str, object]
     ) -> None:
         data = frame({**answer, "answer": number})
-        observer.sent(cluster.world.time, number, "", True, data)
+        observer.sent(cluster.world.time, MODEL, "", True, data)
         model_give(cluster, lines, number, answer)
 
+    gc.collect()
+    gc.disable()
     with ExitStack() as stack:
+        stack.callback(gc.enable)
         patch = mock.patch.object
+        stack.enter_context(patch(World, "__init__", created))
         stack.enter_context(patch(World, "carry", carried))
         stack.enter_context(patch(World, "reset", was_reset))
         stack.enter_context(patch(QuietLog, "write", written))
+        stack.enter_context(patch(SilentLog, "write", silently_written))
         stack.enter_context(patch(Cluster, "carry", asked))
         stack.enter_context(patch(Cluster, "give", given))
         for name in FOLDER_WRITES:
@@ -136,6 +160,10 @@
     return struct.pack(">I", len(body)) + body
 
 
+GREETING = frame({"protocol": "ryelock", "version": 1})
+"""What each side of a connection between processes sends first."""
+
+
 def frames_in(data: bytes) -> tuple[list[bytes], bytes]:
     """Return the whole frames that bytes start with, and the rest."""
     found: list[bytes] = []
--- a/tests/simulated_client.py
+++ b/tests/simulated_client.py
@@ -4,7 +4,7 @@
 import json
 from collections.abc import Mapping
 
-from observed import frame, frames_in, message_in
+from observed import GREETING, frame, frames_in, message_in
 
 from ryelock.loop import Link, Step
 from ryelock.proving.simulated import SimFolder, SimNode, World
@@ -12,7 +12,6 @@
 # What this file knows of the simulator's names: a rename inside changes this section only.
 
 Message = dict[str, object]
-GREETING = frame({"protocol": "ryelock", "version": 1})
 SECONDS = 8.0
 FRAME_SHOWN = 300
 MALFORMED = "malformed: "
--- a/tests/test_golden_questions.py
+++ b/tests/test_golden_questions.py
@@ -10,8 +10,8 @@
 
 import cbor2
 from golden import DATA, GoldenTest
-from observed import frame
-from simulated_client import GREETING, Client, Message, new_world, start
+from observed import GREETING, frame
+from simulated_client import Client, Message, new_world, start
 
 STORED = DATA / "stored" / "snapshot"
 CORE = "10.1.0.1"
