--- a/tests/simulated_client.py
+++ b/tests/simulated_client.py
@@ -50,6 +50,27 @@
     return node
 
 
+def leads(node: SimNode) -> bool:
+    """Return whether a control node leads and has settled."""
+    return node.core.consensus.settled
+
+
+def takes_traffic(node: SimNode) -> bool:
+    """Return whether an edge takes traffic."""
+    return node.traffic.ready
+
+
+def fill_disk(node: SimNode) -> None:
+    """Let a node's disk take no more writes."""
+    assert node.folder is not None
+    node.folder.full = True
+
+
+def logged(node: SimNode) -> list[tuple[int, list[str]]]:
+    """Return the numbers of a node's events with the names of their fields."""
+    return [(number, sorted(fields)) for number, fields in node.log.kept]
+
+
 def outside(world: World, host: str = "10.9.0.9") -> SimNode:
     """Return a machine that runs nothing of the product."""
     return world.add(f"outside {host}", f"outside {host}", host)
