--- a/packages/allowance/ryelock/allowance/__init__.py
+++ b/packages/allowance/ryelock/allowance/__init__.py
@@ -8,4 +8,4 @@
 from ryelock.allowance.bucket import RetryBudget, TokenBucket
 from ryelock.allowance.divide import Divider, is_narrow, reserve
 
-__all__ = ["TokenBucket", "Divider", "RetryBudget", "is_narrow", "reserve"]
+__all__ = ["Divider", "RetryBudget", "TokenBucket", "is_narrow", "reserve"]
--- a/packages/cache/ryelock/cache/store.py
+++ b/packages/cache/ryelock/cache/store.py
@@ -9,7 +9,7 @@
 
 from ryelock.cache.rules import Copy, vary_key
 from ryelock.exchange import Fields, field
-from ryelock.loop import Mailbox
+from ryelock.loop import Queue
 from ryelock.register import Purge
 
 Key = tuple[str, str, str]
@@ -24,7 +24,7 @@
         """Create a fill of one key that nobody waits for yet."""
         self.key = key
         self.spoiled = False
-        self.waiting: list[Mailbox[Copy | None]] = []
+        self.waiting: list[Queue[Copy | None]] = []
 
     def end(self, copy: Copy | None) -> None:
         """Wake everyone who waits; None means that there is no copy to serve."""
--- a/packages/consensus/ryelock/consensus/elections.py
+++ b/packages/consensus/ryelock/consensus/elections.py
@@ -12,7 +12,7 @@
 from ryelock.consensus.following import Following
 from ryelock.consensus.messages import whole
 from ryelock.consensus.types import Command
-from ryelock.loop import Mailbox, Step
+from ryelock.loop import Queue
 from ryelock.wire import Message
 
 
@@ -75,34 +75,34 @@
         if whole(message["epoch"]) != self.epoch or not self.may_stand:
             return {"ok": False}
         self.tries += 1
-        self.scheduler.spawn("consensus election", self.campaign(self.tries, False))
+        self.scheduler.create_task(self.campaign(self.tries, False), name="consensus election")
         return {"ok": True}
 
-    def reach(self) -> Step[None]:
+    async def reach(self) -> None:
         """Find out early whether a majority of voters can be reached at all.
 
         Waiting for an election to fail takes longer than an edge's term lasts, and a share
         that lapsed cannot be taken up again; so a voter that hears no leader asks round first.
         """
         voters = dict(self.voters)
-        box: Mailbox[tuple[bool, bool]] = Mailbox(self.scheduler)
+        box: Queue[tuple[bool, bool]] = Queue(self.scheduler)
         for disk, address in voters.items():
             if disk != self.disk:
-                self.scheduler.spawn(
-                    "consensus reach",
+                self.scheduler.create_task(
                     self.ask_vote(address, {"kind": "council.who"}, 0.3 * self.pace.election, box),
+                    name="consensus reach",
                 )
         answers = 1
         for _ in range(len(voters) - 1):
-            found = yield from box.take(0.4 * self.pace.election)
+            found = await box.get(0.4 * self.pace.election)
             answers += found is not None and found[1]
         reached = answers >= majority_of(len(voters))
         self.last_round_failed = -1e9 if reached else self.scheduler.now()
 
-    def campaign(self, ticket: int, trial: bool) -> Step[None]:
+    async def campaign(self, ticket: int, trial: bool) -> None:
         """Ask for votes; first for a trial, which disturbs nobody."""
         if trial:
-            won, reached = yield from self.gather_votes(self.epoch + 1, True, False)
+            won, reached = await self.gather_votes(self.epoch + 1, True, False)
             if ticket != self.tries or self.role == "leader":
                 return
             self.last_round_failed = -1e9 if reached else self.scheduler.now()
@@ -117,7 +117,7 @@
             return
         self.role = "candidate"
         self.put_off_election()
-        won, _ = yield from self.gather_votes(epoch, False, not trial)
+        won, _ = await self.gather_votes(epoch, False, not trial)
         if ticket != self.tries or self.epoch != epoch or self.role != "candidate":
             return
         if won and self.scheduler.now() >= self.promised:
@@ -125,12 +125,12 @@
         else:
             self.role = "follower"
 
-    def gather_votes(self, epoch: int, trial: bool, handed: bool) -> Step[tuple[bool, bool]]:
+    async def gather_votes(self, epoch: int, trial: bool, handed: bool) -> tuple[bool, bool]:
         """Whether a majority granted, and whether a majority answered at all."""
         voters = dict(self.voters)
         if not self.may_stand:
             return False, False
-        box: Mailbox[tuple[bool, bool]] = Mailbox(self.scheduler)
+        box: Queue[tuple[bool, bool]] = Queue(self.scheduler)
         seconds = self.pace.election * 0.8
         for disk, address in voters.items():
             if disk != self.disk:
@@ -144,14 +144,14 @@
                     "last_index": self.last_index,
                     "last_epoch": self.epoch_at(self.last_index),
                 }
-                self.scheduler.spawn(
-                    "consensus vote", self.ask_vote(address, message, seconds, box)
+                self.scheduler.create_task(
+                    self.ask_vote(address, message, seconds, box), name="consensus vote"
                 )
         own = int(self.disk in voters)
         votes, answers, asked, needed = own, own, own, majority_of(len(voters))
         until = self.scheduler.now() + seconds
         while votes < needed and asked < len(voters):
-            found = yield from box.take(max(0.0, until - self.scheduler.now()))
+            found = await box.get(max(0.0, until - self.scheduler.now()))
             if found is None:
                 break
             asked += 1
@@ -159,10 +159,10 @@
             answers += found[1]
         return votes >= needed, answers >= needed
 
-    def ask_vote(
-        self, address: str, message: Message, seconds: float, box: Mailbox[tuple[bool, bool]]
-    ) -> Step[None]:
-        found = yield from self.lines.ask(address, message, seconds)
+    async def ask_vote(
+        self, address: str, message: Message, seconds: float, box: Queue[tuple[bool, bool]]
+    ) -> None:
+        found = await self.lines.ask(address, message, seconds)
         if found.is_error():
             box.put((False, False))
             return
--- a/packages/consensus/ryelock/consensus/joining.py
+++ b/packages/consensus/ryelock/consensus/joining.py
@@ -15,7 +15,7 @@
 from ryelock.events import (
     FOUNDED,
 )
-from ryelock.loop import Mailbox, Step
+from ryelock.loop import Queue
 from ryelock.wire import Message
 
 
@@ -45,12 +45,12 @@
                 self.add_peer(disk, str(message["address"]))
         return self.on_who(message)
 
-    def join(self) -> Step[None]:
+    async def join(self) -> None:
         """Until this disk is a voter that hears its leader: found with the other empty seeds, or
         learn. A voter that was away may have been voted out, and nobody beats to it any more."""
         while True:
             if self.disk not in self.voters or not self.knows_leader():
-                answers = yield from self.ask_around()
+                answers = await self.ask_around()
                 if self.may_found_with(answers):
                     founders = {
                         str(answers[seed]["disk"]): seed
@@ -59,21 +59,21 @@
                     }
                     self.commands.put(Command(lambda voters=founders: self.found(voters)))  # type: ignore[misc]
                 else:
-                    yield from self.join_leader(answers)
-            yield from self.scheduler.pause(0.5 + 0.2 * self.random.random())
+                    await self.join_leader(answers)
+            await self.scheduler.sleep(0.5 + 0.2 * self.random.random())
 
-    def ask_around(self) -> Step[dict[str, Message]]:
+    async def ask_around(self) -> dict[str, Message]:
         """What the seeds and the voters known here say of the leader, by address."""
         addresses = {*self.seeds, *self.voters.values(), self.leader_address} - {"", self.address}
-        box: Mailbox[tuple[str, Message]] = Mailbox(self.scheduler)
+        box: Queue[tuple[str, Message]] = Queue(self.scheduler)
         for address in sorted(addresses):
-            self.scheduler.spawn("consensus who", self.ask_who(address, box))
+            self.scheduler.create_task(self.ask_who(address, box), name="consensus who")
         answers: dict[str, Message] = {}
         if self.address in self.seeds:
             answers[self.address] = self.on_who({})
         until = self.scheduler.now() + WHO_SECONDS
         for _ in addresses:
-            found = yield from box.take(max(0.0, until - self.scheduler.now()))
+            found = await box.get(max(0.0, until - self.scheduler.now()))
             if found is None:
                 break
             address, answer = found
@@ -81,8 +81,8 @@
                 answers[address] = answer
         return answers
 
-    def ask_who(self, address: str, box: Mailbox[tuple[str, Message]]) -> Step[None]:
-        found = yield from self.lines.ask(address, {"kind": "council.who"}, WHO_SECONDS)
+    async def ask_who(self, address: str, box: Queue[tuple[str, Message]]) -> None:
+        found = await self.lines.ask(address, {"kind": "council.who"}, WHO_SECONDS)
         box.put((address, found.ok if found.is_ok() else {}))
 
     def may_found_with(self, answers: dict[str, Message]) -> bool:
@@ -98,7 +98,7 @@
             and len(disks) == len(with_disk)
         )
 
-    def join_leader(self, answers: dict[str, Message]) -> Step[None]:
+    async def join_leader(self, answers: dict[str, Message]) -> None:
         """Ask the leader that most of the others name to carry the log here."""
         named = [str(answer.get("leader_address") or "") for answer in answers.values()]
         counts = Counter(address for address in named if address not in ("", self.address))
@@ -110,7 +110,7 @@
             "disk": self.disk,
             "address": self.address,
         }
-        yield from self.lines.ask(leader, message, WHO_SECONDS)
+        await self.lines.ask(leader, message, WHO_SECONDS)
 
     def found(self, voters: Voters) -> None:
         """Write the founding word; the same on all three seeds, whoever is first."""
--- a/packages/consensus/ryelock/consensus/node.py
+++ b/packages/consensus/ryelock/consensus/node.py
@@ -13,7 +13,6 @@
     ISOLATED,
     LEADERLESS,
 )
-from ryelock.loop import Step
 from ryelock.wire import Message, Reply
 
 APPLY_PAUSE_SECONDS = 0.0005
@@ -30,19 +29,19 @@
     __slots__ = ()
 
     def start(self) -> None:
-        self.tasks.append(self.scheduler.spawn("consensus", self.work()))
-        self.tasks.append(self.scheduler.spawn("consensus joins", self.join()))
+        self.tasks.append(self.scheduler.create_task(self.work(), name="consensus"))
+        self.tasks.append(self.scheduler.create_task(self.join(), name="consensus joins"))
 
     def stop(self) -> None:
         self.drop_leading("stopping")
         for running in self.tasks:
             running.cancel()
 
-    def work(self) -> Step[None]:
+    async def work(self) -> None:
         """The owner: every change of this seat happens here, in turn."""
         while True:
             behind = self.applied < self.commit
-            command = yield from self.commands.take(0.0 if behind else self.pace.beat / 2)
+            command = await self.commands.get(0.0 if behind else self.pace.beat / 2)
             proposals: list[Proposal] = []
             while command is not None:
                 if isinstance(command, Proposal):
@@ -58,7 +57,7 @@
             self.apply_committed()
             self.look_at_clock()
             if self.applied < self.commit:
-                yield from self.scheduler.pause(APPLY_PAUSE_SECONDS)
+                await self.scheduler.sleep(APPLY_PAUSE_SECONDS)
 
     def look_at_clock(self) -> None:
         now = self.scheduler.now()
@@ -76,14 +75,14 @@
         pace = self.pace.election
         if now - self.leader_heard > 0.5 * pace and now - self.reach_at > 0.6 * pace:
             self.reach_at = now
-            self.scheduler.spawn("consensus reach", self.reach())
+            self.scheduler.create_task(self.reach(), name="consensus reach")
         if now < self.election_at or now < self.disk_failed_at + DISK_RETRY_SECONDS:
             return
         if self.leaving:
             return
         self.put_off_election()
         self.tries += 1
-        self.scheduler.spawn("consensus election", self.campaign(self.tries, True))
+        self.scheduler.create_task(self.campaign(self.tries, True), name="consensus election")
 
     def tell_isolation(self, now: float) -> None:
         """Write once that no leader is heard, and once that one is again."""
--- a/packages/consensus/ryelock/consensus/proposals.py
+++ b/packages/consensus/ryelock/consensus/proposals.py
@@ -17,7 +17,7 @@
 from ryelock.events import (
     VOTERS_CHANGED,
 )
-from ryelock.loop import Mailbox, Step
+from ryelock.loop import Queue
 from ryelock.wire import Message
 
 
@@ -26,18 +26,18 @@
 
     __slots__ = ()
 
-    def propose(self, data: bytes) -> Step[Outcome]:
+    async def propose(self, data: bytes) -> Outcome:
         """Agree on a word; the result is what applying it came to."""
-        return (yield from self.submit(WORD, data, 10.0))
+        return await self.submit(WORD, data, 10.0)
 
-    def note(self, data: bytes) -> Step[Outcome]:
+    async def note(self, data: bytes) -> Outcome:
         """Agree on what only the control nodes keep; `words_since` passes it by."""
-        return (yield from self.submit(NOTE, data, 10.0))
+        return await self.submit(NOTE, data, 10.0)
 
-    def submit(self, kind: str, data: bytes, seconds: float) -> Step[Outcome]:
-        box: Mailbox[Outcome] = Mailbox(self.scheduler)
+    async def submit(self, kind: str, data: bytes, seconds: float) -> Outcome:
+        box: Queue[Outcome] = Queue(self.scheduler)
         self.commands.put(Proposal(kind, data, box))
-        outcome = yield from box.take(seconds)
+        outcome = await box.get(seconds)
         if outcome is None:
             return Error(ConsensusError("no majority answered in time", False))
         return outcome
@@ -85,9 +85,9 @@
             return "a leader does not remove itself"
         return ""
 
-    def change_voters(self, voters: Voters) -> Step[Outcome]:
+    async def change_voters(self, voters: Voters) -> Outcome:
         """One voter more or fewer; declined at the append where it is not one at a time."""
-        outcome = yield from self.submit(VOTERS, cbor2.dumps(voters), 10.0)
+        outcome = await self.submit(VOTERS, cbor2.dumps(voters), 10.0)
         if outcome.is_ok():
             self.log.write(VOTERS_CHANGED, voters=sorted(voters.values()))
             for disk in list(self.peers):
@@ -95,7 +95,7 @@
                     self.drop_peer(disk)
         return outcome
 
-    def confirm(self, seconds: float) -> Step[bool]:
+    async def confirm(self, seconds: float) -> bool:
         """Whether this node led at a moment after the ask, by a majority's word.
 
         Its state then has every entry that was agreed when it was asked: a read of it is
@@ -109,21 +109,21 @@
             for peer in self.peers.values():
                 if not len(peer.news):
                     peer.news.put(True)
-            yield from self.scheduler.pause(0.005)
+            await self.scheduler.sleep(0.005)
         return False
 
-    def hand_over(self, successor: str) -> Step[bool]:
+    async def hand_over(self, successor: str) -> bool:
         """Name a successor that has the whole log, and let it be elected."""
         peer = self.peers.get(successor)
         if self.role != "leader" or peer is None or successor not in self.voters:
             return False
         until = self.scheduler.now() + 1.0
         while peer.match < self.last_index and self.scheduler.now() < until:
-            yield from self.scheduler.pause(0.01)
+            await self.scheduler.sleep(0.01)
         message: Message = {"kind": "council.takeover", "epoch": self.epoch}
-        found = yield from self.lines.ask(peer.address, message, 0.5)
+        found = await self.lines.ask(peer.address, message, 0.5)
         if found.is_error() or found.ok.get("ok") is not True:
             return False
         while self.role == "leader" and self.scheduler.now() < until + 1.0:
-            yield from self.scheduler.pause(0.01)
+            await self.scheduler.sleep(0.01)
         return self.role != "leader"
--- a/packages/consensus/ryelock/consensus/replication.py
+++ b/packages/consensus/ryelock/consensus/replication.py
@@ -23,7 +23,6 @@
 from ryelock.events import (
     LEADING,
 )
-from ryelock.loop import Step
 from ryelock.wire import Message, WireError
 
 IMAGE_PIECE_SECONDS = 2.0
@@ -95,18 +94,20 @@
         epoch = self.epoch
         self.drop_leading(reason)
         if successor is not None:
-            self.scheduler.spawn(
-                "consensus takeover", self.name_successor(successor.address, epoch)
+            self.scheduler.create_task(
+                self.name_successor(successor.address, epoch), name="consensus takeover"
             )
 
-    def name_successor(self, address: str, epoch: int) -> Step[None]:
+    async def name_successor(self, address: str, epoch: int) -> None:
         message: Message = {"kind": "council.takeover", "epoch": epoch}
-        yield from self.lines.ask(address, message, WHO_SECONDS)
+        await self.lines.ask(address, message, WHO_SECONDS)
 
     def add_peer(self, disk: str, address: str) -> None:
         peer = Peer(disk, address, self.last_index + 1, self.scheduler)
         self.peers[disk] = peer
-        peer.running = self.scheduler.spawn(f"consensus to {address}", self.carry(peer, self.epoch))
+        peer.running = self.scheduler.create_task(
+            self.carry(peer, self.epoch), name=f"consensus to {address}"
+        )
 
     def follow_voters(self) -> None:
         """Carry the log to every voter, also one that was added just now."""
@@ -125,13 +126,13 @@
         if peer is not None and peer.running is not None:
             peer.running.cancel()
 
-    def carry(self, peer: Peer, epoch: int) -> Step[None]:
+    async def carry(self, peer: Peer, epoch: int) -> None:
         """One peer's task: beat, carry entries or an image, hand what comes back to the owner."""
         while self.role == "leader" and self.epoch == epoch:
             sent = self.scheduler.now()
             message = self.next_message(peer)
             seconds = self.pace.election if peer.outgoing is None else IMAGE_PIECE_SECONDS
-            found = yield from self.lines.ask(peer.address, message, seconds)
+            found = await self.lines.ask(peer.address, message, seconds)
             self.commands.put(
                 Command(
                     lambda found=found, sent=sent: (  # type: ignore[misc]
@@ -140,7 +141,7 @@
                 )
             )
             peer.news.items.clear()
-            yield from peer.news.take(self.pace.beat)
+            await peer.news.get(self.pace.beat)
 
     def message_to(self, peer: Peer, kind: str) -> Message:
         return {
--- a/packages/consensus/ryelock/consensus/state.py
+++ b/packages/consensus/ryelock/consensus/state.py
@@ -26,7 +26,7 @@
     Log,
 )
 from ryelock.journal import Journal
-from ryelock.loop import Mailbox, Scheduler, TaskHandle
+from ryelock.loop import Queue, Scheduler, Task
 from ryelock.wire import Lines
 
 RELEASED_SECONDS = 3.0
@@ -107,7 +107,7 @@
         self.seeds = seeds
         self.pace = pace
         self.random = random
-        self.commands: Mailbox[Command | Proposal] = Mailbox(scheduler)
+        self.commands: Queue[Command | Proposal] = Queue(scheduler)
         self.applied_news: list[Callable[[], None]] = []
         self.role = "follower"
         self.leader = ""
@@ -126,8 +126,8 @@
         self.tries = 0
         self.peers: dict[str, Peer] = {}
         self.learners: dict[str, tuple[str, float]] = {}
-        self.waiting: dict[int, tuple[int, Mailbox[Outcome]]] = {}
-        self.tasks: list[TaskHandle] = []
+        self.waiting: dict[int, tuple[int, Queue[Outcome]]] = {}
+        self.tasks: list[Task] = []
         self.say: Said = dict
         self.hear: Hears = lambda _disk, _message, _since: None
         self.commit = self.base.index
--- a/packages/consensus/ryelock/consensus/types.py
+++ b/packages/consensus/ryelock/consensus/types.py
@@ -9,7 +9,7 @@
 from ryelock.consensus.transfer import (
     OutgoingImage,
 )
-from ryelock.loop import Mailbox, Scheduler, TaskHandle
+from ryelock.loop import Queue, Scheduler, Task
 from ryelock.wire import Message
 
 BATCH_BYTES = 1_048_576
@@ -108,8 +108,8 @@
         self.heard = -1e9
         self.stored = -1e9
         self.gone = False
-        self.news: Mailbox[bool] = Mailbox(scheduler)
-        self.running: TaskHandle | None = None
+        self.news: Queue[bool] = Queue(scheduler)
+        self.running: Task | None = None
 
 
 Outcome = Result[object, ConsensusError]
@@ -121,7 +121,7 @@
 class Proposal:
     __slots__ = ("box", "data", "kind")
 
-    def __init__(self, kind: str, data: bytes, box: Mailbox[Outcome]) -> None:
+    def __init__(self, kind: str, data: bytes, box: Queue[Outcome]) -> None:
         self.kind = kind
         self.data = data
         self.box = box
--- a/packages/control_api/ryelock/control_api/__init__.py
+++ b/packages/control_api/ryelock/control_api/__init__.py
@@ -11,14 +11,14 @@
 from ryelock.events import Log
 from ryelock.exchange import Exchange, Fields, HttpServer, Limits
 from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Network, Scheduler, Step
+from ryelock.loop import Network, Scheduler, TaskCoroutine
 from ryelock.wire import Lines, Message
 
 ASK_SECONDS = 6.0
 OPERATOR = "operator"
 Leader = Callable[[], str]
 Others = Callable[[], list[str]]
-Local = Callable[[Message], Step[Message]]
+Local = Callable[[Message], TaskCoroutine[Message]]
 State = Callable[[], Message]
 
 PATHS = {
@@ -86,10 +86,10 @@
             self.serve,
         )
 
-    def serve(self, exchange: Exchange) -> Step[None]:
+    async def serve(self, exchange: Exchange) -> None:
         """One operator's order, from its bytes to its answer."""
         try:
-            body = yield from exchange.whole_body()
+            body = await exchange.whole_body()
         except (Cut, Late):
             return
         method = exchange.head.method.decode("latin-1")
@@ -98,29 +98,29 @@
         if method in ("GET", "HEAD") and parts.path in ("/fitness/live", "/fitness/ready"):
             state = self.fitness()
             fine = parts.path == "/fitness/live" or state.get("ready") is True
-            yield from answer(exchange, 200 if fine else 503, state)
+            await answer(exchange, 200 if fine else 503, state)
             return
         if method == "GET" and parts.path == "/explain" and self.explain is not None:
-            found = yield from self.explain(dict(query))
-            yield from answer(exchange, 200 if "fault" not in found else 404, found)
+            found = await self.explain(dict(query))
+            await answer(exchange, 200 if "fault" not in found else 404, found)
             return
         kind = PATHS.get((method, parts.path))
         if kind is None:
             known = [allowed for allowed, path in PATHS if path == parts.path]
-            yield from answer(exchange, 405 if known else 404, {"fault": "no such place"})
+            await answer(exchange, 405 if known else 404, {"fault": "no such place"})
             return
         message: Message = {"kind": OPERATOR, "what": kind, "query": query}
         if method == "POST":
             try:
                 message["given"] = json.loads(body)
             except (ValueError, RecursionError):
-                yield from answer(exchange, 400, {"status": "malformed", "fault": "not JSON"})
+                await answer(exchange, 400, {"status": "malformed", "fault": "not JSON"})
                 return
-        found = yield from self.pass_on(message)
+        found = await self.pass_on(message)
         status = STATUSES.get(str(found.get("status")), 200)
-        yield from answer(exchange, status, found)
+        await answer(exchange, status, found)
 
-    def pass_on(self, message: Message) -> Step[Message]:
+    async def pass_on(self, message: Message) -> Message:
         """To the leader, here or elsewhere; what is not taken is certain or said to be unknown.
 
         Where the leader is out of reach from here, another control node may reach it.
@@ -129,24 +129,24 @@
         while True:
             leader = self.leader()
             if leader == "here" and self.lead_here is not None:
-                return (yield from self.lead_here(message))
+                return await self.lead_here(message)
             if leader and leader != "here":
-                found = yield from self.ask_leader(leader, message)
+                found = await self.ask_leader(leader, message)
                 if found.get("status") != "elsewhere":
                     return found
             for other in self.others():
                 if other == leader or self.scheduler.now() >= until:
                     continue
-                found = yield from self.ask_leader(other, {**message, "through": True})
+                found = await self.ask_leader(other, {**message, "through": True})
                 if found.get("status") != "elsewhere":
                     return found
             if self.scheduler.now() >= until:
                 return {"status": "not-taken", "reason": "no leader is known; nothing was taken"}
-            yield from self.scheduler.pause(0.1)
+            await self.scheduler.sleep(0.1)
 
-    def ask_leader(self, leader: str, message: Message) -> Step[Message]:
+    async def ask_leader(self, leader: str, message: Message) -> Message:
         """One ask: an answer, or that it certainly was not taken there, or that nobody knows."""
-        found = yield from self.lines.ask(leader, message, ASK_SECONDS)
+        found = await self.lines.ask(leader, message, ASK_SECONDS)
         if found.is_ok():
             return found.ok
         asks_only = message["what"] in ("read", "plan", "verdicts", "members")
@@ -155,9 +155,9 @@
         return {"status": "elsewhere"}
 
 
-def answer(exchange: Exchange, status: int, plain: object) -> Step[None]:
+async def answer(exchange: Exchange, status: int, plain: object) -> None:
     fields: Fields = [(b"Content-Type", b"application/json"), (b"Cache-Control", b"no-store")]
     if status == 503:
         fields.append((b"Retry-After", b"1"))
     body = json.dumps(plain, ensure_ascii=False, default=str).encode() + b"\n"
-    yield from exchange.answer(status, fields, body)
+    await exchange.answer(status, fields, body)
--- a/packages/core/ryelock/core/aggregator.py
+++ b/packages/core/ryelock/core/aggregator.py
@@ -9,7 +9,7 @@
 
 from ryelock.duty import Duty
 from ryelock.env import Env
-from ryelock.loop import Scheduler, Step
+from ryelock.loop import Scheduler, TaskCoroutine
 from ryelock.register import Register, derived_name
 from ryelock.roster import Roster
 from ryelock.verdict import History, Judged, Rules, Weights, gone_watches, judge
@@ -17,7 +17,7 @@
 from ryelock.wire import Message
 
 REWRITE_SECONDS = 30.0
-Decide = Callable[[Message], Step[bool]]
+Decide = Callable[[Message], TaskCoroutine[bool]]
 
 
 class Aggregator:
@@ -87,9 +87,9 @@
             self.history = History(self.env.verdict_span)
             self.written = ()
 
-    def work(self) -> Step[None]:
+    async def work(self) -> None:
         while True:
-            yield from self.scheduler.pause(self.env.verdict_seconds)
+            await self.scheduler.sleep(self.env.verdict_seconds)
             self.weights.sample(list(self.roster.members().values()), self.scheduler.now())
             duty = self.duty()
             if duty is None:
@@ -121,7 +121,7 @@
                     "days": self.history.summary(),
                 },
             }
-            if (yield from self.decide(message)):
+            if await self.decide(message):
                 self.written = words
                 self.written_at = now
 
--- a/packages/core/ryelock/core/keeper.py
+++ b/packages/core/ryelock/core/keeper.py
@@ -4,7 +4,7 @@
 from ryelock.core.voters import VoterKeeper
 from ryelock.duty import Duty, next_duty
 from ryelock.events import DUTY_GIVEN, WATCH_DERIVED, WATCH_ENDED, Log
-from ryelock.loop import Scheduler, Step
+from ryelock.loop import Scheduler
 from ryelock.register import (
     Register,
     Watch,
@@ -54,15 +54,15 @@
         self.roster = roster
         self.voters = VoterKeeper(scheduler, consensus, roster)
 
-    def work(self) -> Step[None]:
+    async def work(self) -> None:
         while True:
-            yield from self.scheduler.pause(0.4)
+            await self.scheduler.sleep(0.4)
             if self.consensus.settled:
-                yield from self.tend_duties()
+                await self.tend_duties()
             if self.consensus.settled:
-                yield from self.tend_watches()
+                await self.tend_watches()
 
-    def tend_duties(self) -> Step[None]:
+    async def tend_duties(self) -> None:
         cores = {
             name: session
             for name, session in self.roster.members().items()
@@ -72,10 +72,10 @@
         for name in self.duties:
             wanted = next_duty(self.register.duties.get(name), name, cores, leaving)
             if wanted is not None:
-                yield from self.give(wanted)
+                await self.give(wanted)
 
-    def give(self, duty: Duty) -> Step[None]:
-        outcome = yield from self.consensus.propose(encode_word("duty", **duty.plain()))
+    async def give(self, duty: Duty) -> None:
+        outcome = await self.consensus.propose(encode_word("duty", **duty.plain()))
         if outcome.is_ok():
             self.log.write(
                 DUTY_GIVEN,
@@ -85,7 +85,7 @@
                 successor=duty.successor,
             )
 
-    def tend_watches(self) -> Step[None]:
+    async def tend_watches(self) -> None:
         """End made-up watches whose object is gone, and make one up where a service has none.
 
         Of what the edges told since the last round: the first route by name that may have one,
@@ -110,7 +110,7 @@
                 kept = derived_watches(register.configuration, places)
                 places = places_of(kept)
         if kept != before:
-            outcome = yield from self.consensus.propose(encode_word("derived", places=places))
+            outcome = await self.consensus.propose(encode_word("derived", places=places))
             if outcome.is_ok():
                 self.tell_watches(before, register.derived)
 
--- a/packages/core/ryelock/core/leading.py
+++ b/packages/core/ryelock/core/leading.py
@@ -16,7 +16,7 @@
     VERDICT_WRITTEN,
     Log,
 )
-from ryelock.loop import Scheduler, Step
+from ryelock.loop import Scheduler
 from ryelock.register import Register, encode_word, merge_change, places_of, plan_of
 from ryelock.roster import Roster
 from ryelock.wire import Message
@@ -47,19 +47,19 @@
         self.renewals = renewals
         self.replicas: Callable[[], list[Message]] = list
 
-    def serve(self, message: Message) -> Step[Message]:
+    async def serve(self, message: Message) -> Message:
         """One operator's order at the leader."""
         if self.consensus.role != "leader":
             return {"status": "elsewhere"}
         what, given = message.get("what"), message.get("given")
         if what == "change":
-            return (yield from self.take("change", given, {"change": given}))
+            return await self.take("change", given, {"change": given})
         if what == "purge":
             scopes = given.get("scopes") if isinstance(given, dict) else None
-            return (yield from self.take("purge", given, {"scopes": scopes}))
+            return await self.take("purge", given, {"scopes": scopes})
         if what in ("drain", "recover"):
-            return (yield from self.drain(what == "drain", given))
-        if not (yield from self.consensus.confirm(CONFIRM_SECONDS)):
+            return await self.drain(what == "drain", given)
+        if not await self.consensus.confirm(CONFIRM_SECONDS):
             return {"status": "not-taken", "reason": UNCONFIRMED}
         if what == "read":
             return {
@@ -94,7 +94,7 @@
             return {"status": "invalid", "faults": found.error, "version": version}
         return {"base": version, "plan": plan_of(self.register.configuration, found.ok)}
 
-    def take(self, kind: str, given: object, fields: Message) -> Step[Message]:
+    async def take(self, kind: str, given: object, fields: Message) -> Message:
         """A word with an id, agreed on and carried to every edge."""
         identity = given.get("id") if isinstance(given, dict) else None
         if not isinstance(identity, str) or not 0 < len(identity) <= ID_MOST:
@@ -106,7 +106,7 @@
             data = encode_word(kind, id=identity, wall=self.scheduler.clock.wall(), **fields)
         except (ValueError, TypeError, RecursionError, OverflowError):
             return {"status": "malformed", "fault": "not readable"}
-        outcome = yield from self.consensus.propose(data)
+        outcome = await self.consensus.propose(data)
         if outcome.is_error():
             status = "not-taken" if outcome.error.certain else "unknown"
             return {"status": status, "reason": outcome.error.reason, "id": identity}
@@ -116,7 +116,7 @@
         if result.get("status") != "accepted":
             self.log.write(CHANGE_DECLINED, id=identity, status=str(result.get("status")))
             return {**result, "id": identity}
-        yield from self.renewals.settle(int(str(result["index"])))
+        await self.renewals.settle(int(str(result["index"])))
         self.log.write(
             PURGE_TAKEN if kind == "purge" else CHANGE_TAKEN,
             id=identity,
@@ -125,18 +125,18 @@
         )
         return {**result, "id": identity}
 
-    def claim(self, message: Message) -> Step[Message]:
+    async def claim(self, message: Message) -> Message:
         """A key is claimed by an order, or given back: noted on a majority of disks."""
         try:
             data = encode_word(str(message["kind"]), key=message["key"], order=message["order"])
         except (KeyError, ValueError, TypeError):
             return {"status": "malformed"}
-        outcome = yield from self.consensus.note(data)
+        outcome = await self.consensus.note(data)
         if outcome.is_error():
             return {"status": "elsewhere" if outcome.error.certain else "unknown"}
         return outcome.ok if isinstance(outcome.ok, dict) else {"status": "malformed"}
 
-    def drain(self, on: bool, given: object) -> Step[Message]:
+    async def drain(self, on: bool, given: object) -> Message:
         """Drain or recover a node or a zone, unless the verdicts speak against it."""
         target = given.get("target") if isinstance(given, dict) else None
         if not isinstance(given, dict) or not isinstance(target, str) or not target:
@@ -148,22 +148,20 @@
         forced = given.get("force") is True
         if reason and not forced:
             # A refusal is final: it may rest only on state that is certainly the newest.
-            if not (yield from self.consensus.confirm(CONFIRM_SECONDS)):
+            if not await self.consensus.confirm(CONFIRM_SECONDS):
                 return {"status": "not-taken", "reason": UNCONFIRMED}
             reason = self.against_drain(target) if on else self.against_recover(target)
         if reason and not forced:
             return {"status": "declined", "reason": reason, "target": target}
-        return (
-            yield from self.take(
-                "drain",
-                given,
-                {
-                    "target": target,
-                    "on": on,
-                    "forced": forced and bool(reason),
-                    "reason": str(given.get("reason", "")),
-                },
-            )
+        return await self.take(
+            "drain",
+            given,
+            {
+                "target": target,
+                "on": on,
+                "forced": forced and bool(reason),
+                "reason": str(given.get("reason", "")),
+            },
         )
 
     def zone_verdicts(self) -> dict[str, str]:
@@ -218,7 +216,7 @@
             return f"zone {zone} is down by its verdict"
         return ""
 
-    def decide(self, message: Message) -> Step[Message]:
+    async def decide(self, message: Message) -> Message:
         """A verdict from the aggregator, taken when its duty's epoch still stands."""
         if self.consensus.role != "leader":
             return {"status": "elsewhere"}
@@ -233,7 +231,7 @@
             verdict=verdict,
             wall=self.scheduler.clock.wall(),
         )
-        outcome = yield from self.consensus.propose(data)
+        outcome = await self.consensus.propose(data)
         if outcome.is_error():
             return {"status": "not-taken", "reason": outcome.error.reason}
         result = outcome.ok
--- a/packages/core/ryelock/core/platform.py
+++ b/packages/core/ryelock/core/platform.py
@@ -13,7 +13,7 @@
 from ryelock.env import Env
 from ryelock.events import LISTING_DECLINED, LISTING_MISSED, Log
 from ryelock.exchange import call
-from ryelock.loop import Network, Scheduler, Step
+from ryelock.loop import Network, Scheduler, TaskCoroutine
 from ryelock.roster import Listing, Server, listing_of
 from ryelock.roster.servers import ListingError, servers_from
 
@@ -21,7 +21,7 @@
 DUTY = "reader"
 MISSED_SECONDS = 2.5
 Listed = Result[list[Server], ListingError]
-Read = Callable[[], Step[Listed]]
+Read = Callable[[], TaskCoroutine[Listed]]
 
 
 class PlatformReader:
@@ -56,18 +56,18 @@
         self.on_news: Callable[[], None] = lambda: None
         self.read_listing: Read = self.read_own
 
-    def work(self) -> Step[None]:
+    async def work(self) -> None:
         """Read over and over; by duty where there is one, and where its holder tells nothing."""
         while True:
             held = self.listing
             silent = held is None or self.scheduler.now() - held.since > MISSED_SECONDS
             if self.on_duty() or silent:
-                yield from self.read()
-            yield from self.scheduler.pause(self.env.listing_seconds)
+                await self.read()
+            await self.scheduler.sleep(self.env.listing_seconds)
 
-    def read_own(self) -> Step[Listed]:
+    async def read_own(self) -> Listed:
         """The listing in this project's own form, see docs/platform.md."""
-        found = yield from call(
+        found = await call(
             self.scheduler,
             self.network,
             self.env.platform_address,
@@ -85,9 +85,9 @@
             )
         return listing_of(found.ok[1])
 
-    def read(self) -> Step[None]:
+    async def read(self) -> None:
         asked = self.scheduler.now()
-        listed = yield from self.read_listing()
+        listed = await self.read_listing()
         if listed.is_error():
             if listed.error.missed:
                 self.miss(str(listed.error))
--- a/packages/core/ryelock/core/process.py
+++ b/packages/core/ryelock/core/process.py
@@ -17,7 +17,7 @@
 from ryelock.env import Env
 from ryelock.events import DUTY_FENCED, LEAVING, STARTED, STOPPED, STOPPING, Log
 from ryelock.journal import Journal
-from ryelock.loop import Network, Scheduler, Step, TaskHandle
+from ryelock.loop import Network, Scheduler, Task
 from ryelock.metrics import show_metrics
 from ryelock.register import Register
 from ryelock.roster import Roster, Session
@@ -155,7 +155,7 @@
         self.session.control = self.control_api.listener.address
         self.session.incarnation = incarnation
         self.session.disk = disk
-        self.running: list[TaskHandle] = []
+        self.running: list[Task] = []
 
     def start(self) -> None:
         self.log.write(
@@ -167,15 +167,15 @@
             disk=self.session.disk,
         )
         self.consensus.start()
-        spawn = self.scheduler.spawn
+        create_task = self.scheduler.create_task
         self.running = [
-            spawn("keeper", self.keeper.work()),
-            spawn("voters", self.keeper.voters.work()),
-            spawn("aggregator", self.aggregator.work()),
-            spawn("tends", self.tend()),
+            create_task(self.keeper.work(), name="keeper"),
+            create_task(self.keeper.voters.work(), name="voters"),
+            create_task(self.aggregator.work(), name="aggregator"),
+            create_task(self.tend(), name="tends"),
         ]
         if self.env.platform_address:
-            self.running.append(spawn("platform", self.platform.work()))
+            self.running.append(create_task(self.platform.work(), name="platform"))
 
     def follow(self, env: Env) -> None:
         """Settings that changed: the seeds; all others stand for the life of the process."""
@@ -205,19 +205,19 @@
         elif self.consensus.answer(message, reply):
             return
         elif kind == "renew" and not self.consensus.settled and message.get("passed") is not True:
-            self.scheduler.spawn("renewal", self.pass_renewal(message, reply))
+            self.scheduler.create_task(self.pass_renewal(message, reply), name="renewal")
         elif kind == "renew":
-            self.scheduler.spawn("renewal", self.renewals.renew(message, reply))
+            self.scheduler.create_task(self.renewals.renew(message, reply), name="renewal")
         elif kind == "leave":
             self.renewals.leave(message, reply)
         elif kind == LEAVE:
             reply(self.keeper.voters.on_leave(message))
         elif kind == OPERATOR:
-            self.scheduler.spawn("operator", self.answer_operator(message, reply))
+            self.scheduler.create_task(self.answer_operator(message, reply), name="operator")
         elif kind in ("claim", "release"):
-            self.scheduler.spawn("claim", self.answer_claim(message, reply))
+            self.scheduler.create_task(self.answer_claim(message, reply), name="claim")
         elif kind == "decision":
-            self.scheduler.spawn("decision", self.answer_decision(message, reply))
+            self.scheduler.create_task(self.answer_decision(message, reply), name="decision")
         elif kind == "rows":
             answer = self.aggregator.take_rows(message)
             if answer.get("ok") is not True:
@@ -226,7 +226,7 @@
         else:
             reply({"fault": "unknown ask"})
 
-    def pass_renewal(self, message: Message, reply: Reply) -> Step[None]:
+    async def pass_renewal(self, message: Message, reply: Reply) -> None:
         """An edge that cannot reach the leader renews through a node that can.
 
         Its term counts from before its own asking, so the way round only makes it shorter.
@@ -235,7 +235,7 @@
         if not leader or leader == "here":
             reply({"ok": False, "leader": ""})
             return
-        found = yield from self.lines.ask(leader, {**message, "passed": True}, 0.5)
+        found = await self.lines.ask(leader, {**message, "passed": True}, 0.5)
         reply(found.ok if found.is_ok() else {"ok": False, "leader": ""})
 
     def with_listing(self, message: Message, reply: Reply) -> Reply:
@@ -250,29 +250,29 @@
 
         return wrapped
 
-    def answer_operator(self, message: Message, reply: Reply) -> Step[None]:
+    async def answer_operator(self, message: Message, reply: Reply) -> None:
         """An operator's order; where a node elsewhere cannot reach the leader, passed on once."""
-        found = yield from self.leading.serve(message)
+        found = await self.leading.serve(message)
         leader = self.leader()
         if found.get("status") == "elsewhere" and message.get("through") is True and leader:
-            found = yield from self.control_api.ask_leader(leader, {**message, "through": False})
+            found = await self.control_api.ask_leader(leader, {**message, "through": False})
         reply(found)
 
-    def answer_claim(self, message: Message, reply: Reply) -> Step[None]:
+    async def answer_claim(self, message: Message, reply: Reply) -> None:
         """An edge's claim of a key; where this node does not lead, passed on once."""
         leader = self.leader()
         if leader == "here":
-            reply((yield from self.leading.claim(message)))
+            reply(await self.leading.claim(message))
         elif leader and message.get("passed") is not True:
-            found = yield from self.lines.ask(leader, {**message, "passed": True}, 1.0)
+            found = await self.lines.ask(leader, {**message, "passed": True}, 1.0)
             reply(found.ok if found.is_ok() else {"status": "unknown"})
         else:
             reply({"status": "elsewhere"})
 
-    def answer_decision(self, message: Message, reply: Reply) -> Step[None]:
-        reply((yield from self.leading.decide(message)))
+    async def answer_decision(self, message: Message, reply: Reply) -> None:
+        reply(await self.leading.decide(message))
 
-    def decide(self, message: Message) -> Step[bool]:
+    async def decide(self, message: Message) -> bool:
         """Have a verdict written, here or by the leader elsewhere.
 
         It takes along what was last heard of the leader's clock, so that the leader can tell
@@ -280,9 +280,9 @@
         """
         leader = self.leader()
         if leader == "here":
-            found = yield from self.leading.decide(message)
+            found = await self.leading.decide(message)
         elif leader:
-            answer = yield from self.lines.ask(leader, message, 3.0)
+            answer = await self.lines.ask(leader, message, 3.0)
             if answer.is_error():
                 return False
             found = answer.ok
@@ -304,7 +304,7 @@
         except ValueError:
             return
 
-    def tend(self) -> Step[None]:
+    async def tend(self) -> None:
         """This node's own session, and sessions that ended."""
         while True:
             self.session.ready = not self.stopping
@@ -314,7 +314,7 @@
                 setattr(fresh, slot, getattr(self.session, slot))
             self.roster.renew(fresh)
             self.renewals.lapse()
-            yield from self.scheduler.pause(0.25)
+            await self.scheduler.sleep(0.25)
 
     def fitness(self) -> Message:
         known = self.consensus.knows_leader()
@@ -337,32 +337,30 @@
 
     # The end.
 
-    def stop(self) -> Step[None]:
+    async def stop(self) -> None:
         """Hand over duties by name and the voter's place by agreement, then end."""
         until = self.scheduler.now() + min(self.env.stop_seconds, LEAVE_SECONDS_MOST)
         self.stopping = True
         self.log.write(STOPPING)
         self.session.ready = False
-        yield from self.hand_over_duties()
-        yield from self.leave_consensus(until)
+        await self.hand_over_duties()
+        await self.leave_consensus(until)
         self.control_api.listener.stop_taking()
-        yield from self.control_api.listener.finish(
-            max(FINISH_SECONDS, until - self.scheduler.now())
-        )
+        await self.control_api.listener.finish(max(FINISH_SECONDS, until - self.scheduler.now()))
         for running in self.running:
             running.cancel()
         self.log.write(STOPPED)
 
-    def leave_consensus(self, until: float) -> Step[None]:
+    async def leave_consensus(self, until: float) -> None:
         """Wait for the release, then take no part in consensus any more.
 
         Open requests are answered for a while after that. A leader that was elected meanwhile
         does not know of the release: an entry that it commits must not rest on this disk.
         """
-        yield from self.wait_for_release(until)
+        await self.wait_for_release(until)
         self.consensus.stop()
 
-    def wait_for_release(self, until: float) -> Step[bool]:
+    async def wait_for_release(self, until: float) -> bool:
         """Wait until no agreed entry rests on this disk, or no other node can take its place.
 
         A spare takes the voter's place where there is one; a node that only restarts comes back
@@ -377,12 +375,12 @@
                 successor = self.consensus.best_successor(self.keeper.voters.leaving)
                 if not successor:
                     return False
-                yield from self.consensus.hand_over(successor)
+                await self.consensus.hand_over(successor)
             elif leader:
-                found = yield from self.lines.ask(leader, message, LEAVE_ASK_SECONDS)
+                found = await self.lines.ask(leader, message, LEAVE_ASK_SECONDS)
                 if found.is_ok() and self.is_released(found.ok):
                     return True
-            yield from self.scheduler.pause(LEAVE_PAUSE_SECONDS)
+            await self.scheduler.sleep(LEAVE_PAUSE_SECONDS)
         return False
 
     def is_released(self, answer: Message) -> bool:
@@ -393,7 +391,7 @@
         epoch = answer.get("epoch", self.consensus.epoch)
         return answer.get("may_end") is True and epoch == self.consensus.epoch
 
-    def hand_over_duties(self) -> Step[None]:
+    async def hand_over_duties(self) -> None:
         """The holder names its successor; the leader has it agreed."""
         until = self.scheduler.now() + 1.5
         while self.scheduler.now() < until:
@@ -402,5 +400,5 @@
                 return
             for duty in held:
                 if self.consensus.role == "leader" and duty.successor:
-                    yield from self.keeper.give(Duty(duty.name, duty.successor, duty.epoch + 1, ""))
-            yield from self.scheduler.pause(0.1)
+                    await self.keeper.give(Duty(duty.name, duty.successor, duty.epoch + 1, ""))
+            await self.scheduler.sleep(0.1)
--- a/packages/core/ryelock/core/renewals.py
+++ b/packages/core/ryelock/core/renewals.py
@@ -13,7 +13,7 @@
 from ryelock.core.platform import PlatformReader
 from ryelock.env import Env
 from ryelock.events import SESSION_ENDED, SESSION_STANDS, Log
-from ryelock.loop import Mailbox, Scheduler, Step
+from ryelock.loop import Queue, Scheduler
 from ryelock.register import DERIVED_MOST, Register, vector_of
 from ryelock.roster import Roster, Session, session_of
 from ryelock.wire import Message, Reply
@@ -113,7 +113,7 @@
         self.known: dict[str, tuple[object, ...]] = {}
         self.known_lost: set[str] = set()
         self.member_changes: deque[tuple[int, set[str]]] = deque(maxlen=CHANGES_KEPT)
-        self.waiting: dict[int, Mailbox[bool]] = {}
+        self.waiting: dict[int, Queue[bool]] = {}
         self.failed: deque[tuple[int, str, bytes]] = deque(maxlen=FAILED_KEPT)
         self.failed_version = 0
         self.last_edge_image = b""
@@ -179,7 +179,7 @@
             "removed": sorted(name for name in names if name not in members),
         }
 
-    def renew(self, message: Message, reply: Reply) -> Step[None]:
+    async def renew(self, message: Message, reply: Reply) -> None:
         """One session's ask, held back a little while there is no news for it."""
         if not self.consensus.settled:
             reply({"ok": False, "leader": self.consensus.leader_address})
@@ -224,14 +224,14 @@
         for name in self.register.configuration.services:
             self.divider.want(name, session.name, wanted.get(name, 0), self.scheduler.now())
         until = self.scheduler.now() + min(HOLD_MOST, max(0.0, hold))
-        box: Mailbox[bool] = Mailbox(self.scheduler)
+        box: Queue[bool] = Queue(self.scheduler)
         self.waiting[id(box)] = box
         try:
             while not self.has_news(vector) and self.scheduler.now() < until:
                 soon = min(self.soon(wanted), self.without_share(holding, until - hold))
                 if soon <= 0:
                     break
-                yield from box.take(min(soon, until - self.scheduler.now()))
+                await box.get(min(soon, until - self.scheduler.now()))
         finally:
             del self.waiting[id(box)]
         if not self.consensus.settled or self.epoch != self.consensus.epoch:
@@ -407,7 +407,7 @@
             self.log.write(SESSION_ENDED, member=session.name, zone=session.zone, role=session.role)
         self.note_members()
 
-    def settle(self, index: int) -> Step[None]:
+    async def settle(self, index: int) -> None:
         """Wait until no edge can still serve without the word at an index.
 
         Terms given by leaders before this one are not known here, so a whole term must have
@@ -425,7 +425,7 @@
                 and not self.terms.behind(index, now)
             ):
                 return
-            yield from self.scheduler.pause(0.01)
+            await self.scheduler.sleep(0.01)
 
 
 def unconfirmed_renewal(vector: dict[str, int], age: float) -> Message:
--- a/packages/core/ryelock/core/voters.py
+++ b/packages/core/ryelock/core/voters.py
@@ -12,7 +12,7 @@
 from ryelock.consensus.membership import Membership, Spare, next_voters
 from ryelock.consensus.status import replica_statuses
 from ryelock.events import VOTER_LOST
-from ryelock.loop import Scheduler, Step
+from ryelock.loop import Scheduler
 from ryelock.roster import Roster
 from ryelock.wire import Message
 
@@ -40,14 +40,14 @@
         self.roster = roster
         self.leaving: dict[str, float] = {}
 
-    def work(self) -> Step[None]:
+    async def work(self) -> None:
         """Look after the voters for the life of the process, while this node leads."""
         while True:
-            yield from self.scheduler.pause(TEND_SECONDS)
+            await self.scheduler.sleep(TEND_SECONDS)
             if self.consensus.settled:
-                yield from self.tend()
+                await self.tend()
 
-    def tend(self) -> Step[None]:
+    async def tend(self) -> None:
         """All steps that can be made now."""
         for _ in range(STEPS_MOST):
             if not self.consensus.settled:
@@ -57,7 +57,7 @@
             if voters is None:
                 return
             self.tell_lost(membership, voters)
-            outcome = yield from self.consensus.change_voters(voters)
+            outcome = await self.consensus.change_voters(voters)
             if outcome.is_error():
                 return
 
--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -10,7 +10,6 @@
     Exchange,
     field,
 )
-from ryelock.loop import Step
 from ryelock.register import Route
 
 PATIENCE_PART = 0.2
@@ -24,16 +23,16 @@
 
     __slots__ = ()
 
-    def enter(
+    async def enter(
         self, exchange: Exchange, order: Order, route: Route, key: bytes | None
-    ) -> Step[Failure | None]:
+    ) -> Failure | None:
         """Room at the service: at once, after a short wait, or not at all."""
         gate = self.gates.get(order.service)
         if gate is None:
             return Failure(FailureKind.SERVICE_UNKNOWN, 503, "the service is not known here yet")
         fields = exchange.head.fields
         if not self.dialect.own:
-            return (yield from self.pass_gate(exchange, order, route, gate))
+            return await self.pass_gate(exchange, order, route, gate)
         order.repeat = (key is not None and self.keys.seen(order.service, key)) or any(
             (field(fields, name) or b"0").strip() not in (b"0", b"") for name in REPEAT_FIELDS
         )
@@ -47,11 +46,11 @@
                 "too many repeats of orders to this service",
                 back=2.0,
             )
-        return (yield from self.pass_gate(exchange, order, route, gate))
+        return await self.pass_gate(exchange, order, route, gate)
 
-    def pass_gate(
+    async def pass_gate(
         self, exchange: Exchange, order: Order, route: Route, gate: Gate
-    ) -> Step[Failure | None]:
+    ) -> Failure | None:
         """Wait for room for at most the service's patience, counted from the request's arrival.
 
         A request that has already waited for another's fetch of the same object does not wait
@@ -61,7 +60,7 @@
         patience = until - self.scheduler.now()
         if not self.dialect.own and route.target_seconds:
             patience = min(patience, route.target_seconds * PATIENCE_PART)
-        wait = yield from gate.enter(order.route_name, route.share, patience, order.probe)
+        wait = await gate.enter(order.route_name, route.share, patience, order.probe)
         if wait is not None:
             bare = gate.bucket.holding(self.scheduler.now()) <= 0 and not gate.bucket.counted
             order.allowance = NO_SHARE if bare else "declined: over the service's rate or queue"
@@ -83,14 +82,14 @@
             return Failure(FailureKind.NO_LEASE, 503, "no term: cut off")
         return None
 
-    def claim(
+    async def claim(
         self, exchange: Exchange, order: Order, route: Route, key: bytes | None
-    ) -> Step[Failure | None]:
+    ) -> Failure | None:
         """Before an order with a key is sent: a majority of disks holds that it may have run."""
         if key is None:
             return None
         left = self.deadline(exchange, route) - self.scheduler.now()
-        found = yield from self.member.claim(
+        found = await self.member.claim(
             key_of(exchange, order, key), order.identity, max(0.0, min(CLAIM_SECONDS, left))
         )
         if found == "claimed":
@@ -110,8 +109,8 @@
         )
 
     def give_back(self, exchange: Exchange, order: Order, key: bytes) -> None:
-        self.scheduler.spawn(
-            "release", self.member.release(key_of(exchange, order, key), order.identity)
+        self.scheduler.create_task(
+            self.member.release(key_of(exchange, order, key), order.identity), name="release"
         )
 
     def account(self, exchange: Exchange, order: Order) -> bool:
--- a/packages/edge/ryelock/edge/answers.py
+++ b/packages/edge/ryelock/edge/answers.py
@@ -10,7 +10,6 @@
     CallError,
     field,
 )
-from ryelock.loop import Step
 
 HELD_ANSWER = 65_536
 HASTY_SECONDS = 0.25
@@ -86,7 +85,7 @@
             or field(head.fields, self.dialect.seal.lower()) is not None
         )
 
-    def read_first(self, answer: Answer, until: float, fill: bool) -> Step[tuple[bytes, bool]]:
+    async def read_first(self, answer: Answer, until: float, fill: bool) -> tuple[bytes, bool]:
         """The whole of a short or fillable answer; nothing of a longer one."""
         most = self.env.answer_bytes if fill else HELD_ANSWER
         body = answer.body
@@ -99,7 +98,7 @@
         pieces: list[bytes] = []
         total = 0
         while total <= most:
-            piece = yield from body.piece(until)
+            piece = await body.piece(until)
             if not piece and body.over:
                 return b"".join(pieces), True
             pieces.append(piece)
--- a/packages/edge/ryelock/edge/dispatch.py
+++ b/packages/edge/ryelock/edge/dispatch.py
@@ -26,7 +26,7 @@
 )
 from ryelock.exchange.heads import FramingError
 from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Step
+from ryelock.loop import Link
 from ryelock.register import Route
 
 ANSWERS_SKIPPED = 2
@@ -39,7 +39,7 @@
 
     __slots__ = ()
 
-    def dispatch(
+    async def dispatch(
         self,
         exchange: Exchange,
         order: Order,
@@ -47,7 +47,7 @@
         gate: Gate,
         fill: bool,
         known: Copy | None = None,
-    ) -> Step[Result[UpstreamAnswer, Failure]]:
+    ) -> Result[UpstreamAnswer, Failure]:
         """Send an order to servers in turn until one answers or it must be given up."""
         until = self.deadline(exchange, route)
         used: set[tuple[str, str, str]] = set()
@@ -65,7 +65,7 @@
                 return Error(Failure(FailureKind.CALLER_LEFT, 499, "the caller left"))
             if any(record["sent"] for record in order.dispatches):
                 patience = until - self.scheduler.now()
-                if not (yield from gate.again(patience)):
+                if not await gate.again(patience):
                     order.allowance += "; no room to repeat"
                     return self.last_of(answered, failure)
             weighed: list[dict[str, object]] = []
@@ -90,7 +90,7 @@
             state.sent_at.append(started)
             try:
                 last = number + 1 >= servers_left or order.peer
-                found = yield from self.try_server(
+                found = await self.try_server(
                     exchange, order, route, state, until, record, fill, known, last
                 )
             finally:
@@ -160,7 +160,7 @@
         """A server's own failure goes to the caller where no other server could be tried."""
         return Ok(answered) if answered is not None else Error(failure)
 
-    def try_server(
+    async def try_server(
         self,
         exchange: Exchange,
         order: Order,
@@ -171,7 +171,7 @@
         fill: bool,
         known: Copy | None,
         last: bool,
-    ) -> Step[Result[UpstreamAnswer, CallError]]:
+    ) -> Result[UpstreamAnswer, CallError]:
         """One dispatch: a link, the order's bytes, the answer's head, a short body whole."""
         kept = self.servers.kept_link(state) if self.may_use_kept_link(order) else None
         if kept is not None:
@@ -182,7 +182,7 @@
         carried = False
         try:
             left = min(self.env.connect_seconds, until - self.scheduler.now())
-            if not link.opened and not (yield from link.open(max(0.0, left))):
+            if not link.opened and not await link.open(max(0.0, left)):
                 return Error(CallError("no link to the server", False))
             if not self.servers.is_live(state, order.service, self.scheduler.now()):
                 return Error(Withdrawn(FailureKind.SERVER_LEAVING, "the server is leaving or gone"))
@@ -205,11 +205,11 @@
                 answer_until = min(answer_until, sent + TRY_PART * (until - sent))
             method = b"GET" if fill else exchange.head.method
             for _ in range(ANSWERS_SKIPPED + 1):
-                found = yield from read_answer(reader, method, self.env.head_bytes, answer_until)
+                found = await read_answer(reader, method, self.env.head_bytes, answer_until)
                 if found.is_error():
                     return Error(found.error)
                 answer = found.ok
-                first, whole = yield from self.read_first(answer, until, fill)
+                first, whole = await self.read_first(answer, until, fill)
                 if not whole or not self.is_left_over(order, answer.head, kept is not None):
                     break
             if order.probe and not self.dialect.own:
--- a/packages/edge/ryelock/edge/gate.py
+++ b/packages/edge/ryelock/edge/gate.py
@@ -10,7 +10,7 @@
 from collections import deque
 
 from ryelock.allowance import RetryBudget, TokenBucket
-from ryelock.loop import Mailbox, Scheduler, Step, TaskHandle
+from ryelock.loop import Queue, Scheduler, Task
 from ryelock.register import Service
 
 PATIENCE = 1.0
@@ -22,7 +22,7 @@
     __slots__ = ("box", "over")
 
     def __init__(self, scheduler: Scheduler) -> None:
-        self.box: Mailbox[bool] = Mailbox(scheduler)
+        self.box: Queue[bool] = Queue(scheduler)
         self.over = False
 
 
@@ -57,11 +57,11 @@
         self.turn: deque[str] = deque()
         self.waiting = 0
         self.asking = 0
-        self.news: Mailbox[bool] = Mailbox(scheduler)
+        self.news: Queue[bool] = Queue(scheduler)
         self.arrivals = 0
         self.demand = 0.0
         self.demand_at = now
-        self.running: TaskHandle = scheduler.spawn(f"gate of {name}", self.pump())
+        self.running: Task = scheduler.create_task(self.pump(), name=f"gate of {name}")
 
     def resize(self, service: Service, edges: int) -> None:
         self.service = service
@@ -100,7 +100,7 @@
             route, 0
         ) < self.most_flight(share)
 
-    def enter(self, route: str, share: float, patience: float, first: bool) -> Step[float | None]:
+    async def enter(self, route: str, share: float, patience: float, first: bool) -> float | None:
         """Wait to be let through: None when let through, else seconds until there is room.
 
         Those seconds are an estimate, and infinite while this edge holds no share of the rate.
@@ -135,7 +135,7 @@
         self.waiting += 1
         self.news.put(True)
         try:
-            allowed = yield from waiting.box.take(patience)
+            allowed = await waiting.box.get(patience)
         except GeneratorExit:
             if waiting.box.items:
                 self.leave(route)
@@ -146,7 +146,7 @@
             return self.bucket.wait_for(self.scheduler.now(), self.waiting)
         return None
 
-    def again(self, patience: float) -> Step[bool]:
+    async def again(self, patience: float) -> bool:
         """Room for one redispatch, by the budget of repeats and, perhaps soon, by rate."""
         until = self.scheduler.now() + min(patience, self.patience())
         if not self.budget.repeat():
@@ -158,7 +158,7 @@
                 wait = self.bucket.wait_for(now, self.waiting)
                 if now >= until or now + wait > until:
                     return False
-                yield from self.scheduler.pause(min(0.05, max(0.005, wait)))
+                await self.scheduler.sleep(min(0.05, max(0.005, wait)))
         finally:
             self.asking -= 1
         return True
@@ -177,24 +177,24 @@
         if self.waiting:
             self.news.put(True)
 
-    def pump(self) -> Step[None]:
+    async def pump(self) -> None:
         """Let waiting orders through as room comes, route by route."""
         while True:
             self.drop_gone()
             if not self.turn:
                 self.news.items.clear()
-                yield from self.news.take()
+                await self.news.get()
                 continue
             now = self.scheduler.now()
             if self.flight >= self.service.flight:
-                yield from self.news.take(0.05)
+                await self.news.get(0.05)
                 continue
             wait = self.bucket.wait_for(now, 0)
             if wait > 0:
-                yield from self.news.take(min(0.05, max(0.001, wait)))
+                await self.news.get(min(0.05, max(0.001, wait)))
                 continue
             if not self.serve_one(now):
-                yield from self.news.take(0.05)
+                await self.news.get(0.05)
 
     def serve_one(self, now: float) -> bool:
         for _ in range(len(self.turn)):
--- a/packages/edge/ryelock/edge/handler.py
+++ b/packages/edge/ryelock/edge/handler.py
@@ -28,7 +28,7 @@
     end_to_end,
     field,
 )
-from ryelock.loop import Mailbox, Step
+from ryelock.loop import Queue
 from ryelock.register import Route
 
 
@@ -37,35 +37,33 @@
 
     __slots__ = ()
 
-    def serve(self, exchange: Exchange) -> Step[None]:
+    async def serve(self, exchange: Exchange) -> None:
         """One order, from its head to the end of its answer."""
         order = self.open_order(exchange)
         try:
             if not self.member.serving:
-                yield from self.decline(
+                await self.decline(
                     exchange, order, Failure(FailureKind.NO_LEASE, 503, "no term: cut off")
                 )
                 return
             route = self.find_route(order)
             if route is None:
-                yield from self.decline(
-                    exchange, order, Failure(FailureKind.NO_ROUTE, 404, "no route")
-                )
+                await self.decline(exchange, order, Failure(FailureKind.NO_ROUTE, 404, "no route"))
                 return
             if order.probe and not route.cached and not self.dialect.own:
-                yield from self.decline(
+                await self.decline(
                     exchange, order, Failure(FailureKind.NO_ROUTE, 404, "not an object to probe")
                 )
                 return
             self.served += not (order.probe or order.peer)
-            order.body = yield from exchange.whole_body()
+            order.body = await exchange.whole_body()
             exchange.may_refuse = order.klass == "repeatable"
             if order.klass == "once":
-                yield from self.serve_once(exchange, order, route)
+                await self.serve_once(exchange, order, route)
             elif route.cached and exchange.head.method in (b"GET", b"HEAD") and not order.body:
-                yield from self.serve_cached(exchange, order, route)
+                await self.serve_cached(exchange, order, route)
             else:
-                yield from self.serve_plain(exchange, order, route)
+                await self.serve_plain(exchange, order, route)
         finally:
             order.seconds = self.scheduler.now() - order.started
             if (
@@ -81,11 +79,11 @@
                 order.outcome = "caller left" if exchange.left else "ended"
             self.orders.keep(order)
 
-    def serve_once(self, exchange: Exchange, order: Order, route: Route) -> Step[None]:
+    async def serve_once(self, exchange: Exchange, order: Order, route: Route) -> None:
         """At most one dispatch that a byte of may have left."""
         key = field(exchange.head.fields, b"idempotency-key")
         if key is not None and self.keys.under_way(order.service, key):
-            yield from self.decline(
+            await self.decline(
                 exchange,
                 order,
                 Failure(
@@ -93,36 +91,36 @@
                 ),
             )
             return
-        yield from self.serve_plain(exchange, order, route, key)
+        await self.serve_plain(exchange, order, route, key)
 
-    def serve_plain(
+    async def serve_plain(
         self, exchange: Exchange, order: Order, route: Route, key: bytes | None = None
-    ) -> Step[None]:
-        failure = yield from self.enter(exchange, order, route, key)
+    ) -> None:
+        failure = await self.enter(exchange, order, route, key)
         if failure is not None:
-            yield from self.decline(exchange, order, failure)
+            await self.decline(exchange, order, failure)
             return
         gate, name = self.gates[order.service], order.route_name
         if key is not None:
             self.keys.begin(order.service, key)
         try:
-            failure = yield from self.claim(exchange, order, route, key)
+            failure = await self.claim(exchange, order, route, key)
             if failure is not None:
-                yield from self.decline(exchange, order, failure)
+                await self.decline(exchange, order, failure)
                 return
-            found = yield from self.dispatch(exchange, order, route, gate, False)
+            found = await self.dispatch(exchange, order, route, gate, False)
             if found.is_error():
                 if key is not None and not found.error.unknown:
                     self.give_back(exchange, order, key)
-                yield from self.decline(exchange, order, found.error)
+                await self.decline(exchange, order, found.error)
             else:
-                yield from self.relay(exchange, order, found.ok)
+                await self.relay(exchange, order, found.ok)
         finally:
             gate.leave(name)
             if key is not None:
                 self.keys.end(order.service, key)
 
-    def serve_cached(self, exchange: Exchange, order: Order, route: Route) -> Step[None]:
+    async def serve_cached(self, exchange: Exchange, order: Order, route: Route) -> None:
         """From a copy; else by a fill under way; else by a fill of its own.
 
         A probe that asks past the copy leaves the copy as it is: it must not mend what it
@@ -132,7 +130,7 @@
         key = (order.route_name, order.host, order.target)
         head = exchange.head
         if order.peer and order.known > self.plan.version:
-            yield from self.decline(
+            await self.decline(
                 exchange,
                 order,
                 Failure(FailureKind.OLD_VERSION, 503, "the version is not here yet"),
@@ -142,10 +140,10 @@
         copy = None if behind else self.store.find(key, head.fields)
         if copy is not None and may_use(copy, route, head.fields, self.scheduler.now()):
             order.cache = "hit"
-            yield from self.answer_copy(exchange, order, copy)
+            await self.answer_copy(exchange, order, copy)
             return
         if "only-if-cached" in (field(head.fields, b"cache-control") or b"").decode("latin-1"):
-            yield from self.decline(
+            await self.decline(
                 exchange, order, Failure(FailureKind.NOT_CACHED, 504, "not in the cache")
             )
             return
@@ -157,7 +155,7 @@
         )
         fill = self.store.fills.get(key) if shared and not order.probe else None
         if order.peer and order.servers_left == LOOKUP:
-            yield from self.decline(
+            await self.decline(
                 exchange, order, Failure(FailureKind.NOT_CACHED, 504, "not in the cache")
             )
             return
@@ -165,17 +163,17 @@
             exchange.tell_working()
         if fill is not None:
             order.cache = "waited for a fill"
-            waited = yield from self.wait_for(fill, exchange, route)
+            waited = await self.wait_for(fill, exchange, route)
             if self.may_give(waited, exchange, route):
                 assert waited is not None
-                yield from self.answer_copy(exchange, order, waited)
+                await self.answer_copy(exchange, order, waited)
                 return
         known = copy if copy is not None and copy.etag is not None else None
-        yield from self.serve_by_fill(exchange, order, route, known, shared)
+        await self.serve_by_fill(exchange, order, route, known, shared)
 
-    def serve_by_fill(
+    async def serve_by_fill(
         self, exchange: Exchange, order: Order, route: Route, known: Copy | None, shared: bool
-    ) -> Step[None]:
+    ) -> None:
         """From the object's owner, else from a server; whoever waits for the fill is told.
 
         `known` is a copy that is too old to be given but may still be what the server has.
@@ -185,36 +183,36 @@
         filling = Filling(fill, known, self.store.purged)
         try:
             if shared and self.may_ask_owner(order) and self.peers is not None:
-                given = yield from self.ask_owner(self.peers, exchange, order, route, key, known)
+                given = await self.ask_owner(self.peers, exchange, order, route, key, known)
                 if isinstance(given, Refusal):
-                    yield from self.decline(exchange, order, no_room_at_owner(given))
+                    await self.decline(exchange, order, no_room_at_owner(given))
                     return
                 if given is not None:
-                    yield from self.answer_given(exchange, order, filling, given)
+                    await self.answer_given(exchange, order, filling, given)
                     return
-            yield from self.serve_from_server(exchange, order, route, filling)
+            await self.serve_from_server(exchange, order, route, filling)
         finally:
             self.store.end(fill, None)
 
-    def answer_given(
+    async def answer_given(
         self, exchange: Exchange, order: Order, filling: Filling, given: Copy | Relayed
-    ) -> Step[None]:
+    ) -> None:
         """What the owner of the object gave: a copy, which is kept, or a server's answer."""
         if isinstance(given, Relayed):
             order.cache = "relayed by the owner"
-            yield from self.pass_on(exchange, order, given)
+            await self.pass_on(exchange, order, given)
             return
         order.cache = "from the owner"
         self.store.end(filling.fill, given if self.may_keep(filling, given) else None)
-        yield from self.answer_copy(exchange, order, given)
+        await self.answer_copy(exchange, order, given)
 
-    def serve_from_server(
+    async def serve_from_server(
         self, exchange: Exchange, order: Order, route: Route, filling: Filling
-    ) -> Step[None]:
+    ) -> None:
         gate, name = self.gates.get(order.service), order.route_name
-        failure = yield from self.enter(exchange, order, route, None)
+        failure = await self.enter(exchange, order, route, None)
         if failure is not None or gate is None:
-            yield from self.decline(
+            await self.decline(
                 exchange,
                 order,
                 failure
@@ -223,22 +221,22 @@
             return
         try:
             order.cache = order.cache or "miss"
-            found = yield from self.dispatch(exchange, order, route, gate, True, filling.known)
+            found = await self.dispatch(exchange, order, route, gate, True, filling.known)
             if found.is_error():
-                yield from self.decline(exchange, order, found.error)
+                await self.decline(exchange, order, found.error)
             else:
-                yield from self.answer_filled(exchange, order, route, filling, found.ok)
+                await self.answer_filled(exchange, order, route, filling, found.ok)
         finally:
             gate.leave(name)
 
-    def answer_filled(
+    async def answer_filled(
         self,
         exchange: Exchange,
         order: Order,
         route: Route,
         filling: Filling,
         carried: UpstreamAnswer,
-    ) -> Step[None]:
+    ) -> None:
         """A server's answer: kept where it may be, else passed on as it comes."""
         now = self.scheduler.now()
         kept = self.copy_from(exchange, order, route, filling, carried)
@@ -248,13 +246,13 @@
             if not order.probe:
                 self.store.drop(filling.fill.key)
             self.store.end(filling.fill, None)
-            yield from self.relay(exchange, order, carried)
+            await self.relay(exchange, order, carried)
             return
         past_the_copy = order.probe and not may_use(kept, route, exchange.head.fields, now)
         fine = not past_the_copy and self.may_keep(filling, kept)
         self.store.end(filling.fill, kept if fine else None)
         self.free_link(carried)
-        yield from self.answer_copy(exchange, order, kept)
+        await self.answer_copy(exchange, order, kept)
 
     def copy_from(
         self,
@@ -280,11 +278,11 @@
         purged = self.store.purged_since(filling.purged, filling.fill.key, copy)
         return not filling.fill.spoiled and not purged
 
-    def wait_for(self, fill: Fill, exchange: Exchange, route: Route) -> Step[Copy | None]:
-        box: Mailbox[Copy | None] = Mailbox(self.scheduler)
+    async def wait_for(self, fill: Fill, exchange: Exchange, route: Route) -> Copy | None:
+        box: Queue[Copy | None] = Queue(self.scheduler)
         fill.waiting.append(box)
         left = self.deadline(exchange, route) - self.scheduler.now()
-        return (yield from box.take(max(0.0, left)))
+        return await box.get(max(0.0, left))
 
     def may_give(self, waited: Copy | None, exchange: Exchange, route: Route) -> bool:
         """Whether the copy of a fill that was waited for may answer this order too."""
@@ -299,7 +297,7 @@
         """Whether an order may be handed to another edge: no probe, and none without a name."""
         return not order.probe and (order.named or self.dialect.own)
 
-    def ask_owner(
+    async def ask_owner(
         self,
         peers: Peers,
         exchange: Exchange,
@@ -307,7 +305,7 @@
         route: Route,
         key: tuple[str, str, str],
         known: Copy | None,
-    ) -> Step[Copy | Relayed | Refusal | None]:
+    ) -> Copy | Relayed | Refusal | None:
         """What the edge that keeps this object for the zone or the region gives, None for nothing.
 
         It is told how many purges are known here: one that knows of fewer uses no copy of its
@@ -317,7 +315,7 @@
         owner = peers.owner(key[1:], order.peer_zone)
         if owner is None:
             return None
-        return (yield from OwnerAsk(self, peers, owner, exchange, order, route, known).run())
+        return await OwnerAsk(self, peers, owner, exchange, order, route, known).run()
 
 
 def no_room_at_owner(refusal: Refusal) -> Failure:
--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -11,7 +11,7 @@
 
 from ryelock.edge.promises import Promise, are_enough, promise_of
 from ryelock.events import TERM_HELD, TERM_LAPSED, TERM_PROMISED, Log
-from ryelock.loop import Mailbox, Scheduler, Step, TaskHandle
+from ryelock.loop import Queue, Scheduler, Task
 from ryelock.register import Register
 from ryelock.roster import Listing, Session, session_of
 from ryelock.roster.servers import servers_from
@@ -127,10 +127,10 @@
         self.failed_version: tuple[str, int] = ("", 0)
         self.grants: Grants = lambda _grants, _asked: None
         self.shares: Shares = lambda _shares, _until, _edges: None
-        self.running: TaskHandle | None = None
+        self.running: Task | None = None
 
     def start(self) -> None:
-        self.running = self.scheduler.spawn("member", self.work(), urgent=True)
+        self.running = self.scheduler.create_task(self.work(), name="member", urgent=True)
 
     def stop(self) -> None:
         if self.running is not None:
@@ -143,22 +143,22 @@
             return self.register.version > 0
         return self.scheduler.now() < self.term_until
 
-    def work(self) -> Step[None]:
+    async def work(self) -> None:
         """Renew for ever; look for the leader where it is not known."""
         turn = 0
         while True:
             self.tell_term()
             if not self.leader:
                 candidates = self.control_nodes
-                yield from self.look_for_leader(candidates)
+                await self.look_for_leader(candidates)
                 turn += 1
             if not self.leader:
-                through = yield from self.renew_through(candidates[turn % len(candidates)])
+                through = await self.renew_through(candidates[turn % len(candidates)])
                 if not through:
-                    yield from self.ask_promises()
-                    yield from self.scheduler.pause(0.1)
+                    await self.ask_promises()
+                    await self.scheduler.sleep(0.1)
                 continue
-            renewed = yield from self.renew(self.leader)
+            renewed = await self.renew(self.leader)
             if renewed:
                 self.failing_since = 1e18
             else:
@@ -167,9 +167,9 @@
                 self.failed = (self.leader, self.scheduler.now() + FAILED_SECONDS)
                 self.leader = ""
             if self.unsure:
-                yield from self.ask_promises()
+                await self.ask_promises()
 
-    def renew_through(self, other: str) -> Step[bool]:
+    async def renew_through(self, other: str) -> bool:
         """The leader cannot be reached from here: perhaps another control node can reach it.
 
         Only where others still name it after a while: they would miss it by then, were it gone.
@@ -177,7 +177,7 @@
         since = self.scheduler.now() - self.failing_since
         if not self.named or other == self.failed[0] or since < UNREACHED_SECONDS:
             return False
-        return (yield from self.renew(other))
+        return await self.renew(other)
 
     def tell_term(self) -> None:
         serving = self.scheduler.now() < self.term_until
@@ -185,19 +185,19 @@
             self.was_serving = serving
             self.log.write(TERM_HELD if serving else TERM_LAPSED)
 
-    def look_for_leader(self, candidates: list[str]) -> Step[None]:
+    async def look_for_leader(self, candidates: list[str]) -> None:
         """Ask every known control node at once; the first that knows a leader decides.
 
         For a moment the leader that just gave no answer is not taken again: others may name
         it until they notice themselves.
         """
-        box: Mailbox[str] = Mailbox(self.scheduler)
+        box: Queue[str] = Queue(self.scheduler)
         for address in candidates:
-            self.scheduler.spawn("who leads", self.ask_leader(address, box), urgent=True)
+            self.scheduler.create_task(self.ask_leader(address, box), name="who leads", urgent=True)
         until = self.scheduler.now() + ROUND_SECONDS
         self.named = False
         for _ in candidates:
-            found = yield from box.take(max(0.0, until - self.scheduler.now()))
+            found = await box.get(max(0.0, until - self.scheduler.now()))
             if found is None:
                 return
             failed = found == self.failed[0] and self.scheduler.now() < self.failed[1]
@@ -206,8 +206,8 @@
                 self.leader = found
                 return
 
-    def ask_leader(self, address: str, box: Mailbox[str]) -> Step[None]:
-        found = yield from self.lines.ask(address, {"kind": "council.who"}, 0.4)
+    async def ask_leader(self, address: str, box: Queue[str]) -> None:
+        found = await self.lines.ask(address, {"kind": "council.who"}, 0.4)
         leader = found.ok.get("leader_address") if found.is_ok() else ""
         box.put(leader if isinstance(leader, str) else "")
 
@@ -232,7 +232,7 @@
             "objects": self.objects(),
         }
 
-    def renew(self, leader: str) -> Step[bool]:
+    async def renew(self, leader: str) -> bool:
         """One ask to the leader, and all that its answer brings."""
         asked = self.scheduler.now()
         self.unsure = False
@@ -240,7 +240,7 @@
         if self.serve_lapsed:
             hold = max(hold, min(HOLD_MOST, self.edges * HOLD_EACH))
         message = {"kind": "renew", "hold": hold, **self.asking()}
-        found = yield from self.lines.ask(leader, message, hold + ANSWER_SECONDS)
+        found = await self.lines.ask(leader, message, hold + ANSWER_SECONDS)
         if found.is_error() or found.ok.get("ok") is not True:
             return False
         answer = found.ok
@@ -364,7 +364,7 @@
     def control_nodes(self) -> list[str]:
         return list(dict.fromkeys([*self.seeds, *self.cores]))
 
-    def ask_promises(self) -> Step[None]:
+    async def ask_promises(self) -> None:
         """Without a leader: a term on the promises of enough voters."""
         if (
             self.session.role != "edge"
@@ -374,7 +374,7 @@
         ):
             return
         asked = self.scheduler.now()
-        box: Mailbox[Message | None] = Mailbox(self.scheduler)
+        box: Queue[Message | None] = Queue(self.scheduler)
         addresses = self.control_nodes
         message: Message = {
             "kind": "council.promise",
@@ -382,11 +382,13 @@
             **self.asking(),
         }
         for address in addresses:
-            self.scheduler.spawn("promise", self.ask_promise(address, message, box), urgent=True)
+            self.scheduler.create_task(
+                self.ask_promise(address, message, box), name="promise", urgent=True
+            )
         promises: list[Promise] = []
         soft: Message | None = None
         for _ in addresses:
-            found = yield from box.take(max(0.0, asked + ROUND_SECONDS - self.scheduler.now()))
+            found = await box.get(max(0.0, asked + ROUND_SECONDS - self.scheduler.now()))
             promise = None if found is None else promise_of(found)
             if promise is None:
                 continue
@@ -408,26 +410,24 @@
         self.log.write(TERM_PROMISED, voters=sorted({promise.disk for promise in promises}))
         self.tell_term()
 
-    def ask_promise(
-        self, address: str, message: Message, box: Mailbox[Message | None]
-    ) -> Step[None]:
-        found = yield from self.lines.ask(address, message, 0.4)
+    async def ask_promise(self, address: str, message: Message, box: Queue[Message | None]) -> None:
+        found = await self.lines.ask(address, message, 0.4)
         box.put(found.ok if found.is_ok() else None)
 
-    def claim(self, key: bytes, order: str, seconds: float) -> Step[str]:
+    async def claim(self, key: bytes, order: str, seconds: float) -> str:
         """Claim a key for an order: "claimed", "known" where another order has it, else "".
 
         The same order may ask again: it gets the same answer.
         """
         message: Message = {"kind": "claim", "key": key, "order": order}
-        return (yield from self.tell_core(message, ("claimed", "known"), seconds))
+        return await self.tell_core(message, ("claimed", "known"), seconds)
 
-    def release(self, key: bytes, order: str) -> Step[None]:
+    async def release(self, key: bytes, order: str) -> None:
         """Give a key back whose order certainly did not run; tried for a while."""
         message: Message = {"kind": "release", "key": key, "order": order}
-        yield from self.tell_core(message, ("released",), RELEASE_SECONDS)
+        await self.tell_core(message, ("released",), RELEASE_SECONDS)
 
-    def tell_core(self, message: Message, wanted: tuple[str, ...], seconds: float) -> Step[str]:
+    async def tell_core(self, message: Message, wanted: tuple[str, ...], seconds: float) -> str:
         """The leader's answer, by way of another control node where it is out of reach."""
         until = self.scheduler.now() + seconds
         turn = 0
@@ -436,20 +436,20 @@
             address = self.leader or others[turn % len(others)]
             turn += 1
             left = max(0.05, until - self.scheduler.now())
-            found = yield from self.lines.ask(address, message, min(ANSWER_SECONDS, left))
+            found = await self.lines.ask(address, message, min(ANSWER_SECONDS, left))
             status = str(found.ok.get("status")) if found.is_ok() else ""
             if status in wanted:
                 return status
-            yield from self.scheduler.pause(0.05)
+            await self.scheduler.sleep(0.05)
         return ""
 
-    def say_goodbye(self) -> Step[None]:
+    async def say_goodbye(self) -> None:
         """A planned end: no member any more, and not missed."""
         self.leaving = True
         self.term_until = -1e9
         self.stop()
         if self.leader:
-            yield from self.lines.ask(
+            await self.lines.ask(
                 self.leader,
                 {
                     "kind": "leave",
--- a/packages/edge/ryelock/edge/owner.py
+++ b/packages/edge/ryelock/edge/owner.py
@@ -39,7 +39,7 @@
 )
 from ryelock.exchange.heads import FramingError
 from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Step
+from ryelock.loop import Link
 from ryelock.register import Route
 from ryelock.roster import Session
 
@@ -151,7 +151,7 @@
         self.link: Link = kept[0] if kept is not None else handler.network.connect(owner.order)
         self.reader = kept[1] if kept is not None else Reader(handler.scheduler, self.link)
 
-    def run(self) -> Step[Reply | None]:
+    async def run(self) -> Reply | None:
         """What the owner gives; None where the order is to be fetched from a server here.
 
         An owner without room in the service's rate refuses for all: what was fetched here instead
@@ -159,14 +159,14 @@
         """
         self.peers.asked[self.owner.name] += 1
         try:
-            if not self.link.opened and not (yield from self.link.open(OPEN_SECONDS)):
+            if not self.link.opened and not await self.link.open(OPEN_SECONDS):
                 self.peers.doubt(self.owner)
                 return None
             found: Reply | None = Refusal(0, 0)
             if not self.can_pay_for_silence():
-                found = yield from self.look_up()
+                found = await self.look_up()
             if isinstance(found, Refusal) and found.servers == 0:
-                found = yield from self.fetch()
+                found = await self.fetch()
             if isinstance(found, Refusal) and found.room_in is None:
                 return None
             return found
@@ -186,17 +186,17 @@
         gate = self.handler.gates.get(self.order.service)
         return gate is not None and gate.budget.room >= self.peers.asked[self.owner.name]
 
-    def look_up(self) -> Step[Reply | None]:
+    async def look_up(self) -> Reply | None:
         """The owner's copy. Whatever comes of it, no server was sent anything."""
         until = min(self.until, self.handler.scheduler.now() + LOOKUP_SECONDS)
         self.send(LOOKUP, until)
-        return (yield from self.receive(until))
+        return await self.receive(until)
 
-    def fetch(self) -> Step[Reply | None]:
+    async def fetch(self) -> Reply | None:
         """The owner's copy, fetched by it; what it may have sent is charged to the order."""
         servers = max(1, self.order.servers_left - 1)
         self.send(servers, self.handler.deadline(self.exchange, self.route))
-        reply = yield from self.receive(self.until, patient=True)
+        reply = await self.receive(self.until, patient=True)
         if reply is None:
             self.order.charge_owner(servers)
         elif isinstance(reply, Refusal):
@@ -226,14 +226,14 @@
         fields.append((SERVERS_FIELD, b"%d" % servers))
         send_order(self.link, b"GET", head.target, fields, b"")
 
-    def receive(self, until: float, patient: bool = False) -> Step[Reply | None]:
+    async def receive(self, until: float, patient: bool = False) -> Reply | None:
         """The owner's reply, or None where it gave no whole one that is this order's."""
         self.keep = False
         try:
-            found = yield from self.read_head(until)
+            found = await self.read_head(until)
             if found.is_error() and patient and self.must_wait():
                 until = self.handler.deadline(self.exchange, self.route)
-                found = yield from self.read_head(until)
+                found = await self.read_head(until)
             if found.is_error():
                 if self.peers.heard(self.owner) < self.sent:
                     self.peers.doubt(self.owner)
@@ -242,18 +242,16 @@
             if not self.handler.answers(self.order, answer.head):
                 return None
             until = max(until, self.working_until)
-            body, whole = yield from self.handler.read_first(answer, until, True)
+            body, whole = await self.handler.read_first(answer, until, True)
         except (Cut, Late, FramingError):
             self.peers.doubt(self.owner)
             return None
         self.keep = whole and answer.keep
         return self.read_reply(answer.head, body, whole)
 
-    def read_head(self, until: float) -> Step[Result[Answer, CallError]]:
-        return (
-            yield from read_answer(
-                self.reader, b"GET", self.handler.env.head_bytes, until, self.working_until
-            )
+    async def read_head(self, until: float) -> Result[Answer, CallError]:
+        return await read_answer(
+            self.reader, b"GET", self.handler.env.head_bytes, until, self.working_until
         )
 
     def must_wait(self) -> bool:
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -16,7 +16,7 @@
 from ryelock.env import Env
 from ryelock.events import STARTED, STOPPED, STOPPING, Log
 from ryelock.exchange import Dialect, HttpServer, Limits
-from ryelock.loop import Network, Scheduler, Step, TaskHandle
+from ryelock.loop import Network, Scheduler, Task
 from ryelock.metrics import Metrics, show_metrics
 from ryelock.register import CallerLimits, Register
 from ryelock.roster import Listing, Session
@@ -150,7 +150,7 @@
                 self.probe_targets.all,
                 dialect,
             )
-        self.running: list[TaskHandle] = []
+        self.running: list[Task] = []
 
     def start(self) -> None:
         self.log.write(
@@ -162,10 +162,10 @@
             orders=self.session.order,
         )
         self.member.start()
-        self.running.append(self.scheduler.spawn("tends", self.tend()))
+        self.running.append(self.scheduler.create_task(self.tend(), name="tends"))
         if self.prober is not None:
             self.prober.start()
-            self.running.append(self.scheduler.spawn("tells rows", self.tell_rows()))
+            self.running.append(self.scheduler.create_task(self.tell_rows(), name="tells rows"))
 
     def follow(self, env: Env) -> None:
         """Settings that changed: the seeds; all others stand for the life of the process."""
@@ -284,14 +284,14 @@
         for gate in self.handler.gates.values():
             gate.resize(gate.service, edges)
 
-    def tend(self) -> Step[None]:
+    async def tend(self) -> None:
         """Keep what the session says of this node up to date."""
         while True:
             if self.handler is not None:
                 self.session.served = self.handler.served
             self.session.applied = self.register.index
             self.session.ready = self.ready
-            yield from self.scheduler.pause(0.1)
+            await self.scheduler.sleep(0.1)
 
     # Fitness.
 
@@ -342,10 +342,10 @@
 
     # Probing.
 
-    def tell_rows(self) -> Step[None]:
+    async def tell_rows(self) -> None:
         """Rows to the aggregator; to a new one all that are kept."""
         while True:
-            yield from self.scheduler.pause(min(0.5, self.env.verdict_seconds / 2))
+            await self.scheduler.sleep(min(0.5, self.env.verdict_seconds / 2))
             duty = self.register.duties.get("aggregator")
             if duty is None or self.prober is None:
                 continue
@@ -357,7 +357,7 @@
             if not rows or holder is None:
                 continue
             now = self.scheduler.now()
-            found = yield from self.lines.ask(
+            found = await self.lines.ask(
                 holder.wire,
                 {
                     "kind": "rows",
@@ -372,7 +372,7 @@
 
     # Explain.
 
-    def explain(self, query: Message) -> Step[Message]:
+    async def explain(self, query: Message) -> Message:
         """What became of an order, or what would become of a method and URL now."""
         handler = self.handler
         if handler is None:
@@ -385,11 +385,10 @@
             return kept.plain()
         method, target = str(query.get("method", "GET")), str(query.get("target", "/"))
         return handler.foresee(method, target, str(query.get("host", "")))
-        yield
 
     # The end.
 
-    def stop(self) -> Step[None]:
+    async def stop(self) -> None:
         """Not ready, finish answers, say goodbye."""
         self.stopping = True
         self.session.ready = False
@@ -399,12 +398,12 @@
             if not self.env.serve_lapsed:
                 linger = min(linger, self.env.stop_seconds / 4)
             self.request_server.leaving = True
-            yield from self.scheduler.pause(linger)
+            await self.scheduler.sleep(linger)
             self.request_server.stop_taking()
-            yield from self.request_server.finish(self.env.stop_seconds)
+            await self.request_server.finish(self.env.stop_seconds)
         if self.prober is not None:
             self.prober.stop()
-        yield from self.member.say_goodbye()
+        await self.member.say_goodbye()
         for running in self.running:
             running.cancel()
         self.log.write(STOPPED)
--- a/packages/edge/ryelock/edge/replies.py
+++ b/packages/edge/ryelock/edge/replies.py
@@ -26,7 +26,6 @@
 )
 from ryelock.exchange.heads import FramingError
 from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Step
 from ryelock.register import DERIVED_MOST, Route
 
 OBJECT_MOST = 300
@@ -42,7 +41,7 @@
 
     __slots__ = ()
 
-    def relay(self, exchange: Exchange, order: Order, carried: UpstreamAnswer) -> Step[None]:
+    async def relay(self, exchange: Exchange, order: Order, carried: UpstreamAnswer) -> None:
         """A server's answer to the caller, piece by piece; cut where it is cut."""
         head, answer = carried.head, carried.answer
         fields = end_to_end(head.fields)
@@ -67,14 +66,14 @@
         done = False
         try:
             exchange.begin(head.status, head.reason, fields, length, False)
-            fine = yield from exchange.send(carried.first, self.env.idle_seconds)
+            fine = await exchange.send(carried.first, self.env.idle_seconds)
             until = self.scheduler.now() + self.env.idle_seconds
             while fine and not answer.body.over:
-                piece = yield from answer.body.piece(until)
+                piece = await answer.body.piece(until)
                 if not piece:
                     continue
                 until = self.scheduler.now() + self.env.idle_seconds
-                fine = yield from exchange.send(piece, self.env.idle_seconds)
+                fine = await exchange.send(piece, self.env.idle_seconds)
             if fine and carried.reader.buffer and self.dialect.own:
                 raise FramingError(502, "bytes behind the answer's end")
             if fine:
@@ -109,7 +108,7 @@
         else:
             carried.link.close()
 
-    def pass_on(self, exchange: Exchange, order: Order, relayed: Relayed) -> Step[None]:
+    async def pass_on(self, exchange: Exchange, order: Order, relayed: Relayed) -> None:
         """A server's answer that the owner of the object relayed."""
         order.status = relayed.head.status
         order.outcome = "answered"
@@ -117,12 +116,12 @@
         bare = relayed.head.status in (204, 304)
         length = None if bare else len(relayed.body)
         exchange.begin(relayed.head.status, relayed.head.reason, fields, length, False)
-        if (yield from exchange.send(relayed.body, self.env.idle_seconds)):
+        if await exchange.send(relayed.body, self.env.idle_seconds):
             exchange.finish()
         else:
             exchange.cut()
 
-    def answer_copy(self, exchange: Exchange, order: Order, copy: Copy) -> Step[None]:
+    async def answer_copy(self, exchange: Exchange, order: Order, copy: Copy) -> None:
         now = self.scheduler.now()
         status, reason, fields, body = answer_from(copy, exchange.head, now)
         if self.dialect.identity:
@@ -141,7 +140,7 @@
             None if status == 304 else len(body),
             False,
         )
-        if (yield from exchange.send(body, self.env.idle_seconds)):
+        if await exchange.send(body, self.env.idle_seconds):
             exchange.finish()
         else:
             exchange.cut()
@@ -180,7 +179,7 @@
             fields.append((b"X-Ryelock-Cache", order.cache.encode()))
         return fields
 
-    def decline(self, exchange: Exchange, order: Order, failure: Failure) -> Step[None]:
+    async def decline(self, exchange: Exchange, order: Order, failure: Failure) -> None:
         """The final answer of an order that is given up on, at once.
 
         Nobody is promised that an order which may run once has not run where a server may have
@@ -234,7 +233,7 @@
         )
         if exchange.head.method == b"HEAD":
             body = b""
-        yield from exchange.answer(failure.status, fields, body)
+        await exchange.answer(failure.status, fields, body)
 
     def retry_after(self, order: Order, failure: Failure) -> float:
         """Seconds after which a caller should come back.
--- a/packages/exchange/ryelock/exchange/caller.py
+++ b/packages/exchange/ryelock/exchange/caller.py
@@ -17,7 +17,7 @@
     parse_answer_head,
 )
 from ryelock.exchange.reading import Body, Cut, Late, Reader
-from ryelock.loop import Link, Network, Scheduler, Step
+from ryelock.loop import Link, Network, Scheduler
 
 PROCESSING = 102
 """Status of the interim answer that a request arrived and is worked on (RFC 2518, 10.1)."""
@@ -53,9 +53,9 @@
     link.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
 
 
-def read_answer(
+async def read_answer(
     reader: Reader, method: bytes, head_bytes: int, until: float, working_until: float = 0.0
-) -> Step[Result[Answer, CallError]]:
+) -> Result[Answer, CallError]:
     """The head of the final answer; interim ones are passed over.
 
     Args:
@@ -67,7 +67,7 @@
     """
     try:
         while True:
-            head = parse_answer_head((yield from reader.head(head_bytes, until)))
+            head = parse_answer_head(await reader.head(head_bytes, until))
             if head.status == PROCESSING:
                 until = max(until, working_until)
             if head.status >= 200:
@@ -99,7 +99,7 @@
         return Error(CallError("no answer in time", True))
 
 
-def call(
+async def call(
     scheduler: Scheduler,
     network: Network,
     address: str,
@@ -109,23 +109,23 @@
     body: bytes,
     seconds: float,
     most: int = 16_777_216,
-) -> Step[Result[tuple[AnswerHead, bytes], CallError]]:
+) -> Result[tuple[AnswerHead, bytes], CallError]:
     """One order on a link of its own, its whole answer read."""
     until = scheduler.now() + seconds
     link = network.connect(address)
     try:
-        if not (yield from link.open(seconds)):
+        if not await link.open(seconds):
             return Error(CallError("no link", False))
         given = {name.lower() for name, _ in fields}
         head: Fields = [] if b"host" in given else [(b"Host", address.encode())]
         send_order(link, method, target, [*head, *fields, (b"Connection", b"close")], body)
         reader = Reader(scheduler, link)
-        found = yield from read_answer(reader, method, 65_536, until)
+        found = await read_answer(reader, method, 65_536, until)
         if found.is_error():
             return Error(found.error)
         answer = found.ok
         try:
-            whole = yield from answer.body.whole(most, until)
+            whole = await answer.body.whole(most, until)
         except FramingError as error:
             return Error(CallError(error.reason, True))
         except Cut:
--- a/packages/exchange/ryelock/exchange/http_server.py
+++ b/packages/exchange/ryelock/exchange/http_server.py
@@ -22,7 +22,7 @@
     tokens,
 )
 from ryelock.exchange.reading import Body, Cut, Late, Reader
-from ryelock.loop import Link, Network, Scheduler, Step, TaskHandle
+from ryelock.loop import Link, Network, Scheduler, Task, TaskCoroutine
 
 UNSENT_MOST = 262_144
 REFUSAL_SECONDS = 0.5
@@ -112,11 +112,11 @@
         """The connection to the server lives on when the caller leaves."""
         self.link.when_ended = None
 
-    def whole_body(self) -> Step[bytes]:
+    async def whole_body(self) -> bytes:
         if self.waits_to_send and not self.body.over and not self.reader.buffer:
             self.link.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.waits_to_send = False
-        return (yield from self.body.whole(self.listener.limits.body_bytes, self.deadline))
+        return await self.body.whole(self.listener.limits.body_bytes, self.deadline)
 
     def tell_working(self) -> None:
         """Send the interim answer that the request arrived and is worked on."""
@@ -155,7 +155,7 @@
             lines.append(b"Connection: keep-alive")
         self.link.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
-    def send(self, piece: bytes, seconds: float) -> Step[bool]:
+    async def send(self, piece: bytes, seconds: float) -> bool:
         """Send a piece of the body; False when the caller takes no more."""
         if piece and self.head.method != b"HEAD":
             if self.chunked:
@@ -164,7 +164,7 @@
                 self.left_to_send -= len(piece)
                 self.link.write(piece)
             if self.link.unsent > UNSENT_MOST:
-                return (yield from self.link.drain(UNSENT_MOST // 2, seconds))
+                return await self.link.drain(UNSENT_MOST // 2, seconds)
         return not self.link.ended
 
     def finish(self) -> None:
@@ -178,14 +178,14 @@
         self.finished = True
         self.link.abort()
 
-    def answer(self, status: int, fields: Fields, body: bytes) -> Step[None]:
+    async def answer(self, status: int, fields: Fields, body: bytes) -> None:
         """A whole answer at once."""
         self.begin(status, b"", fields, len(body))
-        yield from self.send(body, self.listener.limits.order_seconds)
+        await self.send(body, self.listener.limits.order_seconds)
         self.finish()
 
 
-Serve = Callable[[Exchange], Step[None]]
+Serve = Callable[[Exchange], TaskCoroutine[None]]
 
 
 class HttpServer:
@@ -222,7 +222,7 @@
         self.log = log
         self.limits = limits
         self.serve = serve
-        self.links: dict[Link, TaskHandle] = {}
+        self.links: dict[Link, Task] = {}
         self.closing_links: list[Link] = []
         self.idle: set[Link] = set()
         self.exchanges: dict[Link, Exchange] = {}
@@ -240,9 +240,11 @@
             link.close()
             return
         link.bulk = self.bulk
-        self.links[link] = self.scheduler.spawn(f"orders from {link.peer}", self.take(link))
+        self.links[link] = self.scheduler.create_task(
+            self.take(link), name=f"orders from {link.peer}"
+        )
 
-    def take(self, link: Link) -> Step[None]:
+    async def take(self, link: Link) -> None:
         """Every order of one link, from its first byte to the end of its answer."""
         reader = Reader(self.scheduler, link)
         exchange: Exchange | None = None
@@ -250,15 +252,15 @@
             while not self.closing:
                 exchange = None
                 if not reader.buffer:
-                    yield from self.wait_for_request(link, reader)
+                    await self.wait_for_request(link, reader)
                 until = self.scheduler.now() + self.limits.order_seconds
                 while reader.buffer[:2] == b"\r\n":
                     del reader.buffer[:2]
-                head = parse_order_head((yield from reader.head(self.limits.head_bytes, until)))
+                head = parse_order_head(await reader.head(self.limits.head_bytes, until))
                 exchange = self.exchanges[link] = self.frame(link, reader, head)
                 self.busy += 1
                 try:
-                    yield from self.serve(exchange)
+                    await self.serve(exchange)
                 finally:
                     self.busy -= 1
                 if not exchange.finished:
@@ -282,11 +284,11 @@
             else:
                 self.close(link)
 
-    def wait_for_request(self, link: Link, reader: Reader) -> Step[None]:
+    async def wait_for_request(self, link: Link, reader: Reader) -> None:
         """Wait for the first bytes of the next request; raises Late after the idle time."""
         self.idle.add(link)
         try:
-            yield from reader.more(self.scheduler.now() + self.limits.idle_seconds)
+            await reader.more(self.scheduler.now() + self.limits.idle_seconds)
         finally:
             self.idle.discard(link)
 
@@ -337,7 +339,7 @@
             self.closing = True
             self.network.stop_listening(self.address)
 
-    def finish(self, seconds: float) -> Step[bool]:
+    async def finish(self, seconds: float) -> bool:
         """Wait for open answers, at most so long.
 
         An idle connection is kept a little: a request may be on its way on it, and gets an answer
@@ -353,7 +355,7 @@
                 self.close_idle()
             if self.scheduler.now() >= started + seconds - REFUSAL_SECONDS:
                 self.refuse_waiting()
-            yield from self.scheduler.pause(0.02)
+            await self.scheduler.sleep(0.02)
         done = self.busy == 0 and not self.has_unsent
         for link, running in list(self.links.items()):
             running.cancel()
--- a/packages/exchange/ryelock/exchange/reading.py
+++ b/packages/exchange/ryelock/exchange/reading.py
@@ -7,7 +7,7 @@
 import re
 
 from ryelock.exchange.heads import FramingError
-from ryelock.loop import Link, Scheduler, Step
+from ryelock.loop import Link, Scheduler
 
 CHUNK_LINE = re.compile(rb"([0-9A-Fa-f]{1,12})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
 PIECE = 65_536
@@ -32,11 +32,11 @@
         self.buffer = bytearray()
         self.took = 0
 
-    def more(self, until: float) -> Step[None]:
+    async def more(self, until: float) -> None:
         left = until - self.scheduler.now()
         if left <= 0 and not self.link.inbox.items:
             raise Late
-        data = yield from self.link.receive(max(0.0, left))
+        data = await self.link.receive(max(0.0, left))
         if data is None:
             raise Late
         if not data:
@@ -44,7 +44,7 @@
         self.took += len(data)
         self.buffer += data
 
-    def head(self, most: int, until: float) -> Step[bytes]:
+    async def head(self, most: int, until: float) -> bytes:
         """A head up to its empty line."""
         seen = 0
         while True:
@@ -58,9 +58,9 @@
             seen = len(self.buffer)
             if seen > most:
                 raise FramingError(431, "head too long")
-            yield from self.more(until)
+            await self.more(until)
 
-    def line(self, until: float) -> Step[bytes]:
+    async def line(self, until: float) -> bytes:
         while True:
             place = self.buffer.find(b"\r\n")
             if place >= 0:
@@ -69,11 +69,11 @@
                 return line
             if len(self.buffer) > 4096:
                 raise FramingError(400, "line too long")
-            yield from self.more(until)
+            await self.more(until)
 
-    def some(self, most: int, until: float) -> Step[bytes]:
+    async def some(self, most: int, until: float) -> bytes:
         if not self.buffer:
-            yield from self.more(until)
+            await self.more(until)
         piece = bytes(self.buffer[:most])
         del self.buffer[:most]
         return piece
@@ -90,48 +90,48 @@
         self.left = 0 if chunked else length
         self.over = not chunked and length == 0
 
-    def piece(self, until: float) -> Step[bytes]:
+    async def piece(self, until: float) -> bytes:
         if self.over:
             return b""
         if self.chunked and self.left == 0:
-            line = yield from self.reader.line(until)
+            line = await self.reader.line(until)
             found = CHUNK_LINE.fullmatch(line)
             if found is None:
                 raise FramingError(400, "malformed chunk size")
             self.left = int(found[1], 16)
             if self.left == 0:
-                yield from self.trailers(until)
+                await self.trailers(until)
                 self.over = True
                 return b""
-        data = yield from self.reader.some(min(self.left, PIECE), until)
+        data = await self.reader.some(min(self.left, PIECE), until)
         self.left -= len(data)
         if self.left == 0:
             if not self.chunked:
                 self.over = True
             else:
-                end = yield from self.reader.line(until)
+                end = await self.reader.line(until)
                 if end:
                     raise FramingError(400, "chunk longer than its size")
         return data
 
-    def trailers(self, until: float) -> Step[None]:
+    async def trailers(self, until: float) -> None:
         total = 0
         while True:
-            line = yield from self.reader.line(until)
+            line = await self.reader.line(until)
             if not line:
                 return
             total += len(line)
             if total > 8192:
                 raise FramingError(431, "trailers too long")
 
-    def whole(self, most: int, until: float) -> Step[bytes]:
+    async def whole(self, most: int, until: float) -> bytes:
         """The rest of the body at once; raises FramingError 413 above the limit."""
         pieces: list[bytes] = []
         total = 0
         if not self.chunked and self.left > most:
             raise FramingError(413, "body too large")
         while True:
-            piece = yield from self.piece(until)
+            piece = await self.piece(until)
             if not piece and self.over:
                 return b"".join(pieces)
             total += len(piece)
--- a/packages/explain/ryelock/explain/__init__.py
+++ b/packages/explain/ryelock/explain/__init__.py
@@ -9,7 +9,7 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.loop import Network, Scheduler, Step
+from ryelock.loop import Network, Scheduler
 from ryelock.operator import OperatorError, Reply, ask, with_query
 
 Plain = dict[str, object]
@@ -20,30 +20,30 @@
     return order.rsplit("-", 2)[0]
 
 
-def explain_order(
+async def explain_order(
     scheduler: Scheduler, network: Network, at: str, order: str
-) -> Step[Result[Plain, OperatorError]]:
+) -> Result[Plain, OperatorError]:
     """Ask the edge that served a request for its account, through any node `at`."""
-    found = yield from ask(scheduler, network, at, "GET", "/members")
+    found = await ask(scheduler, network, at, "GET", "/members")
     if found.is_error():
         return Error(found.error)
     members = found.ok.plain.get("members")
     edge = members.get(edge_of(order)) if isinstance(members, dict) else None
     if not isinstance(edge, dict):
         return Error(OperatorError(f"no edge {edge_of(order)!r} is known"))
-    answer = yield from ask(
+    answer = await ask(
         scheduler, network, str(edge["control"]), "GET", with_query("/explain", order=order)
     )
     return account_of(answer)
 
 
-def explain_url(
+async def explain_url(
     scheduler: Scheduler, network: Network, at: str, method: str, url: str
-) -> Step[Result[Plain, OperatorError]]:
+) -> Result[Plain, OperatorError]:
     """Ask the edge `at` what it would do with a request now."""
     parts = urlsplit(url)
     target = parts.path + (f"?{parts.query}" if parts.query else "")
-    answer = yield from ask(
+    answer = await ask(
         scheduler,
         network,
         at,
--- a/packages/loop/ryelock/loop/__init__.py
+++ b/packages/loop/ryelock/loop/__init__.py
@@ -5,17 +5,17 @@
 """
 
 from ryelock.loop.network import Greeting, Link, Network, NetworkError
-from ryelock.loop.tasks import Clock, Mailbox, Scheduler, Step, TaskHandle, Wait
+from ryelock.loop.tasks import Clock, Queue, Scheduler, Task, TaskCoroutine, Wait
 
 __all__ = [
     "Clock",
     "Greeting",
     "Link",
-    "Mailbox",
     "Network",
     "NetworkError",
-    "TaskHandle",
+    "Queue",
     "Scheduler",
-    "Step",
+    "Task",
+    "TaskCoroutine",
     "Wait",
 ]
--- a/packages/loop/ryelock/loop/egress.py
+++ b/packages/loop/ryelock/loop/egress.py
@@ -8,7 +8,7 @@
 
 from typing import Protocol
 
-from ryelock.loop.tasks import Mailbox, Scheduler, Step
+from ryelock.loop.tasks import Queue, Scheduler
 
 LINK_SHARE = 0.92
 """Part of the link's rate that is used; the rest is for headers and acknowledgements."""
@@ -46,8 +46,8 @@
         self.tokens = float(self.turn)
         self.filled_at = scheduler.now()
         self.waiting: dict[BulkSender, None] = {}
-        self.news: Mailbox[bool] = Mailbox(scheduler)
-        scheduler.spawn("egress", self.work(), urgent=True)
+        self.news: Queue[bool] = Queue(scheduler)
+        scheduler.create_task(self.work(), name="egress", urgent=True)
 
     def fill(self) -> None:
         """Add the bytes that the link carried since the last look."""
@@ -81,12 +81,12 @@
             if sender.has_more:
                 self.waiting[sender] = None
 
-    def work(self) -> Step[None]:
+    async def work(self) -> None:
         """Give turns as tokens come, for the life of the process."""
         while True:
             if not self.waiting:
-                yield from self.news.take()
+                await self.news.get()
                 continue
             self.send_turns()
             if self.waiting:
-                yield from self.scheduler.pause(max(0.001, -self.tokens / self.bytes_per_second))
+                await self.scheduler.sleep(max(0.001, -self.tokens / self.bytes_per_second))
--- a/packages/loop/ryelock/loop/network.py
+++ b/packages/loop/ryelock/loop/network.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ryelock.loop.tasks import Mailbox, Scheduler, Step
+from ryelock.loop.tasks import Queue, Scheduler
 
 HELD_BYTES = 262_144
 
@@ -41,8 +41,8 @@
         self.scheduler = scheduler
         self.peer = peer
         self.bulk = False
-        self.inbox: Mailbox[bytes] = Mailbox(scheduler)
-        self.room: Mailbox[bool] = Mailbox(scheduler)
+        self.inbox: Queue[bytes] = Queue(scheduler)
+        self.room: Queue[bool] = Queue(scheduler)
         self.opened = False
         self.ended = False
         self.held = 0
@@ -85,9 +85,9 @@
             if told is not None:
                 told()
 
-    def receive(self, seconds: float | None) -> Step[bytes | None]:
+    async def receive(self, seconds: float | None) -> bytes | None:
         """The next bytes; empty at the end; None once the seconds are over."""
-        data = yield from self.inbox.take(seconds)
+        data = await self.inbox.get(seconds)
         if data:
             before = self.held
             self.held -= len(data)
@@ -97,24 +97,24 @@
             self.inbox.put(b"")
         return data
 
-    def open(self, seconds: float) -> Step[bool]:
+    async def open(self, seconds: float) -> bool:
         """Wait until a link that was asked for stands; False when it cannot."""
         until = self.scheduler.now() + seconds
         while not self.opened and not self.ended:
             left = until - self.scheduler.now()
             if left <= 0:
                 return False
-            yield from self.room.take(left)
+            await self.room.get(left)
         return self.opened and not self.ended
 
-    def drain(self, most: int, seconds: float) -> Step[bool]:
+    async def drain(self, most: int, seconds: float) -> bool:
         """Wait until at most so many bytes are unsent; False when they stay."""
         until = self.scheduler.now() + seconds
         while self.unsent > most and not self.ended:
             left = until - self.scheduler.now()
             if left <= 0:
                 return False
-            yield from self.room.take(left)
+            await self.room.get(left)
         return not self.ended
 
 
--- a/packages/loop/ryelock/loop/reactor.py
+++ b/packages/loop/ryelock/loop/reactor.py
@@ -20,7 +20,7 @@
 
 from ryelock.loop.egress import EgressPacer
 from ryelock.loop.network import Greeting, Link, NetworkError
-from ryelock.loop.tasks import Mailbox, Scheduler
+from ryelock.loop.tasks import Queue, Scheduler
 
 PIECE = 65_536
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
@@ -198,7 +198,7 @@
         """
         super().__init__()
         self.scheduler = Scheduler(MachineClock(), fault)
-        self.signals: Mailbox[int] = Mailbox(self.scheduler)
+        self.signals: Queue[int] = Queue(self.scheduler)
         self.links: dict[socket.socket, SocketLink] = {}
         self.listeners: dict[socket.socket, Greeting] = {}
         self.poller = EPoll().register(self)
--- a/packages/metrics/ryelock/metrics/__init__.py
+++ b/packages/metrics/ryelock/metrics/__init__.py
@@ -11,7 +11,7 @@
 
 from ryelock.events import FIGURES, Log
 from ryelock.exchange import Exchange, HttpServer, Limits
-from ryelock.loop import Network, Scheduler, Step
+from ryelock.loop import Network, Scheduler
 
 if TYPE_CHECKING:
     from prometheus_client import Metric
@@ -118,17 +118,17 @@
         self.metrics = metrics
         self.listener = HttpServer(scheduler, network, log, address, Limits(), self.serve)
 
-    def serve(self, exchange: Exchange) -> Step[None]:
+    async def serve(self, exchange: Exchange) -> None:
         """Answer one request with all figures."""
-        yield from exchange.whole_body()
+        await exchange.whole_body()
         fields = [(b"Content-Type", CONTENT_TYPE), (b"Cache-Control", b"no-store")]
-        yield from exchange.answer(200, fields, self.metrics.exposition())
+        await exchange.answer(200, fields, self.metrics.exposition())
 
 
-def log_figures(scheduler: Scheduler, log: Log, metrics: Metrics, seconds: float) -> Step[None]:
+async def log_figures(scheduler: Scheduler, log: Log, metrics: Metrics, seconds: float) -> None:
     """Write all figures to the log again and again, once in so many seconds."""
     while True:
-        yield from scheduler.pause(seconds)
+        await scheduler.sleep(seconds)
         log.write(FIGURES, figures=metrics.plain())
 
 
@@ -139,4 +139,4 @@
     if address:
         MetricsServer(scheduler, network, log, address, metrics)
     if seconds:
-        scheduler.spawn("figures", log_figures(scheduler, log, metrics, seconds))
+        scheduler.create_task(log_figures(scheduler, log, metrics, seconds), name="figures")
--- a/packages/operator/ryelock/operator/__init__.py
+++ b/packages/operator/ryelock/operator/__init__.py
@@ -11,7 +11,7 @@
 from expression import Error, Ok, Result
 
 from ryelock.exchange import call
-from ryelock.loop import Network, Scheduler, Step
+from ryelock.loop import Network, Scheduler
 
 DONE, DECLINED, NOT_TAKEN, UNKNOWN, UNREACHED = 0, 1, 3, 4, 5
 CODES = {200: DONE, 503: NOT_TAKEN, 504: UNKNOWN}
@@ -39,17 +39,17 @@
         self.code = code
 
 
-def ask(
+async def ask(
     scheduler: Scheduler,
     network: Network,
     address: str,
     method: str,
     target: str,
     given: object = None,
-) -> Step[Result[Reply, OperatorError]]:
+) -> Result[Reply, OperatorError]:
     """One order to one control address: the HTTP status and the JSON answered."""
     body = b"" if given is None else json.dumps(given).encode()
-    found = yield from call(
+    found = await call(
         scheduler,
         network,
         address,
--- a/packages/program/ryelock/program/main.py
+++ b/packages/program/ryelock/program/main.py
@@ -14,7 +14,6 @@
 
 from ryelock.env import EnvError, read_env  # noqa: E402
 from ryelock.explain import explain_order, explain_url, in_words  # noqa: E402
-from ryelock.loop import Step  # noqa: E402
 from ryelock.loop.reactor import Reactor  # noqa: E402
 from ryelock.operator import UNREACHED, Plain, ask, code_of  # noqa: E402
 from ryelock.program.running import run_daemon, run_once  # noqa: E402
@@ -167,8 +166,8 @@
 def order(at: str, method: str, target: str, given: object = None) -> int:
     """One operator's order; prints the JSON answered."""
 
-    def work(reactor: Reactor) -> Step[int]:
-        found = yield from ask(reactor.scheduler, reactor, at, method, target, given)
+    async def work(reactor: Reactor) -> int:
+        found = await ask(reactor.scheduler, reactor, at, method, target, given)
         if found.is_error():
             sys.stderr.write(f"ryelock: {found.error}\n")
             return found.error.code
@@ -241,10 +240,10 @@
     return change
 
 
-def send_change(reactor: Reactor, at: str, change: Plain) -> Step[int]:
+async def send_change(reactor: Reactor, at: str, change: Plain) -> int:
     """Send a change, on top of the present version where it names none; return the exit code."""
     if "base" not in change:
-        present = yield from ask(reactor.scheduler, reactor, at, "GET", "/configuration")
+        present = await ask(reactor.scheduler, reactor, at, "GET", "/configuration")
         if present.is_error():
             sys.stderr.write(f"ryelock: {present.error}\n")
             return UNREACHED
@@ -253,7 +252,7 @@
             show(configuration)
             return code_of(status)
         change["base"] = configuration["version"]
-    found = yield from ask(reactor.scheduler, reactor, at, "POST", "/changes", change)
+    found = await ask(reactor.scheduler, reactor, at, "POST", "/changes", change)
     if found.is_error():
         sys.stderr.write(f"ryelock: {found.error} (id {change['id']})\n")
         return found.error.code
@@ -337,11 +336,11 @@
     :param plain: print JSON instead of words
     """
 
-    def work(reactor: Reactor) -> Step[int]:
+    async def work(reactor: Reactor) -> int:
         if url:
-            found = yield from explain_url(reactor.scheduler, reactor, at, what, url)
+            found = await explain_url(reactor.scheduler, reactor, at, what, url)
         else:
-            found = yield from explain_order(reactor.scheduler, reactor, at, what)
+            found = await explain_order(reactor.scheduler, reactor, at, what)
         if found.is_error():
             sys.stderr.write(f"ryelock explain: {found.error}\n")
             return UNREACHED
--- a/packages/program/ryelock/program/running.py
+++ b/packages/program/ryelock/program/running.py
@@ -14,7 +14,7 @@
 from ryelock.env import Env, EnvError
 from ryelock.events import SETTINGS_DECLINED, SETTINGS_FOLLOWED, TASK_FAULT, Log
 from ryelock.journal import FolderError, MachineFolder
-from ryelock.loop import NetworkError, Step
+from ryelock.loop import NetworkError, TaskCoroutine
 from ryelock.loop.reactor import Reactor
 
 
@@ -29,7 +29,7 @@
         """Take over changed settings."""
         ...
 
-    def stop(self) -> Step[None]:
+    async def stop(self) -> None:
         """Stop in an orderly way, within the node's own deadline."""
         ...
 
@@ -104,17 +104,17 @@
         signal.signal(number, lambda number, _frame: reactor.signals.put(number))
     node.start()
     if watched is not None:
-        reactor.scheduler.spawn("settings", follow_file(reactor, node, log, watched))
-    reactor.scheduler.spawn("signals", until_told(reactor, node))
+        reactor.scheduler.create_task(follow_file(reactor, node, log, watched), name="settings")
+    reactor.scheduler.create_task(until_told(reactor, node), name="signals")
     reactor.run()
     return 0
 
 
-def follow_file(reactor: Reactor, node: Node, log: Log, watched: Watched) -> Step[None]:
+async def follow_file(reactor: Reactor, node: Node, log: Log, watched: Watched) -> None:
     """Look at the settings file now and then; what is faulty in it changes nothing."""
     before = watched.stamp()
     while True:
-        yield from reactor.scheduler.pause(LOOK_SECONDS)
+        await reactor.scheduler.sleep(LOOK_SECONDS)
         found = watched.stamp()
         if found == before:
             continue
@@ -126,17 +126,17 @@
             log.write(SETTINGS_DECLINED, faults=error.faults)
 
 
-def until_told(reactor: Reactor, node: Node) -> Step[None]:
+async def until_told(reactor: Reactor, node: Node) -> None:
     """Wait for a signal to end, stop the node, and end the reactor."""
     while True:
-        number = yield from reactor.signals.take()
+        number = await reactor.signals.get()
         if number in (signal.SIGTERM, signal.SIGINT):
             break
-    yield from node.stop()
+    await node.stop()
     reactor.stop()
 
 
-Work = Callable[[Reactor], Step[int]]
+Work = Callable[[Reactor], TaskCoroutine[int]]
 
 
 def run_once(work: Work) -> int:
@@ -149,10 +149,10 @@
 
     reactor = Reactor(fault)
 
-    def whole() -> Step[None]:
-        codes.append((yield from work(reactor)))
+    async def whole() -> None:
+        codes.append(await work(reactor))
         reactor.stop()
 
-    reactor.scheduler.spawn("order", whole())
+    reactor.scheduler.create_task(whole(), name="order")
     reactor.run()
     return codes[0] if codes else 1
--- a/packages/proving/ryelock/proving/__main__.py
+++ b/packages/proving/ryelock/proving/__main__.py
@@ -324,6 +324,8 @@
 
 
 def main() -> None:
+    # A simulated process is dropped in the middle of whatever it does, with tasks that never ran.
+    warnings.filterwarnings("ignore", "coroutine .* was never awaited", RuntimeWarning)
     commands = [
         fleet,
         simulate,
--- a/packages/proving/ryelock/proving/answer_cases.py
+++ b/packages/proving/ryelock/proving/answer_cases.py
@@ -9,7 +9,6 @@
 from random import Random
 
 from ryelock.exchange import Fields
-from ryelock.loop import Step
 from ryelock.proving.checks import Findings
 from ryelock.proving.scripted import (
     ATTEMPTS,
@@ -184,16 +183,16 @@
     for turn in range(WARM_TURNS):
         for number in range(WARM_ORDERS):
             name = f"{stem}-warm{turn}-{number}"
-            fleet.outside.scheduler.spawn("warm", ignore(fleet, name))
+            fleet.outside.scheduler.create_task(ignore(fleet, name), name="warm")
         fleet.world.run(SETTLE_SECONDS)
         if all(state.kept for state in fleet.handler().servers.by_service[SERVICE]):
             return
     raise AssertionError(f"no connection is kept to some servers after {WARM_TURNS} turns")
 
 
-def ignore(fleet: AnswerFleet, name: str) -> Step[None]:
+async def ignore(fleet: AnswerFleet, name: str) -> None:
     """Send a request whose answer nobody looks at."""
-    yield from fleet.ask(name, "GET", f"/plain/{name}")
+    await fleet.ask(name, "GET", f"/plain/{name}")
 
 
 def run_cell(fleet: AnswerFleet, cell: Cell, stem: str) -> Outcome:
--- a/packages/proving/ryelock/proving/callers.py
+++ b/packages/proving/ryelock/proving/callers.py
@@ -10,7 +10,7 @@
 from ryelock.exchange import Fields, Reader, field, read_answer, send_order
 from ryelock.exchange.heads import FramingError
 from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Network, Scheduler, Step
+from ryelock.loop import Link, Network, Scheduler
 
 
 class Told:
@@ -79,7 +79,7 @@
             self.link.close()
             self.link = None
 
-    def order(
+    async def order(
         self,
         edge: str,
         method: str,
@@ -87,7 +87,7 @@
         identity: str,
         fields: Fields | None = None,
         body: bytes = b"",
-    ) -> Step[Told]:
+    ) -> Told:
         """Send one order and read its answer to the end."""
         told = Told(self.scheduler.now(), edge, method, target, identity)
         self.notes.append(told)
@@ -97,7 +97,7 @@
             self.close()
             link = self.link = self.network.connect(edge)
             self.reader = Reader(self.scheduler, link)
-            if not (yield from link.open(2.0)):
+            if not await link.open(2.0):
                 told.end = "no link"
                 self.close()
                 return told
@@ -111,7 +111,7 @@
             body,
         )
         try:
-            found = yield from read_answer(reader, method.encode(), 65_536, until)
+            found = await read_answer(reader, method.encode(), 65_536, until)
             if found.is_error():
                 told.end = found.error.reason
                 self.close()
@@ -122,7 +122,7 @@
             told.order = text(answer.head.fields, b"x-ryelock-order")
             told.cache = text(answer.head.fields, b"x-ryelock-cache")
             told.retry_after = text(answer.head.fields, b"retry-after")
-            told.body = yield from answer.body.whole(16_777_216, until)
+            told.body = await answer.body.whole(16_777_216, until)
             told.whole = True
             told.end = "whole"
             if not answer.keep:
--- a/packages/proving/ryelock/proving/cases.py
+++ b/packages/proving/ryelock/proving/cases.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from ryelock.loop import Step
+from ryelock.loop import TaskCoroutine
 from ryelock.proving.answer_cases import foreign_answer, silent_server
 from ryelock.proving.callers import Caller, Told
 from ryelock.proving.catchup import many_changes
@@ -78,20 +78,20 @@
     scenario.set_up()
     scenario.start_callers(16, 4.0)
     for number in (1, 2, 3):
-        scenario.operators.scheduler.spawn("operator", scenario.operate(number, 16))
+        scenario.operators.scheduler.create_task(scenario.operate(number, 16), name="operator")
     scenario.world.run(2)
     for edge in scenario.edges[:2]:
         for core in scenario.cores:
             scenario.world.cut(edge, core)
     # Callers know nothing of the cut.
-    scenario.outside.scheduler.spawn("stubborn", stubborn(scenario, scenario.edges[0]))
+    scenario.outside.scheduler.create_task(stubborn(scenario, scenario.edges[0]), name="stubborn")
     scenario.world.run(10)
     scenario.world.heal()
     scenario.world.run(5)
     return scenario.findings()
 
 
-def stubborn(scenario: Scenario, edge: str) -> Step[None]:
+async def stubborn(scenario: Scenario, edge: str) -> None:
     """A caller that keeps asking one edge for marks and covers, ready or not."""
     caller = Caller(
         scenario.outside.scheduler, scenario.outside.network, scenario.random, scenario.notes
@@ -101,10 +101,10 @@
         count += 1
         marks = [changed.mark for changed in scenario.changes if changed.mark][-3:]
         for target in [*marks, f"/covers/{count % 8}"]:
-            yield from caller.order(
+            await caller.order(
                 f"{scenario.node(edge).host}:3", "GET", target, f"s{edge}-{count}-{target}"
             )
-        yield from scenario.outside.scheduler.pause(0.05)
+        await scenario.outside.scheduler.sleep(0.05)
 
 
 def handed_address(seed: int) -> Findings:
@@ -137,10 +137,10 @@
         server.lifetime = "max-age=60"
     scenario.start_callers(20, 5.0)
     for edge in scenario.edges:
-        scenario.outside.scheduler.spawn("stubborn", stubborn(scenario, edge))
+        scenario.outside.scheduler.create_task(stubborn(scenario, edge), name="stubborn")
     scenario.world.run(3)
     for number in range(6):
-        scenario.operators.scheduler.spawn("flood", flood(scenario, number, 8))
+        scenario.operators.scheduler.create_task(flood(scenario, number, 8), name="flood")
     scenario.world.run(3)
     for core in scenario.cores:
         scenario.world.cut(scenario.edges[0], core)
@@ -150,10 +150,10 @@
     return scenario.findings()
 
 
-def flood(scenario: Scenario, number: int, count: int) -> Step[None]:
+async def flood(scenario: Scenario, number: int, count: int) -> None:
     for turn in range(count):
         target = f"/covers/{(number + turn) % 8}"
-        yield from scenario.renew_object(target, f"flood-{number}-{turn}")
+        await scenario.renew_object(target, f"flood-{number}-{turn}")
 
 
 def all_power(seed: int) -> Findings:
@@ -200,31 +200,31 @@
         for other in scenario.cores:
             if other != old:
                 scenario.world.cut(old, other)
-        scenario.operators.scheduler.spawn("reads", read_from(scenario, old, 4.0))
-        scenario.operators.scheduler.spawn("change", change_at(scenario, old, turn))
+        scenario.operators.scheduler.create_task(read_from(scenario, old, 4.0), name="reads")
+        scenario.operators.scheduler.create_task(change_at(scenario, old, turn), name="change")
         for number in (10 + turn, 20 + turn):
-            scenario.operators.scheduler.spawn("operator", scenario.operate(number, 5))
+            scenario.operators.scheduler.create_task(scenario.operate(number, 5), name="operator")
         scenario.world.run(6)
         scenario.world.heal()
         scenario.world.run(2)
     return scenario.findings()
 
 
-def change_at(scenario: Scenario, name: str, turn: int) -> Step[None]:
+async def change_at(scenario: Scenario, name: str, turn: int) -> None:
     """A change made through one node, against the version that node knows."""
     base = scenario.node(name).core.register.version
-    yield from scenario.add_route(f"gen-old-{turn}", base, name)
+    await scenario.add_route(f"gen-old-{turn}", base, name)
 
 
-def read_from(scenario: Scenario, name: str, seconds: float) -> Step[None]:
+async def read_from(scenario: Scenario, name: str, seconds: float) -> None:
     until = scenario.world.time + seconds
     while scenario.world.time < until:
         started = scenario.world.time
-        status, answer = yield from scenario.operator("GET", "/configuration", None, name)
+        status, answer = await scenario.operator("GET", "/configuration", None, name)
         version = answer.get("version")
         if status == 200 and isinstance(version, int):
             scenario.reads.append((started, scenario.world.time, version))
-        yield from scenario.operators.scheduler.pause(0.02)
+        await scenario.operators.scheduler.sleep(0.02)
 
 
 def scattered(seed: int) -> Findings:
@@ -371,7 +371,7 @@
     )
     key = [(b"Idempotency-Key", b"point")]
 
-    def sending() -> Step[Told]:
+    def sending() -> TaskCoroutine[Told]:
         return caller.order(
             f"{scenario.node(scenario.edges[0]).host}:3", "POST", "/orders/1", "point", key, b"body"
         )
@@ -634,7 +634,7 @@
     scenario.set_up()
     scenario.start_callers(16, 4.0, 0)
     for number in range(24):
-        scenario.outside.scheduler.spawn("phone", phone(scenario, number, moving, alike))
+        scenario.outside.scheduler.create_task(phone(scenario, number, moving, alike), name="phone")
     scenario.world.run(6)
     for server in scenario.servers.values():
         if server.service == "pages":
@@ -658,7 +658,7 @@
     return found
 
 
-def phone(scenario: Scenario, number: int, moving: bool, alike: bool) -> Step[None]:
+async def phone(scenario: Scenario, number: int, moving: bool, alike: bool) -> None:
     """One caller that sends what failed again at once, as the same order, without a mark."""
     random = Random(f"phone {scenario.world.seed} {number}")
     caller = Caller(scenario.outside.scheduler, scenario.outside.network, random, scenario.notes)
@@ -667,13 +667,13 @@
     edge = ""
     while scenario.callers_on:
         count += 1
-        yield from scenario.outside.scheduler.pause(random.expovariate(2.0))
+        await scenario.outside.scheduler.sleep(random.expovariate(2.0))
         target = f"/plain/{random.randrange(50)}"
         for _ in range(200):
             edges = scenario.ready_edges()
             if edges and (moving or edge not in edges):
                 edge = random.choice(edges)
-            told = yield from caller.order(
+            told = await caller.order(
                 f"{scenario.node(edge).host}:3",
                 "GET",
                 target,
@@ -682,7 +682,7 @@
             )
             if told.status == 200 or not scenario.callers_on:
                 break
-            yield from scenario.outside.scheduler.pause(0.05)
+            await scenario.outside.scheduler.sleep(0.05)
     caller.close()
 
 
--- a/packages/proving/ryelock/proving/catchup.py
+++ b/packages/proving/ryelock/proving/catchup.py
@@ -14,7 +14,6 @@
 """
 
 from ryelock.consensus import Consensus
-from ryelock.loop import Step
 from ryelock.proving.checks import Findings
 from ryelock.proving.scenario import Scenario
 
@@ -47,20 +46,20 @@
         self.acknowledged: list[tuple[str, str]] = []
         self.going = True
 
-    def write(self) -> Step[None]:
+    async def write(self) -> None:
         """Change after change until it is told to stop."""
         number = 0
         while self.going:
             number += 1
-            yield from self.write_one(number)
-            yield from self.scenario.operators.scheduler.pause(PAUSE_SECONDS)
+            await self.write_one(number)
+            await self.scenario.operators.scheduler.sleep(PAUSE_SECONDS)
 
-    def write_one(self, number: int) -> Step[None]:
+    async def write_one(self, number: int) -> None:
         """Send one change until it is acknowledged or the run ends."""
         name, path = f"many-{number % ROUTES}", f"/many/{number}"
         put: dict[str, object] = {"routes": {name: {"path": path, "service": "pages"}}}
         while self.going:
-            told = yield from self.scenario.change(f"many-{number}", self.version, put)
+            told = await self.scenario.change(f"many-{number}", self.version, put)
             if told.status == 200:
                 self.found.look("changes")
                 if told.version != self.version + 1:
@@ -71,7 +70,7 @@
             if told.status in FINAL_REFUSALS:
                 self.found.broken("changes", f"{path} was told {told.status}")
                 self.going = False
-            yield from self.scenario.operators.scheduler.pause(RESEND_SECONDS)
+            await self.scenario.operators.scheduler.sleep(RESEND_SECONDS)
 
 
 class ManyChanges:
@@ -117,7 +116,7 @@
         """Run the whole case."""
         scenario = self.scenario
         scenario.set_up()
-        scenario.operators.scheduler.spawn("writer", self.writer.write())
+        scenario.operators.scheduler.create_task(self.writer.write(), name="writer")
         restarted, away = [name for name in scenario.cores if name != scenario.leader()]
         if not self.run_until_written(AWAY_FROM):
             return self.found
--- a/packages/proving/ryelock/proving/control_cases.py
+++ b/packages/proving/ryelock/proving/control_cases.py
@@ -8,7 +8,6 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from ryelock.loop import Step
 from ryelock.proving.checks import Findings
 from ryelock.proving.scenario import Scenario
 from ryelock.register import Register
@@ -189,8 +188,10 @@
     in_flight = send_in_flight(scenario, name, stale_base)
     ISOLATIONS[way](scenario, name)
     cut_at = scenario.world.time
-    scenario.operators.scheduler.spawn("asks", ask_isolated(scenario, watcher, stale_base))
-    scenario.operators.scheduler.spawn("renews", renew_isolated(scenario, watcher))
+    scenario.operators.scheduler.create_task(
+        ask_isolated(scenario, watcher, stale_base), name="asks"
+    )
+    scenario.operators.scheduler.create_task(renew_isolated(scenario, watcher), name="renews")
     succession = succeed(scenario, others, found)
     superseded = change_elsewhere(scenario, others, watcher.drained, found)
     scenario.world.run(cut_at + ISOLATION_SECONDS - scenario.world.time)
@@ -232,13 +233,13 @@
     """A change that is on its way when the node is isolated; its statuses are collected."""
     statuses: list[int] = []
 
-    def send() -> Step[None]:
-        status, _ = yield from scenario.operator(
+    async def send() -> None:
+        status, _ = await scenario.operator(
             "POST", "/changes", route_change("in-flight", base), name
         )
         statuses.append(status)
 
-    scenario.operators.scheduler.spawn("in flight", send())
+    scenario.operators.scheduler.create_task(send(), name="in flight")
     scenario.world.run(Random(f"in flight {scenario.world.seed}").random() * 0.02)
     return statuses
 
@@ -268,7 +269,7 @@
     return Superseded(scenario.world.time, version)
 
 
-def ask_isolated(scenario: Scenario, watcher: Watcher, base: int) -> Step[None]:
+async def ask_isolated(scenario: Scenario, watcher: Watcher, base: int) -> None:
     """Operators that reach only the isolated node: reads, changes, purges, drains, plans."""
     count = 0
     while watcher.running:
@@ -282,33 +283,33 @@
             ("POST", "/recoveries", {"id": f"recover-{count}", "target": watcher.drained}),
         ]
         for method, target, given in requests:
-            scenario.operators.scheduler.spawn(
-                target, ask_once(scenario, watcher, method, target, given)
+            scenario.operators.scheduler.create_task(
+                ask_once(scenario, watcher, method, target, given), name=target
             )
-        yield from scenario.operators.scheduler.pause(PAUSE_SECONDS)
+        await scenario.operators.scheduler.sleep(PAUSE_SECONDS)
 
 
-def ask_once(
+async def ask_once(
     scenario: Scenario, watcher: Watcher, method: str, target: str, given: object
-) -> Step[None]:
+) -> None:
     """Send one request to the watched node and note what it answered, and when."""
     asked = scenario.world.time
-    status, _ = yield from scenario.operator(method, target, given, watcher.name)
+    status, _ = await scenario.operator(method, target, given, watcher.name)
     watcher.answers.append(Answered(method, target, asked, scenario.world.time, status))
 
 
-def renew_isolated(scenario: Scenario, watcher: Watcher) -> Step[None]:
+async def renew_isolated(scenario: Scenario, watcher: Watcher) -> None:
     """Edges without any state that reach only the isolated node, as after a restart."""
     node = scenario.operators
     lines = Lines(node.scheduler, node.network, node.log)
     count = 0
     while watcher.running:
         count += 1
-        node.scheduler.spawn("renewal", renew_once(scenario, watcher, lines, count))
-        yield from node.scheduler.pause(RENEWAL_SECONDS)
+        node.scheduler.create_task(renew_once(scenario, watcher, lines, count), name="renewal")
+        await node.scheduler.sleep(RENEWAL_SECONDS)
 
 
-def renew_once(scenario: Scenario, watcher: Watcher, lines: Lines, count: int) -> Step[None]:
+async def renew_once(scenario: Scenario, watcher: Watcher, lines: Lines, count: int) -> None:
     """Renew one session of a returning edge with the isolated node."""
     session = Session()
     session.name = f"returned{count}"
@@ -328,7 +329,7 @@
     }
     asked = scenario.world.time
     address = f"{scenario.node(watcher.name).host}:1"
-    answer = yield from lines.ask(address, message, 2 * ISOLATION_SECONDS)
+    answer = await lines.ask(address, message, 2 * ISOLATION_SECONDS)
     if answer.is_ok():
         watcher.renewals.append(Renewed(asked, answer.ok))
 
@@ -485,15 +486,15 @@
     """The version as read through any control node, or -1 where nobody answers in time."""
     versions: list[int] = []
 
-    def read() -> Step[None]:
+    async def read() -> None:
         while not versions:
-            status, answer = yield from scenario.operator("GET", "/configuration")
+            status, answer = await scenario.operator("GET", "/configuration")
             version = answer.get("version")
             if status == OK and isinstance(version, int):
                 versions.append(version)
-            yield from scenario.operators.scheduler.pause(RESEND_SECONDS)
+            await scenario.operators.scheduler.sleep(RESEND_SECONDS)
 
-    running = scenario.operators.scheduler.spawn("read", read())
+    running = scenario.operators.scheduler.create_task(read(), name="read")
     scenario.world.run_until(lambda: bool(versions), RACE_SECONDS)
     running.cancel()
     return versions[0] if versions else -1
@@ -502,15 +503,15 @@
 def run_race(scenario: Scenario, random: Random, number: int, racing: list[Racer]) -> None:
     """Let all racers send at once, strike the control plane meanwhile, and wait for all ends."""
     running = [
-        scenario.operators.scheduler.spawn(racer.identity, race(scenario, random, racer))
+        scenario.operators.scheduler.create_task(race(scenario, random, racer), name=racer.identity)
         for racer in racing
     ]
     strike = random.choice(sorted(STRIKES))
     scenario.world.later(random.random() * 0.3, lambda: STRIKES[strike](scenario))
-    scenario.operators.scheduler.spawn("noise", make_noise(scenario, number))
+    scenario.operators.scheduler.create_task(make_noise(scenario, number), name="noise")
     scenario.world.run(3.0)
     scenario.mend_all()
-    scenario.world.run_until(lambda: all(task.over for task in running), RACE_SECONDS)
+    scenario.world.run_until(lambda: all(task.done for task in running), RACE_SECONDS)
     for task in running:
         task.cancel()
     scenario.world.run(1.0)
@@ -564,14 +565,14 @@
 }
 
 
-def make_noise(scenario: Scenario, number: int) -> Step[None]:
+async def make_noise(scenario: Scenario, number: int) -> None:
     """Purges beside the race: entries that change no configuration."""
     for count in range(NOISE_PURGES):
         given = {"id": f"noise-{number}-{count}", "scopes": [{"path": f"/covers/{count}"}]}
-        yield from scenario.operator("POST", "/purges", given)
+        await scenario.operator("POST", "/purges", given)
 
 
-def race(scenario: Scenario, random: Random, racer: Racer) -> Step[None]:
+async def race(scenario: Scenario, random: Random, racer: Racer) -> None:
     """Send one change until its answer is clear; at times lose the answer and send it again."""
     while not racer.final:
         names = scenario.alive(scenario.cores)
@@ -579,7 +580,7 @@
             through = random.choice(names)
             change = route_change(racer.identity, racer.base)
             change["version"] = racer.base + 1
-            status, _ = yield from scenario.operator("POST", "/changes", change, through)
+            status, _ = await scenario.operator("POST", "/changes", change, through)
             if status == OK:
                 racer.acknowledged += 1
                 if random.random() >= LOST_SHARE:
@@ -587,7 +588,7 @@
             elif status in FINAL_REFUSALS:
                 racer.refused_after = racer.acknowledged > 0
                 racer.final = status
-        yield from scenario.operators.scheduler.pause(RESEND_SECONDS * random.random())
+        await scenario.operators.scheduler.sleep(RESEND_SECONDS * random.random())
 
 
 def judge_race(number: int, racing: list[Racer], found: Findings) -> None:
@@ -660,14 +661,14 @@
             found.broken("sent again", text)
 
 
-def make_much_noise(scenario: Scenario, number: int) -> Step[None]:
+async def make_much_noise(scenario: Scenario, number: int) -> None:
     """More purges and refused changes than are remembered of each."""
     for count in range(LOST_PURGES):
         given = {"id": f"noise-{number}-{count}", "scopes": [{"path": f"/covers/{count}"}]}
-        yield from scenario.operator("POST", "/purges", given)
+        await scenario.operator("POST", "/purges", given)
         if count % 2:
             refused = route_change(f"refused-{number}-{count}", 0)
-            yield from scenario.operator("POST", "/changes", refused)
+            await scenario.operator("POST", "/changes", refused)
 
 
 def wipe_follower(scenario: Scenario) -> None:
--- a/packages/proving/ryelock/proving/finals.py
+++ b/packages/proving/ryelock/proving/finals.py
@@ -9,7 +9,6 @@
 from collections.abc import Callable
 from random import Random
 
-from ryelock.loop import Step
 from ryelock.proving.callers import Caller, Told
 from ryelock.proving.checks import Findings
 from ryelock.proving.scenario import Scenario
@@ -228,18 +227,17 @@
         return max(self.back.values(), default=0.0)
 
 
-def arrive(scenario: Scenario, kind: str) -> Step[None]:
+async def arrive(scenario: Scenario, kind: str) -> None:
     """Callers of one kind that come evenly, each on a link of its own."""
     method, path = KINDS[kind]
     scheduler = scenario.outside.scheduler
     count = 0
     while scenario.callers_on:
         count += 1
-        yield from scheduler.pause(1.0 / A_SECOND)
+        await scheduler.sleep(1.0 / A_SECOND)
         edges = scenario.ready_edges()
         if edges:
-            scheduler.spawn(
-                "caller",
+            scheduler.create_task(
                 order_once(
                     scenario,
                     f"{scenario.node(scenario.random.choice(edges)).host}:3",
@@ -247,17 +245,18 @@
                     f"{path}{scenario.random.randrange(8)}",
                     f"f{kind}-{count}",
                 ),
+                name="caller",
             )
 
 
-def order_once(
+async def order_once(
     scenario: Scenario, edge: str, method: str, target: str, identity: str
-) -> Step[None]:
+) -> None:
     """Send one request through an edge on a connection of its own."""
     caller = Caller(
         scenario.outside.scheduler, scenario.outside.network, scenario.random, scenario.notes, 8.0
     )
-    yield from caller.order(
+    await caller.order(
         edge,
         method,
         target,
@@ -292,27 +291,26 @@
     return last
 
 
-def ask_on(
+async def ask_on(
     scenario: Scenario, path: str, given: Callable[[int], object], ended: list[float], until: float
-) -> Step[None]:
+) -> None:
     """An operator that asks again, through any node that runs, until it is acknowledged."""
     count = 0
     while scenario.world.time < until and not ended:
         count += 1
-        status, _ = yield from scenario.operator("POST", path, given(count))
+        status, _ = await scenario.operator("POST", path, given(count))
         if status == 200:
             ended.append(scenario.world.time)
-        yield from scenario.operators.scheduler.pause(0.2)
+        await scenario.operators.scheduler.sleep(0.2)
 
 
 def operators_of(scenario: Scenario, since: float) -> dict[str, list[float]]:
     """A change and a purge asked for from the loss on; when each was acknowledged."""
     ended: dict[str, list[float]] = {"change": [], "purge": []}
-    spawn = scenario.operators.scheduler.spawn
+    create_task = scenario.operators.scheduler.create_task
     until = since + RETURN_SECONDS + 5
-    spawn("change", change_on(scenario, ended["change"], until))
-    spawn(
-        "purge",
+    create_task(change_on(scenario, ended["change"], until), name="change")
+    create_task(
         ask_on(
             scenario,
             "/purges",
@@ -320,15 +318,16 @@
             ended["purge"],
             until,
         ),
+        name="purge",
     )
     return ended
 
 
-def change_on(scenario: Scenario, ended: list[float], until: float) -> Step[None]:
+async def change_on(scenario: Scenario, ended: list[float], until: float) -> None:
     """One change under one id: it may be asked for again, and is taken once."""
     base = max(changed.version for changed in scenario.changes)
     while scenario.world.time < until and not ended:
-        changed = yield from scenario.change(
+        changed = await scenario.change(
             "gen-final",
             base,
             {"routes": {"gen-final": {"path": "/gen-final", "service": "pages"}}},
@@ -336,7 +335,7 @@
         )
         if changed.status == 200:
             ended.append(scenario.world.time)
-        yield from scenario.operators.scheduler.pause(0.2)
+        await scenario.operators.scheduler.sleep(0.2)
 
 
 def run_final(seed: int, name: str, size: str = "small", before: int = 0) -> Final:
@@ -359,7 +358,7 @@
         20,
     )
     for kind in KINDS:
-        scenario.outside.scheduler.spawn(f"callers for {kind}", arrive(scenario, kind))
+        scenario.outside.scheduler.create_task(arrive(scenario, kind), name=f"callers for {kind}")
     wanted = 5 if len(scenario.cores) >= 5 else 3
     scenario.world.run_until(
         lambda: bool(scenario.leader()) and len(voters(scenario)) == wanted, 20
--- a/packages/proving/ryelock/proving/fleet.py
+++ b/packages/proving/ryelock/proving/fleet.py
@@ -14,7 +14,7 @@
 import time
 from pathlib import Path
 
-from ryelock.loop import Network, Scheduler, Step
+from ryelock.loop import Network, Scheduler
 from ryelock.operator import ask
 from ryelock.proving.shapes import Machine, Shape
 
@@ -161,16 +161,16 @@
                 process.wait(5)
 
 
-def wait_ready(
+async def wait_ready(
     scheduler: Scheduler, network: Network, process: Process, seconds: float
-) -> Step[bool]:
+) -> bool:
     """Until a process says it is ready, or the seconds are over."""
     until = scheduler.now() + seconds
     while scheduler.now() < until:
         if process.over:
             return False
-        found = yield from ask(scheduler, network, process.control, "GET", "/fitness/ready")
+        found = await ask(scheduler, network, process.control, "GET", "/fitness/ready")
         if found.is_ok() and found.ok.status == 200:
             return True
-        yield from scheduler.pause(0.1)
+        await scheduler.sleep(0.1)
     return False
--- a/packages/proving/ryelock/proving/fleet_faults.py
+++ b/packages/proving/ryelock/proving/fleet_faults.py
@@ -7,7 +7,6 @@
 import signal
 import statistics
 
-from ryelock.loop import Step
 from ryelock.proving.callers import Caller
 from ryelock.proving.fleet import wait_ready
 from ryelock.proving.fleet_run import Run
@@ -15,14 +14,14 @@
 CROWD_MOST = 400
 
 
-def with_faults(run: Run) -> Step[None]:
+async def with_faults(run: Run) -> None:
     """A killed leader, a dead zone, a rolling restart."""
-    leader = yield from run.leader()
+    leader = await run.leader()
     if leader is not None:
         leader.signal(signal.SIGKILL)
         killed = run.scheduler.now()
         while run.scheduler.now() < killed + 30:
-            status, _ = yield from run.change(
+            status, _ = await run.change(
                 f"after-{run.scheduler.now()}",
                 2,
                 put={
@@ -33,27 +32,27 @@
             )
             if status == 200:
                 break
-            yield from run.scheduler.pause(0.1)
+            await run.scheduler.sleep(0.1)
         run.report["change_after_leader_lost"] = round(run.scheduler.now() - killed, 2)
         leader.start()
-        yield from wait_ready(run.scheduler, run.reactor, leader, 30)
+        await wait_ready(run.scheduler, run.reactor, leader, 30)
     zone = run.shape.zones[-1]
     dead = [process for process in run.fleet.of_role("edge") if process.zone == zone]
     for process in dead:
         process.signal(signal.SIGKILL)
-    down = yield from run.wait_verdict(zone, "down", 60)
+    down = await run.wait_verdict(zone, "down", 60)
     run.report["dead_zone_found_after"] = None if down is None else round(down, 2)
     for process in dead:
         process.start()
-        yield from wait_ready(run.scheduler, run.reactor, process, 30)
-    healthy = yield from run.wait_verdict(zone, "healthy", 60)
+        await wait_ready(run.scheduler, run.reactor, process, 30)
+    healthy = await run.wait_verdict(zone, "healthy", 60)
     run.report["zone_back_after"] = None if healthy is None else round(healthy, 2)
-    yield from with_frozen(run)
-    yield from with_many_killed(run)
-    yield from with_crowd(run)
-    yield from with_stale_copies(run, zone)
+    await with_frozen(run)
+    await with_many_killed(run)
+    await with_crowd(run)
+    await with_stale_copies(run, zone)
     before = run.scheduler.now()
-    run.report["restarted"] = yield from run.rolling_restart()
+    run.report["restarted"] = await run.rolling_restart()
     run.report["during_restart"] = run.summary(before)
 
 
@@ -62,7 +61,7 @@
     return next(iter(run.shape.servers))
 
 
-def change_soon(run: Run, name: str, seconds: float) -> Step[float | None]:
+async def change_soon(run: Run, name: str, seconds: float) -> float | None:
     """Return the seconds until a change is acknowledged, None where it is not.
 
     It is retried under its id; under a new one where another change came first, since the
@@ -71,9 +70,9 @@
     started = run.scheduler.now()
     identity = name
     while run.scheduler.now() < started + seconds:
-        _, answer = yield from run.operator("GET", "/configuration")
+        _, answer = await run.operator("GET", "/configuration")
         base = answer.get("version")
-        status, _ = yield from run.change(
+        status, _ = await run.change(
             identity,
             base if isinstance(base, int) else 0,
             put={"routes": {name: {"path": f"/{name}", "service": first_service(run)}}},
@@ -82,51 +81,51 @@
             return round(run.scheduler.now() - started, 2)
         if status == 409:
             identity += "+"
-        yield from run.scheduler.pause(0.1)
+        await run.scheduler.sleep(0.1)
     return None
 
 
-def with_frozen(run: Run) -> Step[None]:
+async def with_frozen(run: Run) -> None:
     """The leader and then an edge stop running while their links stand, and wake late."""
     found: dict[str, object] = {}
-    leader = yield from run.leader()
+    leader = await run.leader()
     for what, process in (("leader", leader), ("edge", run.fleet.of_role("edge")[0])):
         if process is None:
             continue
         run.frozen.add(process.name)
         process.signal(signal.SIGSTOP)
-        found[f"change_with_{what}_frozen"] = yield from change_soon(run, f"frozen-{what}", 20)
-        yield from run.scheduler.pause(2.0)
+        found[f"change_with_{what}_frozen"] = await change_soon(run, f"frozen-{what}", 20)
+        await run.scheduler.sleep(2.0)
         process.signal(signal.SIGCONT)
         run.frozen.discard(process.name)
-        yield from wait_ready(run.scheduler, run.reactor, process, 20)
+        await wait_ready(run.scheduler, run.reactor, process, 20)
     run.report["frozen"] = found
 
 
-def with_many_killed(run: Run) -> Step[None]:
+async def with_many_killed(run: Run) -> None:
     """A minority of the cores, half of the edges and a prober at once, midway through a change."""
     cores, edges = run.fleet.of_role("core"), run.fleet.of_role("edge")
-    leader = yield from run.leader()
+    leader = await run.leader()
     lost = [core for core in cores if core is not leader][: (min(len(cores), 5) - 1) // 2 - 1]
     lost += edges[::2] + run.fleet.of_role("prober")[:1] + ([leader] if leader else [])
-    run.scheduler.spawn("midway", midway(run))
-    yield from run.scheduler.pause(0.004)
+    run.scheduler.create_task(midway(run), name="midway")
+    await run.scheduler.sleep(0.004)
     for process in lost:
         process.signal(signal.SIGKILL)
-    acknowledged = yield from change_soon(run, "many-killed", 20)
+    acknowledged = await change_soon(run, "many-killed", 20)
     for process in lost:
         process.start()
     for process in lost:
-        yield from wait_ready(run.scheduler, run.reactor, process, 30)
+        await wait_ready(run.scheduler, run.reactor, process, 30)
     run.report["many_killed"] = {"processes": len(lost), "change_after": acknowledged}
 
 
-def midway(run: Run) -> Step[None]:
+async def midway(run: Run) -> None:
     """Send one change, whatever becomes of it."""
-    yield from change_soon(run, "midway", 0.0)
+    await change_soon(run, "midway", 0.0)
 
 
-def with_crowd(run: Run) -> Step[None]:
+async def with_crowd(run: Run) -> None:
     """Send ten times the rate for some seconds, whatever becomes of earlier requests.
 
     A caller whose request fails retries it once, at once.
@@ -138,10 +137,10 @@
         for _ in range(max(1, int(run.shape.rate * 10 * 0.05))):
             if number - run.crowd_over < CROWD_MOST:
                 number += 1
-                run.scheduler.spawn("crowd", in_crowd(run, number))
-        yield from run.scheduler.pause(0.05)
+                run.scheduler.create_task(in_crowd(run, number), name="crowd")
+        await run.scheduler.sleep(0.05)
     while number > run.crowd_over and run.scheduler.now() < until + 20:
-        yield from run.scheduler.pause(0.1)
+        await run.scheduler.sleep(0.1)
     told = [one for one in run.notes if one.at >= before and one.identity.startswith("x")]
     declined = [one for one in told if one.whole and one.status in (429, 503)]
     run.report["crowd"] = {
@@ -153,10 +152,10 @@
         if declined
         else None,
     }
-    yield from run.scheduler.pause(2.0)
+    await run.scheduler.sleep(2.0)
 
 
-def in_crowd(run: Run, number: int) -> Step[None]:
+async def in_crowd(run: Run, number: int) -> None:
     """Send a request of one impatient caller, and once more where it failed."""
     try:
         ready = sorted(run.ready)
@@ -169,9 +168,7 @@
         for turn in range(2):
             fields = [(b"X-Retry-Count", b"%d" % turn)] if turn and kind.method == "GET" else []
             identity = f"x{number}" if kind.method == "GET" else f"x{number}-{turn}"
-            told = yield from caller.order(
-                edge, kind.method, target, identity, fields, b"x" * kind.body
-            )
+            told = await caller.order(edge, kind.method, target, identity, fields, b"x" * kind.body)
             if told.status == 200:
                 break
         caller.close()
@@ -179,12 +176,12 @@
         run.crowd_over += 1
 
 
-def with_stale_copies(run: Run, zone: str) -> Step[None]:
+async def with_stale_copies(run: Run, zone: str) -> None:
     """An object changes under copies that live long: stale by its watch, until it is purged."""
     service = next(iter(run.shape.servers))
-    _, answer = yield from run.operator("GET", "/configuration")
+    _, answer = await run.operator("GET", "/configuration")
     version = int(str(answer.get("version", 0)))
-    status, _ = yield from run.change(
+    status, _ = await run.change(
         "aged",
         version,
         put={
@@ -206,13 +203,13 @@
             },
         },
     )
-    yield from run.scheduler.pause(8.0)
+    await run.scheduler.sleep(8.0)
     run.objects[service].change("/aged/watched", run.scheduler.clock.wall())
-    stale = yield from run.wait_verdict(zone, "stale", 60)
-    purged, _ = yield from run.operator(
+    stale = await run.wait_verdict(zone, "stale", 60)
+    purged, _ = await run.operator(
         "POST", "/purges", {"id": "purge-aged", "scopes": [{"path": "/aged/watched"}]}
     )
-    healthy = yield from run.wait_verdict(zone, "healthy", 60)
+    healthy = await run.wait_verdict(zone, "healthy", 60)
     run.report["stale_zone"] = {
         "change": status,
         "purge": purged,
--- a/packages/proving/ryelock/proving/fleet_run.py
+++ b/packages/proving/ryelock/proving/fleet_run.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from ryelock.events import QuietLog
-from ryelock.loop import Scheduler, Step
+from ryelock.loop import Scheduler
 from ryelock.loop.reactor import Reactor
 from ryelock.operator import Reply, ask
 from ryelock.proving.callers import Caller, Told
@@ -95,31 +95,29 @@
         ]
         return self.random.choice(able).control
 
-    def operator(self, method: str, target: str, given: object = None) -> Step[Reply]:
+    async def operator(self, method: str, target: str, given: object = None) -> Reply:
         """Send an operator's request to any control address; status 0 where none answered."""
-        found = yield from ask(self.scheduler, self.reactor, self.control(), method, target, given)
+        found = await ask(self.scheduler, self.reactor, self.control(), method, target, given)
         return found.ok if found.is_ok() else Reply(0, {"fault": str(found.error)})
 
-    def change(self, identity: str, base: int, **parts: object) -> Step[Reply]:
+    async def change(self, identity: str, base: int, **parts: object) -> Reply:
         """Send a configuration change on top of version `base`."""
-        return (
-            yield from self.operator("POST", "/changes", {"id": identity, "base": base, **parts})
-        )
+        return await self.operator("POST", "/changes", {"id": identity, "base": base, **parts})
 
-    def bring_up(self, seconds: float = 60.0) -> Step[bool]:
+    async def bring_up(self, seconds: float = 60.0) -> bool:
         """Start all daemons and wait until each is ready."""
         self.fleet.start()
         started = self.scheduler.now()
         for process in self.fleet.processes.values():
-            if not (yield from wait_ready(self.scheduler, self.reactor, process, seconds)):
+            if not await wait_ready(self.scheduler, self.reactor, process, seconds):
                 self.report["not_ready"] = process.name
                 return False
         self.report["ready_seconds"] = round(self.scheduler.now() - started, 2)
         return True
 
-    def set_up(self) -> Step[bool]:
+    async def set_up(self) -> bool:
         """Apply the shape's configuration."""
-        status, answer = yield from self.change("first", 0, put=self.shape.configuration)
+        status, answer = await self.change("first", 0, put=self.shape.configuration)
         self.report["first_change"] = {"status": status, "version": answer.get("version")}
         return status == 200
 
@@ -132,95 +130,95 @@
                 return kind
         return self.shape.kinds[-1]
 
-    def call_on(self, number: int, rate: float) -> Step[None]:
+    async def call_on(self, number: int, rate: float) -> None:
         """One caller: orders at its part of the rate until the run says stop."""
         caller = Caller(self.scheduler, self.reactor, self.random, self.notes)
-        yield from self.scheduler.pause(self.random.random() * CALLERS / rate)
+        await self.scheduler.sleep(self.random.random() * CALLERS / rate)
         edges = self.fleet.of_role("edge")
         due = self.scheduler.now()
         while not self.stopped:
             ready = [process for process in edges if process.name in self.ready]
             if not ready:
-                yield from self.scheduler.pause(0.1)
+                await self.scheduler.sleep(0.1)
                 continue
             edge = ready[(number + self.orders_sent // 200) % len(ready)]
             kind = self.pick_kind()
             self.orders_sent += 1
             identity = f"c{number}-{self.orders_sent}"
             target = f"{kind.path}{self.random.randrange(kind.objects)}"
-            yield from caller.order(
-                edge.order, kind.method, target, identity, None, b"x" * kind.body
-            )
+            await caller.order(edge.order, kind.method, target, identity, None, b"x" * kind.body)
             due += self.random.expovariate(rate / CALLERS)
             wait = due - self.scheduler.now()
             if wait > 0:
-                yield from self.scheduler.pause(wait)
+                await self.scheduler.sleep(wait)
             elif wait < -5:
                 due = self.scheduler.now()
         caller.close()
         self.callers_over += 1
 
-    def hand_callers(self, process: Process) -> Step[None]:
+    async def hand_callers(self, process: Process) -> None:
         """As the platform does: asks one edge whether it is ready, over and over."""
         while not self.stopped:
             fine = False
             if not process.over and process.name not in self.frozen:
-                found = yield from ask(
+                found = await ask(
                     self.scheduler, self.reactor, process.control, "GET", "/fitness/ready"
                 )
                 fine = found.is_ok() and found.ok.status == 200
             (self.ready.add if fine else self.ready.discard)(process.name)
-            yield from self.scheduler.pause(0.15)
+            await self.scheduler.sleep(0.15)
 
     def start_traffic(self, rate: float) -> None:
         """Start the callers, so many requests a second together."""
         for process in self.fleet.of_role("edge"):
-            self.scheduler.spawn(f"readiness of {process.name}", self.hand_callers(process))
+            self.scheduler.create_task(
+                self.hand_callers(process), name=f"readiness of {process.name}"
+            )
         for number in range(CALLERS):
-            self.scheduler.spawn(f"caller {number}", self.call_on(number, rate))
+            self.scheduler.create_task(self.call_on(number, rate), name=f"caller {number}")
 
-    def end_traffic(self) -> Step[None]:
+    async def end_traffic(self) -> None:
         """Stop the callers and wait for their open requests."""
         self.stopped = True
         until = self.scheduler.now() + 20
         while self.callers_over < CALLERS and self.scheduler.now() < until:
-            yield from self.scheduler.pause(0.05)
+            await self.scheduler.sleep(0.05)
 
-    def wait_verdict(self, zone: str, word: str, seconds: float) -> Step[float | None]:
+    async def wait_verdict(self, zone: str, word: str, seconds: float) -> float | None:
         """Seconds until the record shows a zone's word; None when it does not."""
         started = self.scheduler.now()
         while self.scheduler.now() < started + seconds:
-            status, record = yield from self.operator("GET", "/verdicts")
+            status, record = await self.operator("GET", "/verdicts")
             verdict = record.get("verdict") if status == 200 else None
             zones = verdict.get("zones") if isinstance(verdict, dict) else None
             found = zones.get(zone) if isinstance(zones, dict) else None
             if isinstance(found, dict) and found.get("verdict") == word:
                 return self.scheduler.now() - started
-            yield from self.scheduler.pause(0.2)
+            await self.scheduler.sleep(0.2)
         return None
 
-    def leader(self) -> Step[Process | None]:
+    async def leader(self) -> Process | None:
         """Return the control node that says it leads, or None."""
         for process in self.fleet.of_role("core"):
             if process.over or process.name in self.frozen:
                 continue
-            found = yield from ask(
+            found = await ask(
                 self.scheduler, self.reactor, process.control, "GET", "/fitness/ready"
             )
             if found.is_ok() and found.ok.plain.get("leads") is True:
                 return process
         return None
 
-    def rolling_restart(self) -> Step[int]:
+    async def rolling_restart(self) -> int:
         """Stop and start every process in turn, each waited for."""
         count = 0
         for process in list(self.fleet.processes.values()):
             process.signal(signal.SIGTERM)
             until = self.scheduler.now() + 20
             while not process.over and self.scheduler.now() < until:
-                yield from self.scheduler.pause(0.05)
+                await self.scheduler.sleep(0.05)
             process.start()
-            if not (yield from wait_ready(self.scheduler, self.reactor, process, 30)):
+            if not await wait_ready(self.scheduler, self.reactor, process, 30):
                 self.report["restart_not_ready"] = process.name
                 return count
             count += 1
--- a/packages/proving/ryelock/proving/hollow.py
+++ b/packages/proving/ryelock/proving/hollow.py
@@ -13,7 +13,7 @@
 import cbor2
 from dacite import Config, from_dict
 
-from ryelock.loop import Network, Scheduler, Step
+from ryelock.loop import Network, Scheduler
 from ryelock.loop.reactor import Reactor
 from ryelock.proving.hollow_node import DEMAND, CountedLog, Counts, HollowHost, HollowNode
 from ryelock.proving.reactors import run_to_end
@@ -79,7 +79,7 @@
         """Answer one message of the runner; its `kind` says what is asked."""
         match message:
             case {"kind": "hollow.restart", "count": int(count)}:
-                self.scheduler.spawn("restart", self.restart(count, reply))
+                self.scheduler.create_task(self.restart(count, reply), name="restart")
             case {"kind": "hollow.start", "pause": int() | float() as pause}:
                 self.start(pause)
                 reply({"nodes": len(self.nodes)})
@@ -126,18 +126,18 @@
         """All nodes, one after another with a pause of seconds between them."""
         if not self.nodes:
             self.nodes = [HollowNode(self.host, name, zone) for name, zone in self.places]
-            self.scheduler.spawn("starts", self.start_each(list(self.nodes), pause))
-            self.scheduler.spawn("tends", self.tend())
+            self.scheduler.create_task(self.start_each(list(self.nodes), pause), name="starts")
+            self.scheduler.create_task(self.tend(), name="tends")
             if self.cadence:
-                self.scheduler.spawn("rows", self.probe())
+                self.scheduler.create_task(self.probe(), name="rows")
 
-    def start_each(self, nodes: list[HollowNode], pause: float) -> Step[None]:
+    async def start_each(self, nodes: list[HollowNode], pause: float) -> None:
         """Start the nodes one after another, a pause of seconds apart."""
         due = self.scheduler.now()
         for node in nodes:
             node.member.start()
             due += pause
-            yield from self.scheduler.pause(max(0.0, due - self.scheduler.now()))
+            await self.scheduler.sleep(max(0.0, due - self.scheduler.now()))
 
     def drop(self, zone: str) -> int:
         """A zone's nodes end at once, with no goodbye."""
@@ -148,36 +148,36 @@
             node.end()
         return len(lost)
 
-    def restart(self, count: int, reply: Reply) -> Step[None]:
+    async def restart(self, count: int, reply: Reply) -> None:
         """Planned restarts: so many nodes say goodbye and come back as new incarnations."""
         for place in range(min(count, len(self.nodes))):
             before = self.nodes[place]
-            yield from before.member.say_goodbye()
+            await before.member.say_goodbye()
             before.end()
             fresh = HollowNode(self.host, before.session.name, before.session.zone)
             self.nodes[place] = fresh
             fresh.member.start()
         reply({})
 
-    def tend(self) -> Step[None]:
+    async def tend(self) -> None:
         """Keep the sessions' counts as those of a node under load."""
         while True:
             for node in self.nodes:
                 node.session.served += int(DEMAND / 10)
                 node.session.applied = node.register.index
                 node.session.ready = node.member.serving
-            yield from self.scheduler.pause(0.1)
+            await self.scheduler.sleep(0.1)
 
-    def probe(self) -> Step[None]:
+    async def probe(self) -> None:
         """What the nodes' probers would tell, had they fetched."""
         while True:
-            yield from self.scheduler.pause(ROWS_SECONDS)
+            await self.scheduler.sleep(ROWS_SECONDS)
             for node in self.nodes:
                 before = len(node.rows)
                 node.make_rows(self.cadence, ROWS_SECONDS)
                 self.counts.rows += len(node.rows) - before
                 if node.rows:
-                    self.scheduler.spawn("tells rows", node.tell_rows())
+                    self.scheduler.create_task(node.tell_rows(), name="tells rows")
 
     def state(self) -> Message:
         """Return all counts as a message."""
@@ -207,10 +207,10 @@
     """Run the hollow nodes that a settings file describes, until a signal comes."""
     settings = read_settings(Path(sys.argv[1]))
 
-    def work(reactor: Reactor) -> Step[None]:
+    async def work(reactor: Reactor) -> None:
         process = HollowProcess(settings, reactor.scheduler, reactor)
         sys.stderr.write(f"hollow nodes wait at {process.listener.address}\n")
-        yield from reactor.signals.take()
+        await reactor.signals.get()
 
     faults = run_to_end(work).faults
     sys.stderr.writelines(f"{fault}\n" for fault in faults)
--- a/packages/proving/ryelock/proving/hollow_node.py
+++ b/packages/proving/ryelock/proving/hollow_node.py
@@ -14,7 +14,7 @@
 
 from ryelock.edge.member import Member
 from ryelock.events import TERM_LAPSED, Event, QuietLog
-from ryelock.loop import Network, Scheduler, Step
+from ryelock.loop import Network, Scheduler
 from ryelock.register import Register
 from ryelock.roster import Listing, Session
 from ryelock.watch import Row
@@ -70,13 +70,13 @@
         super().__init__(scheduler, network, log)
         self.counts = counts
 
-    def ask(
+    async def ask(
         self, address: str, message: Message, seconds: float
-    ) -> Step[Result[Message, WireError]]:
+    ) -> Result[Message, WireError]:
         """Ask and count; see Lines.ask."""
         kind = str(message.get("kind"))
         self.counts.asks[kind] += 1
-        found = yield from super().ask(address, message, seconds)
+        found = await super().ask(address, message, seconds)
         self.counts.answers[kind] += found.is_ok()
         return found
 
@@ -265,7 +265,7 @@
             row.reachable = row.manifest_valid = row.object_fetchable = True
             self.rows.append(row)
 
-    def tell_rows(self) -> Step[None]:
+    async def tell_rows(self) -> None:
         """Send some rows to the holder of the aggregator's duty."""
         duty = self.register.duties.get("aggregator")
         holder = self.member.members.get(duty.holder) if duty is not None else None
@@ -273,7 +273,7 @@
             return
         now = self.scheduler.now()
         rows, self.rows = self.rows[:ROWS_MOST], self.rows[ROWS_MOST:]
-        yield from self.lines.ask(
+        await self.lines.ask(
             holder.wire,
             {
                 "kind": "rows",
--- a/packages/proving/ryelock/proving/hosting_platform.py
+++ b/packages/proving/ryelock/proving/hosting_platform.py
@@ -18,7 +18,7 @@
 from ryelock.events import Log
 from ryelock.exchange import Dialect, Exchange, Fields, HttpServer, Limits, field
 from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Mailbox, Network, Scheduler, Step
+from ryelock.loop import Link, Network, Queue, Scheduler
 from ryelock.proving.standins import Objects, body_for
 
 
@@ -268,7 +268,7 @@
         self.draining = False
         self.ended = False
         self.working = 0
-        self.waiting: deque[Mailbox[bool]] = deque()
+        self.waiting: deque[Queue[bool]] = deque()
         self.late: dict[Link, bytes] = {}
         self.listener = StandInHttpServer(
             scheduler,
@@ -294,10 +294,10 @@
 
     # One order.
 
-    def serve(self, exchange: Exchange) -> Step[None]:
+    async def serve(self, exchange: Exchange) -> None:
         """Serve one request as the manner says."""
         try:
-            body = yield from exchange.whole_body()
+            body = await exchange.whole_body()
         except (Cut, Late):
             return
         late = self.late.pop(exchange.link, None)
@@ -306,23 +306,23 @@
         arrival = Arrival(self.scheduler.now(), self, exchange, body)
         until = self.scheduler.now() + arrival.deadline
         if arrival.method == "GET" and arrival.target == self.service.fitness_path:
-            yield from self.tell_fitness(exchange, until)
+            await self.tell_fitness(exchange, until)
             return
         self.history.append(arrival)
         manner = self.manners.popleft() if self.manners else self.manner
         status = self.declines(arrival, manner)
         if status:
-            yield from self.decline(exchange, arrival, status)
+            await self.decline(exchange, arrival, status)
             return
-        why = "hanging" if manner == Manner.HANGING else (yield from self.enter(until))
+        why = "hanging" if manner == Manner.HANGING else (await self.enter(until))
         if why == "hanging" or (why == "full" and self.service.hangs):
-            yield from self.scheduler.pause(FOREVER)
+            await self.scheduler.sleep(FOREVER)
             return
         if why:
-            yield from self.decline(exchange, arrival, 503)
+            await self.decline(exchange, arrival, 503)
             return
         try:
-            yield from self.run(exchange, arrival, manner, until)
+            await self.run(exchange, arrival, manner, until)
         finally:
             self.leave()
 
@@ -336,7 +336,7 @@
             return 429
         return 503 if manner == Manner.FULL else 0
 
-    def decline(self, exchange: Exchange, arrival: Arrival, status: int) -> Step[None]:
+    async def decline(self, exchange: Exchange, arrival: Arrival, status: int) -> None:
         """Answer that a request was not run."""
         dialect = self.words.dialect
         arrival.status = status
@@ -348,7 +348,7 @@
             fields.append((b"Retry-After", b"0.05"))
         if self.draining:
             exchange.keep = False
-        yield from exchange.answer(status, fields, b"")
+        await exchange.answer(status, fields, b"")
 
     def named(self, arrival: Arrival) -> Fields:
         """Fields of every answer: whose it is, and how long the link is kept."""
@@ -357,29 +357,29 @@
             fields.append((self.words.dialect.identity, arrival.identity.encode("latin-1")))
         return fields
 
-    def tell_fitness(self, exchange: Exchange, until: float) -> Step[None]:
+    async def tell_fitness(self, exchange: Exchange, until: float) -> None:
         """Answer a readiness check; it needs a slot as a request does."""
-        why = yield from self.enter(min(until, self.scheduler.now() + 1.0))
+        why = await self.enter(min(until, self.scheduler.now() + 1.0))
         if not why:
             self.leave()
         fine = not why and not self.draining
-        yield from exchange.answer(
+        await exchange.answer(
             200 if fine else 503, [(self.words.life, self.identifier.encode())], b""
         )
 
     # Slots.
 
-    def enter(self, until: float) -> Step[str]:
+    async def enter(self, until: float) -> str:
         """Empty once a slot is had; else why none was."""
         if self.working < self.service.slots:
             self.working += 1
             return ""
         if len(self.waiting) >= self.service.queue:
             return "full"
-        box: Mailbox[bool] = Mailbox(self.scheduler)
+        box: Queue[bool] = Queue(self.scheduler)
         self.waiting.append(box)
         try:
-            found = yield from box.take(max(0.0, until - self.scheduler.now()))
+            found = await box.get(max(0.0, until - self.scheduler.now()))
         finally:
             if box in self.waiting:
                 self.waiting.remove(box)
@@ -394,7 +394,7 @@
 
     # Running.
 
-    def run(self, exchange: Exchange, arrival: Arrival, manner: Manner, until: float) -> Step[None]:
+    async def run(self, exchange: Exchange, arrival: Arrival, manner: Manner, until: float) -> None:
         """Run one request, and answer as the manner says."""
         arrival.ran = True
         now = self.scheduler.now()
@@ -403,28 +403,28 @@
             0.7 + 0.6 * self.random.random()
         )
         while self.scheduler.now() < end:
-            yield from self.scheduler.pause(min(0.05, end - self.scheduler.now() + 1e-6))
+            await self.scheduler.sleep(min(0.05, end - self.scheduler.now() + 1e-6))
             if exchange.left:
                 return
             if self.scheduler.now() >= until:
                 arrival.status = 504
-                yield from exchange.answer(504, self.named(arrival), b"too late\n")
+                await exchange.answer(504, self.named(arrival), b"too late\n")
                 return
         if manner == Manner.LOST:
             exchange.cut()
             return
         if manner == Manner.WRONG:
             exchange.link.write(b"\x16\x03\x01 not an answer\r\n\r\n")
-            yield from exchange.link.drain(0, 5.0)
+            await exchange.link.drain(0, 5.0)
             exchange.cut()
             return
         if manner in (Manner.FAILING, Manner.VAGUE):
             arrival.status = 500 if manner == Manner.FAILING else 503
-            yield from exchange.answer(arrival.status, self.named(arrival), b"broken\n")
+            await exchange.answer(arrival.status, self.named(arrival), b"broken\n")
             return
-        yield from self.give(exchange, arrival, manner)
+        await self.give(exchange, arrival, manner)
 
-    def give(self, exchange: Exchange, arrival: Arrival, manner: Manner) -> Step[None]:
+    async def give(self, exchange: Exchange, arrival: Arrival, manner: Manner) -> None:
         """The object, as it now is."""
         status, fields, body = self.object_for(exchange, arrival)
         if manner != Manner.UNSEALED:
@@ -439,9 +439,9 @@
         sent = body[: len(body) // 2] if manner == Manner.CUT else body
         if manner == Manner.BEHIND:
             sent += TAIL
-        yield from exchange.send(sent, 30.0)
+        await exchange.send(sent, 30.0)
         if manner == Manner.CUT:
-            yield from exchange.link.drain(0, 5.0)
+            await exchange.link.drain(0, 5.0)
             exchange.cut()
         else:
             exchange.finish()
@@ -592,19 +592,19 @@
         self.taken.append(now)
         return len(self.taken) > self.rate
 
-    def serve(self, exchange: Exchange) -> Step[None]:
+    async def serve(self, exchange: Exchange) -> None:
         """Serve one request for a page of the list."""
         self.calls += 1
         if self.silent:
-            yield from self.scheduler.pause(FOREVER)
+            await self.scheduler.sleep(FOREVER)
             return
         path, _, query = exchange.head.target.decode("latin-1").partition("?")
         if path != self.words.listing:
-            yield from exchange.answer(404, [], b"")
+            await exchange.answer(404, [], b"")
             return
         if self.over_rate():
             self.declined += 1
-            yield from exchange.answer(429, [(b"Retry-After", b"0.5")], b"")
+            await exchange.answer(429, [(b"Retry-After", b"0.5")], b"")
             return
         asked = parse_qs(query)
         token = asked.get(self.words.page, [""])[0]
@@ -613,7 +613,7 @@
             exchange.cut()
             return
         body = self.raw if self.raw is not None else self.page(start, asked.get("zone", [""])[0])
-        yield from exchange.answer(200, [(b"Content-Type", b"application/json")], body)
+        await exchange.answer(200, [(b"Content-Type", b"application/json")], body)
 
     def page(self, start: int, zone: str) -> bytes:
         """Return the page that begins at a position, of one zone or of all."""
--- a/packages/proving/ryelock/proving/load.py
+++ b/packages/proving/ryelock/proving/load.py
@@ -11,7 +11,7 @@
 import tempfile
 from pathlib import Path
 
-from ryelock.loop import Step
+from ryelock.loop import TaskCoroutine
 from ryelock.loop.reactor import Reactor
 from ryelock.proving.callers import Caller, Told
 from ryelock.proving.fleet import FAST
@@ -33,7 +33,7 @@
     return (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def closed_loop(run: Run, edge: str, kind: str, number: int, until: float) -> Step[None]:
+async def closed_loop(run: Run, edge: str, kind: str, number: int, until: float) -> None:
     """Send requests of a kind, each after the answer to the one before."""
     method, path, objects = KINDS[kind]
     notes: list[Told] = []
@@ -41,7 +41,7 @@
     count = 0
     while run.scheduler.now() < until:
         count += 1
-        told = yield from caller.order(
+        told = await caller.order(
             edge,
             method,
             f"{path}{run.random.randrange(objects)}",
@@ -56,15 +56,15 @@
     caller.close()
 
 
-def drive(run: Run, seconds: float) -> Step[dict[str, object]]:
+async def drive(run: Run, seconds: float) -> dict[str, object]:
     """Bring the fleet up, drive one edge by each kind, and return what that cost."""
-    good = yield from run.bring_up()
+    good = await run.bring_up()
     services = run.shape.configuration["services"]
     assert good and isinstance(services, dict)
     for service in services.values():
         service.update(rate=100_000, flight=1000, queue=1000)
-    yield from run.set_up()
-    yield from run.scheduler.pause(4.0)
+    await run.set_up()
+    await run.scheduler.sleep(4.0)
     edge = run.fleet.of_role("edge")[0]
     assert edge.popen is not None
     found: dict[str, object] = {}
@@ -72,8 +72,10 @@
         run.orders_sent = 0
         before, since = cpu_seconds(edge.popen.pid), run.scheduler.now()
         for number in range(LOOPS):
-            run.scheduler.spawn("loop", closed_loop(run, edge.order, kind, number, since + seconds))
-        yield from run.scheduler.pause(seconds + 0.5)
+            run.scheduler.create_task(
+                closed_loop(run, edge.order, kind, number, since + seconds), name="loop"
+            )
+        await run.scheduler.sleep(seconds + 0.5)
         used = cpu_seconds(edge.popen.pid) - before
         found[kind] = {
             "a_second": round(run.orders_sent / seconds),
@@ -87,7 +89,7 @@
     with tempfile.TemporaryDirectory(prefix="ryelock-") as folder:
         runs: list[Run] = []
 
-        def begin(reactor: Reactor) -> Step[dict[str, object]]:
+        def begin(reactor: Reactor) -> TaskCoroutine[dict[str, object]]:
             runs.append(Run(SHAPES["small"](), Path(folder), reactor, 1, dict(FAST)))
             return drive(runs[0], 5.0)
 
--- a/packages/proving/ryelock/proving/loss_cases.py
+++ b/packages/proving/ryelock/proving/loss_cases.py
@@ -7,7 +7,6 @@
 from dataclasses import dataclass
 from random import Random
 
-from ryelock.loop import Step
 from ryelock.proving.checks import Findings
 from ryelock.proving.control_cases import (
     OK,
@@ -126,8 +125,8 @@
 def stop_core(scenario: Scenario, name: str) -> None:
     """Stop one control node in order, for good; its machine is gone once it has ended."""
     node = scenario.node(name)
-    running = node.scheduler.spawn("stop", node.core.stop())
-    scenario.world.run_until(lambda: running.over, STOP_SECONDS)
+    running = node.scheduler.create_task(node.core.stop(), name="stop")
+    scenario.world.run_until(lambda: running.done, STOP_SECONDS)
     scenario.lose_disk(name)
 
 
@@ -135,17 +134,17 @@
     """Have a change taken, sent again until it is; the new version, or -1 where it never is."""
     taken: list[int] = []
 
-    def send() -> Step[None]:
+    async def send() -> None:
         while not taken:
-            status, answer = yield from scenario.operator(
+            status, answer = await scenario.operator(
                 "POST", "/changes", route_change(identity, version)
             )
             new = answer.get("version")
             if status == OK and isinstance(new, int):
                 taken.append(new)
-            yield from scenario.operators.scheduler.pause(RESEND_SECONDS)
+            await scenario.operators.scheduler.sleep(RESEND_SECONDS)
 
-    running = scenario.operators.scheduler.spawn("change", send())
+    running = scenario.operators.scheduler.create_task(send(), name="change")
     scenario.world.run_until(lambda: bool(taken), CHANGE_SECONDS)
     running.cancel()
     found.look("majority kept")
