--- a/packages/proving/ryelock/proving/model/schedule.py
+++ b/packages/proving/ryelock/proving/model/schedule.py
@@ -481,7 +481,7 @@
         """Hand leadership on."""
         leader = self.cluster.leader(one)
         if leader is not None and leader.node is not None:
-            leader.scheduler.spawn("hand over", leader.node.hand_over())
+            leader.scheduler.create_task(leader.node.hand_over(), name="hand over")
 
     def leave(self, one: int, *_: int) -> None:
         """A planned stop: the consensus group ends in order, then the process."""
--- a/packages/proving/ryelock/proving/platform_clients.py
+++ b/packages/proving/ryelock/proving/platform_clients.py
@@ -13,7 +13,7 @@
 from ryelock.exchange import Fields, Reader, call, field, read_answer, send_order
 from ryelock.exchange.heads import FramingError
 from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Network, Scheduler, Step
+from ryelock.loop import Link, Network, Scheduler
 from ryelock.proving.hosting_platform import Arrival, ServiceStandIn, Words
 
 SAFE, UNSAFE, CACHEABLE = "safe", "unsafe", "cacheable"
@@ -100,16 +100,16 @@
         self.fronts[name], self.readiness[name], self.zones[name] = front, readiness, zone
         self.missed[name] = MISSED_MOST
 
-    def work(self) -> Step[None]:
+    async def work(self) -> None:
         """Check every node's readiness each second."""
         while True:
             for name in self.fronts:
-                self.scheduler.spawn(f"asks {name}", self.ask(name))
-            yield from self.scheduler.pause(1.0)
+                self.scheduler.create_task(self.ask(name), name=f"asks {name}")
+            await self.scheduler.sleep(1.0)
 
-    def ask(self, name: str) -> Step[None]:
+    async def ask(self, name: str) -> None:
         """Check one node's readiness."""
-        found = yield from call(
+        found = await call(
             self.scheduler, self.network, self.readiness[name], b"GET", b"/readiness", [], b"", 0.9
         )
         self.asked += 1
@@ -172,7 +172,7 @@
             self.link.close()
             self.link = None
 
-    def order(
+    async def order(
         self,
         kind: str,
         method: str,
@@ -183,7 +183,7 @@
         fields: Fields | None = None,
         tries: int = TRIES_MOST,
         edge: str = "",
-    ) -> Step[Note]:
+    ) -> Note:
         """One order and its further tries by the rules; the last try's note."""
         self.count += 1
         order = f"{self.name}.{self.count}"
@@ -197,13 +197,13 @@
                 now, name, kind, method, host, target, f"{order}-{number}", body, until - now
             )
             self.notes.append(note)
-            yield from self.one_try(note, until, fields or [])
+            await self.one_try(note, until, fields or [])
             note.seconds = self.scheduler.now() - now
             left = until - self.scheduler.now()
             if number >= tries or left <= 0.01 or not self.may_try_again(note):
                 return note
             back = float(note.field(b"retry-after") or b"0.01")
-            yield from self.scheduler.pause(min(back, left / 3))
+            await self.scheduler.sleep(min(back, left / 3))
 
     def may_try_again(self, note: Note) -> bool:
         """Tell whether the rules let the caller send the request again."""
@@ -213,9 +213,9 @@
             return (note.whole and note.status in PROMISES) or note.end == "no link"
         return True
 
-    def one_try(self, note: Note, until: float, given: Fields) -> Step[None]:
+    async def one_try(self, note: Note, until: float, given: Fields) -> None:
         """Send one try and fill in its note."""
-        connected = yield from self.connect(self.entrance.fronts[note.edge], until)
+        connected = await self.connect(self.entrance.fronts[note.edge], until)
         if connected is None:
             note.end = "no link"
             self.close()
@@ -224,14 +224,14 @@
         fields = self.fields_of(note, until, given)
         send_order(link, note.method.encode(), note.target.encode(), fields, note.body)
         try:
-            keep = yield from self.take_answer(reader, note, until)
+            keep = await self.take_answer(reader, note, until)
         except (Cut, Late, FramingError) as error:
             note.end = type(error).__name__
             keep = False
         if not keep:
             self.close()
 
-    def connect(self, front: str, until: float) -> Step[tuple[Link, Reader] | None]:
+    async def connect(self, front: str, until: float) -> tuple[Link, Reader] | None:
         """Return the kept connection to a node, else a new one; None where it does not open."""
         link, reader = self.link, self.reader
         if link is not None and reader is not None and not link.ended and link.peer == front:
@@ -240,7 +240,7 @@
         link = self.link = self.network.connect(front)
         reader = self.reader = Reader(self.scheduler, link)
         left = max(0.0, until - self.scheduler.now())
-        opened = yield from link.open(min(CONNECT_SECONDS, left))
+        opened = await link.open(min(CONNECT_SECONDS, left))
         return (link, reader) if opened else None
 
     def fields_of(self, note: Note, until: float, given: Fields) -> Fields:
@@ -254,15 +254,15 @@
             *given,
         ]
 
-    def take_answer(self, reader: Reader, note: Note, until: float) -> Step[bool]:
+    async def take_answer(self, reader: Reader, note: Note, until: float) -> bool:
         """Read the answer into the note; return whether the connection may be kept."""
-        found = yield from read_answer(reader, note.method.encode(), HEAD_MOST, until)
+        found = await read_answer(reader, note.method.encode(), HEAD_MOST, until)
         if found.is_error():
             note.end = found.error.reason
             return False
         answer = found.ok
         note.status, note.fields = answer.head.status, answer.head.fields
-        note.said = yield from answer.body.whole(BODY_MOST, until)
+        note.said = await answer.body.whole(BODY_MOST, until)
         note.whole = True
         note.end = "whole"
         return answer.keep and 200 <= note.status < 300
@@ -280,28 +280,26 @@
         self.nodes: list[str] = []
         self.random = Random(f"operator {seed}")
 
-    def once(
+    async def once(
         self, node: str, method: bytes, place: bytes, fields: Fields, body: bytes
-    ) -> Step[tuple[int, bytes]]:
+    ) -> tuple[int, bytes]:
         """Send one request to a node; status 0 where no answer came."""
-        found = yield from call(
-            self.scheduler, self.network, node, method, place, fields, body, 5.0
-        )
+        found = await call(self.scheduler, self.network, node, method, place, fields, body, 5.0)
         return (found.ok[0].status, found.ok[1]) if found.is_ok() else (0, b"")
 
-    def send(
+    async def send(
         self, method: bytes, place: bytes, fields: Fields, body: bytes = b"", seconds: float = 20.0
-    ) -> Step[tuple[int, bytes]]:
+    ) -> tuple[int, bytes]:
         """Send until a clear answer comes; return the last status and body."""
         until = self.scheduler.now() + seconds
         pause = 0.1
         status, said = 0, b""
         while self.scheduler.now() < until:
             node = self.random.choice(self.nodes)
-            status, said = yield from self.once(node, method, place, fields, body)
+            status, said = await self.once(node, method, place, fields, body)
             if status in OPERATOR_FINAL:
                 break
-            yield from self.scheduler.pause(pause)
+            await self.scheduler.sleep(pause)
             pause = min(1.0, pause * 2)
         return status, said
 
--- a/packages/proving/ryelock/proving/reactors.py
+++ b/packages/proving/ryelock/proving/reactors.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from ryelock.loop import Step
+from ryelock.loop import TaskCoroutine
 from ryelock.loop.reactor import Reactor
 
 Result = TypeVar("Result")
@@ -23,7 +23,7 @@
     faults: list[str]
 
 
-def run_to_end(work: Callable[[Reactor], Step[Result]]) -> Ended[Result]:
+def run_to_end(work: Callable[[Reactor], TaskCoroutine[Result]]) -> Ended[Result]:
     """Run a task until it returns or any task fails.
 
     Args:
@@ -39,10 +39,10 @@
     reactor = Reactor(fault)
     task = work(reactor)
 
-    def whole() -> Step[None]:
-        results.append((yield from task))
+    async def whole() -> None:
+        results.append(await task)
         reactor.stop()
 
-    reactor.scheduler.spawn("run", whole())
+    reactor.scheduler.create_task(whole(), name="run")
     reactor.run()
     return Ended(results[0] if results else None, faults)
--- a/packages/proving/ryelock/proving/run.py
+++ b/packages/proving/ryelock/proving/run.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 
-from ryelock.loop import Step
+from ryelock.loop import TaskCoroutine
 from ryelock.loop.reactor import Reactor
 from ryelock.proving.fleet import FAST
 from ryelock.proving.fleet_faults import with_faults
@@ -18,40 +18,38 @@
 from ryelock.proving.shapes import SHAPES
 
 
-def quick(run: Run, seconds: float, faults: bool) -> Step[int]:
+async def quick(run: Run, seconds: float, faults: bool) -> int:
     """The run of the quick start and of CI: everything seen once, rules checked."""
-    good = yield from run.bring_up()
-    good = good and (yield from run.set_up())
+    good = await run.bring_up()
+    good = good and await run.set_up()
     if not good:
         return 1
     started = run.scheduler.now()
     run.start_traffic(run.shape.rate)
-    yield from run.scheduler.pause(seconds)
+    await run.scheduler.sleep(seconds)
     zone = run.shape.zones[0]
-    run.report["healthy_after"] = yield from run.wait_verdict(zone, "healthy", 30)
-    status, answer = yield from run.change(
+    run.report["healthy_after"] = await run.wait_verdict(zone, "healthy", 30)
+    status, answer = await run.change(
         "under-load",
         1,
         put={"routes": {"extra": {"path": "/extra", "service": next(iter(run.shape.servers))}}},
     )
     run.report["change_under_load"] = {"status": status, "version": answer.get("version")}
-    status, _ = yield from run.operator(
+    status, _ = await run.operator(
         "POST", "/purges", {"id": "purge-1", "scopes": [{"prefix": run.shape.kinds[0].path}]}
     )
     run.report["purge"] = status
     drained = run.fleet.of_role("edge")[0]
-    status, _ = yield from run.operator(
-        "POST", "/drains", {"id": "drain-1", "target": drained.name}
-    )
+    status, _ = await run.operator("POST", "/drains", {"id": "drain-1", "target": drained.name})
     run.report["drain"] = status
-    status, _ = yield from run.operator(
+    status, _ = await run.operator(
         "POST", "/recoveries", {"id": "recover-1", "target": drained.name}
     )
     run.report["recover"] = status
     if faults:
-        yield from with_faults(run)
+        await with_faults(run)
     run.report["traffic"] = run.summary(started)
-    yield from run.end_traffic()
+    await run.end_traffic()
     found = run.findings()
     run.report["violations"] = found.violations[:20]
     run.report["checked"] = found.checked
@@ -66,7 +64,7 @@
     with tempfile.TemporaryDirectory(prefix="ryelock-") as folder:
         runs: list[Run] = []
 
-        def begin(reactor: Reactor) -> Step[int]:
+        def begin(reactor: Reactor) -> TaskCoroutine[int]:
             runs.append(Run(SHAPES[name](), Path(keep or folder), reactor, seed, settings))
             return quick(runs[0], seconds, faults)
 
--- a/packages/proving/ryelock/proving/scale/run.py
+++ b/packages/proving/ryelock/proving/scale/run.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from ryelock.events import QuietLog
-from ryelock.loop import Scheduler, Step
+from ryelock.loop import Scheduler
 from ryelock.loop.reactor import Reactor
 from ryelock.operator import Reply, ask
 from ryelock.proving.accounts import Account, read_traffic
@@ -87,16 +87,16 @@
         """Return the names of the control nodes that do not lead."""
         return [core.name for core in self.cores() if core.name != self.leader]
 
-    def tell(self, kind: str, **fields: object) -> Step[list[Message]]:
+    async def tell(self, kind: str, **fields: object) -> list[Message]:
         """Send one message to every hollow process; return the answers in their order."""
         found: list[Message] = []
         message: Message = {"kind": kind, **fields}
         for process in self.hollow:
-            answer = yield from self.lines.ask(process.address, message, TELL_SECONDS)
+            answer = await self.lines.ask(process.address, message, TELL_SECONDS)
             found.append(answer.ok if answer.is_ok() else {})
         return found
 
-    def times(self, kind: str, seconds: float, **fields: object) -> Step[list[float]]:
+    async def times(self, kind: str, seconds: float, **fields: object) -> list[float]:
         """Return the moments at which nodes came somewhere, sorted.
 
         Waits until all nodes have come or the seconds are over.
@@ -104,33 +104,33 @@
         until = self.scheduler.now() + seconds
         while True:
             found: list[float] = []
-            for answer in (yield from self.tell(kind, **fields)):
+            for answer in await self.tell(kind, **fields):
                 times = answer.get("times")
                 found += [float(at) for at in times] if isinstance(times, list) else []
             if len(found) >= self.size.nodes or self.scheduler.now() >= until:
                 return sorted(found)
-            yield from self.scheduler.pause(LOOK_SECONDS)
+            await self.scheduler.sleep(LOOK_SECONDS)
 
-    def find_leader(self, seconds: float = 20.0) -> Step[Process | None]:
+    async def find_leader(self, seconds: float = 20.0) -> Process | None:
         """Ask control nodes until one says it leads; None once the seconds are over."""
         until = self.scheduler.now() + seconds
         while self.scheduler.now() < until:
             for core in self.cores():
-                if (yield from self.leads(core)):
+                if await self.leads(core):
                     self.leader_changes += self.leader not in ("", core.name)
                     self.leader = core.name
                     return core
-            yield from self.scheduler.pause(RETRY_SECONDS)
+            await self.scheduler.sleep(RETRY_SECONDS)
         return None
 
-    def leads(self, core: Process) -> Step[bool]:
+    async def leads(self, core: Process) -> bool:
         """Ask a control node whether it leads."""
         if core.over:
             return False
-        found = yield from ask(self.scheduler, self.reactor, core.control, "GET", "/fitness/ready")
+        found = await ask(self.scheduler, self.reactor, core.control, "GET", "/fitness/ready")
         return found.is_ok() and found.ok.plain.get("leads") is True
 
-    def post(self, target: str, given: object) -> Step[Reply]:
+    async def post(self, target: str, given: object) -> Reply:
         """Send an operator's request to the leader; return what it answered.
 
         Where it was not taken or its outcome is unknown it is sent again under its id.
@@ -138,17 +138,17 @@
         until = self.scheduler.now() + REACH_SECONDS
         while True:
             address = self.fleet.processes[self.leader].control
-            found = yield from ask(self.scheduler, self.reactor, address, "POST", target, given)
+            found = await ask(self.scheduler, self.reactor, address, "POST", target, given)
             answer = found.ok if found.is_ok() else fault_of(found.error)
             if answer.status not in RETRIED or self.scheduler.now() >= until:
                 return answer
             self.retries += 1
-            yield from self.scheduler.pause(RETRY_SECONDS)
-            yield from self.find_leader()
+            await self.scheduler.sleep(RETRY_SECONDS)
+            await self.find_leader()
 
-    def read(self) -> Step[Reading]:
+    async def read(self) -> Reading:
         """Read all accounts and counts now."""
-        state = sum_of_states((yield from self.tell("hollow.state")))
+        state = sum_of_states(await self.tell("hollow.state"))
         traffic = read_traffic()
         accounts = {name: Account(pid, traffic) for name, pid in self.running().items()}
         return Reading(self.scheduler.now(), accounts, state)
--- a/packages/proving/ryelock/proving/scale/startup.py
+++ b/packages/proving/ryelock/proving/scale/startup.py
@@ -1,6 +1,5 @@
 """The first phase: all processes start, and the hollow nodes join."""
 
-from ryelock.loop import Step
 from ryelock.proving.accounts import Spent
 from ryelock.proving.fleet import wait_ready
 from ryelock.proving.scale.readings import Reading, grown
@@ -11,54 +10,54 @@
 SETTLE_SECONDS = 3.0
 
 
-def bring_up(run: ScaleRun) -> Step[bool]:
+async def bring_up(run: ScaleRun) -> bool:
     """Start the real processes, apply a configuration, and let the hollow nodes join."""
-    if not (yield from start_processes(run)):
+    if not await start_processes(run):
         return False
-    if not (yield from apply_configuration(run)):
+    if not await apply_configuration(run):
         return False
     size = run.size
-    before = yield from run.read()
+    before = await run.read()
     started = run.scheduler.now()
-    yield from run.tell("hollow.lose", without="")
-    yield from run.tell("hollow.start", pause=size.processes / size.joins)
-    back = yield from run.times("hollow.back", JOIN_SECONDS + size.nodes / size.joins)
-    after = yield from run.read()
+    await run.tell("hollow.lose", without="")
+    await run.tell("hollow.start", pause=size.processes / size.joins)
+    back = await run.times("hollow.back", JOIN_SECONDS + size.nodes / size.joins)
+    after = await run.read()
     keep_storm(run, "join", started, back, before, after)
     keep_snapshots(run, before, after)
     keep_busiest(run, "join", before, after)
-    yield from run.scheduler.pause(SETTLE_SECONDS)
+    await run.scheduler.sleep(SETTLE_SECONDS)
     return len(back) == size.nodes
 
 
-def start_processes(run: ScaleRun) -> Step[bool]:
+async def start_processes(run: ScaleRun) -> bool:
     """Start everything and wait until the daemons are ready and one leads."""
     run.fleet.start()
     for hollow in run.hollow:
         hollow.start()
     for process in run.fleet.processes.values():
-        if not (yield from wait_ready(run.scheduler, run.reactor, process, READY_SECONDS)):
+        if not await wait_ready(run.scheduler, run.reactor, process, READY_SECONDS):
             run.faults.append(f"{process.name} is not ready")
             return False
-    if (yield from run.find_leader()) is None:
+    if await run.find_leader() is None:
         run.faults.append("no leader")
         return False
     return True
 
 
-def apply_configuration(run: ScaleRun) -> Step[bool]:
+async def apply_configuration(run: ScaleRun) -> bool:
     """Apply the size's configuration."""
     change = {"id": "first", "base": 0, "put": run.fleet.shape.configuration}
-    status, _ = yield from run.post("/changes", change)
+    status, _ = await run.post("/changes", change)
     if status != 200:
         run.faults.append(f"the first change: {status}")
     return status == 200
 
 
-def wait_storm(run: ScaleRun, name: str, started: float, before: Reading) -> Step[Reading]:
+async def wait_storm(run: ScaleRun, name: str, started: float, before: Reading) -> Reading:
     """Wait until all sessions stand again, and note what it took; return the later reading."""
-    back = yield from run.times("hollow.back", JOIN_SECONDS)
-    after = yield from run.read()
+    back = await run.times("hollow.back", JOIN_SECONDS)
+    after = await run.read()
     keep_storm(run, name, started, back, before, after)
     keep_busiest(run, name, before, after)
     return after
--- a/packages/proving/ryelock/proving/scale/steady.py
+++ b/packages/proving/ryelock/proving/scale/steady.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-from ryelock.loop import Step
+from ryelock.loop import TaskCoroutine
 from ryelock.proving.accounts import Spent
 from ryelock.proving.scale.readings import (
     Reading,
@@ -19,15 +19,15 @@
 FLOOD_END_SECONDS = 30.0
 EVENT_SECONDS = 1.0
 MOVED_SERVER = "127.0.9.250:9999"
-Act = Callable[[ScaleRun, int], Step[None]]
+Act = Callable[[ScaleRun, int], TaskCoroutine[None]]
 Call = tuple[str, Plain]
 
 
-def at_rest(run: ScaleRun) -> Step[None]:
+async def at_rest(run: ScaleRun) -> None:
     """Measure a window without news: what standing sessions cost."""
-    before = yield from run.read()
-    yield from run.scheduler.pause(run.size.seconds)
-    after = yield from run.read()
+    before = await run.read()
+    await run.scheduler.sleep(run.size.seconds)
+    after = await run.read()
     span, nodes, figures = after.at - before.at, run.size.nodes, run.figures
     roles = {"leader": [run.leader], "follower": run.followers(), "edge": [EDGE]}
     for role, names in roles.items():
@@ -58,7 +58,7 @@
         run.figures[f"{role} {name}"] = value / count
 
 
-def changes(run: ScaleRun) -> Step[None]:
+async def changes(run: ScaleRun) -> None:
     """Make changes one after another and time each."""
 
     def change(number: int) -> Call:
@@ -66,12 +66,12 @@
         put = {"routes": {"moved": route}}
         return "/changes", {"id": f"change-{number}", "base": run.version, "put": put}
 
-    yield from in_turn(run, "change", change)
+    await in_turn(run, "change", change)
 
 
-def purges(run: ScaleRun) -> Step[None]:
+async def purges(run: ScaleRun) -> None:
     """Make purges one after another and time each."""
-    yield from in_turn(run, "purge", lambda number: purge_call("purge", number))
+    await in_turn(run, "purge", lambda number: purge_call("purge", number))
 
 
 def purge_call(name: str, number: int) -> Call:
@@ -79,26 +79,26 @@
     return "/purges", {"id": f"{name}-{number}", "scopes": [{"path": f"/route-0/{number}"}]}
 
 
-def in_turn(run: ScaleRun, kind: str, call_of: Callable[[int], Call]) -> Step[None]:
+async def in_turn(run: ScaleRun, kind: str, call_of: Callable[[int], Call]) -> None:
     """Time requests to the acknowledgement and to the last node, each after the one before."""
     acknowledged: list[float] = []
     last: list[float] = []
     reached = 0
-    before = yield from run.read()
+    before = await run.read()
     for number in range(1, run.size.changes + 1):
         started = run.scheduler.now()
-        status, answer = yield from run.post(*call_of(number))
+        status, answer = await run.post(*call_of(number))
         if kind == "change":
             run.version = int(number_of(answer, "version"))
         if status != 200:
             run.faults.append(f"{kind}: {status} {answer}")
             continue
         acknowledged.append(run.scheduler.now() - started)
-        times = yield from run.times("hollow.reached", REACH_SECONDS, index=answer.get("index"))
+        times = await run.times("hollow.reached", REACH_SECONDS, index=answer.get("index"))
         reached += len(times)
         if len(times) == run.size.nodes:
             last.append(times[-1] - started)
-    after = yield from run.read()
+    after = await run.read()
     run.figures[f"{kind}s acknowledged"] = len(acknowledged)
     run.figures[f"{kind}s reached"] = reached
     keep_percentiles(run.figures, f"{kind} s to acknowledge", acknowledged)
@@ -123,47 +123,47 @@
         self.taken: list[tuple[float, int]] = []
         self.ended = 0
 
-    def purge(self, number: int) -> Step[None]:
+    async def purge(self, number: int) -> None:
         """Send one purge and note when it was started."""
         started = self.run.scheduler.now()
-        status, answer = yield from self.run.post(*purge_call("flood", number))
+        status, answer = await self.run.post(*purge_call("flood", number))
         index = answer.get("index")
         if status == 200 and isinstance(index, int):
             self.taken.append((started, index))
         self.ended += 1
 
-    def send(self, count: int, rate: float, started: float) -> Step[None]:
+    async def send(self, count: int, rate: float, started: float) -> None:
         """Start so many purges at a rate a second and wait until each has ended."""
         scheduler = self.run.scheduler
         for number in range(count):
-            scheduler.spawn("purge", self.purge(number))
+            scheduler.create_task(self.purge(number), name="purge")
             due = started + (number + 1) / rate
-            yield from scheduler.pause(max(0.0, due - scheduler.now()))
+            await scheduler.sleep(max(0.0, due - scheduler.now()))
         until = scheduler.now() + FLOOD_END_SECONDS
         while self.ended < count and scheduler.now() < until:
-            yield from scheduler.pause(LOOK_SECONDS)
+            await scheduler.sleep(LOOK_SECONDS)
 
-    def delays(self) -> Step[list[float]]:
+    async def delays(self) -> list[float]:
         """Return seconds from a purge's start to the last node, for those that reached all."""
         found: list[float] = []
         for started, index in self.taken:
-            times = yield from self.run.times("hollow.reached", 1.0, index=index)
+            times = await self.run.times("hollow.reached", 1.0, index=index)
             if len(times) == self.run.size.nodes:
                 found.append(times[-1] - started)
         return found
 
 
-def flood(run: ScaleRun) -> Step[None]:
+async def flood(run: ScaleRun) -> None:
     """Send purges at a rate; note how many nodes had each, and how late."""
     rate = run.size.flood
     if not rate:
         return
     count = int(rate * FLOOD_SECONDS)
     purging = Flood(run)
-    before = yield from run.read()
-    yield from purging.send(count, rate, before.at)
-    after = yield from run.read()
-    last = yield from purging.delays()
+    before = await run.read()
+    await purging.send(count, rate, before.at)
+    after = await run.read()
+    last = await purging.delays()
     run.figures["flood purges"] = count
     run.figures["flood purges acknowledged"] = len(purging.taken)
     run.figures["flood purges at all nodes"] = len(last)
@@ -180,35 +180,35 @@
     return sent - run.figures["leader KB/s out"] * (after.at - before.at)
 
 
-def over_and_above(run: ScaleRun, name: str, act: Act) -> Step[None]:
+async def over_and_above(run: ScaleRun, name: str, act: Act) -> None:
     """Measure what some events cost the leader beyond its rest, each."""
     count = run.size.restarts
     if not count:
         return
-    before = yield from run.read()
+    before = await run.read()
     for number in range(count):
-        yield from act(run, number)
-        yield from run.scheduler.pause(EVENT_SECONDS)
-    after = yield from run.read()
+        await act(run, number)
+        await run.scheduler.sleep(EVENT_SECONDS)
+    after = await run.read()
     above = kilobytes_above_rest(run, before, after)
     run.figures[f"{name}: KB from the leader above rest"] = above / count
     cpu = spent_by(run.leader, before, after).cpu
     run.figures[f"{name}: leader % of a core"] = 100 * cpu / (after.at - before.at)
 
 
-def change_listing(run: ScaleRun, number: int) -> Step[None]:
+async def change_listing(run: ScaleRun, number: int) -> None:
     """Change the platform's list and time it to the last node; the slowest change is noted."""
     name = "listing s to the last node"
     since = time.monotonic()
     run.platform.show(service_name(0), MOVED_SERVER, zone_name(0, run.size.zones), number + 1)
-    times = yield from run.times("hollow.listed", REACH_SECONDS, since=since)
+    times = await run.times("hollow.listed", REACH_SECONDS, since=since)
     if len(times) < run.size.nodes:
         run.faults.append(f"listing: {len(times)} of {run.size.nodes}")
     elif number == 0 or times[-1] - since > run.figures[name]:
         run.figures[name] = times[-1] - since
 
 
-def restart_one(run: ScaleRun, _: int) -> Step[None]:
+async def restart_one(run: ScaleRun, _: int) -> None:
     """Restart one hollow node in a planned way."""
     message = {"kind": "hollow.restart", "count": 1}
-    yield from run.lines.ask(run.hollow[0].address, message, 10.0)
+    await run.lines.ask(run.hollow[0].address, message, 10.0)
--- a/packages/proving/ryelock/proving/scale/sweep.py
+++ b/packages/proving/ryelock/proving/scale/sweep.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from ryelock.loop import Step
+from ryelock.loop import TaskCoroutine
 from ryelock.loop.reactor import Reactor
 from ryelock.proving.reactors import run_to_end
 from ryelock.proving.scale.judging import measure_judging
@@ -36,7 +36,7 @@
     notes: Plain
 
 
-def phases(run: ScaleRun) -> list[Step[None]]:
+def phases(run: ScaleRun) -> list[TaskCoroutine[None]]:
     """Return the phases after the start in their order, none of them started."""
     found = [
         at_rest(run),
@@ -51,15 +51,15 @@
     return found
 
 
-def work(run: ScaleRun) -> Step[None]:
+async def work(run: ScaleRun) -> None:
     """Go through all phases; end early where the fleet does not come up or has no leader."""
-    if not (yield from bring_up(run)):
+    if not await bring_up(run):
         return
     for phase in phases(run):
-        if (yield from run.find_leader()) is None:
+        if await run.find_leader() is None:
             run.faults.append("no leader")
             return
-        yield from phase
+        await phase
     run.figures["orders asked again"] = run.retries
     run.figures["lead passed unasked"] = run.leader_changes - run.size.losses
 
@@ -69,7 +69,7 @@
     with tempfile.TemporaryDirectory(prefix="ryelock-") as folder:
         runs: list[ScaleRun] = []
 
-        def begin(reactor: Reactor) -> Step[None]:
+        def begin(reactor: Reactor) -> TaskCoroutine[None]:
             runs.append(ScaleRun(size, Path(keep or folder), reactor))
             return work(runs[0])
 
--- a/packages/proving/ryelock/proving/schedules.py
+++ b/packages/proving/ryelock/proving/schedules.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable
 from random import Random
 
-from ryelock.loop import Step
 from ryelock.proving.checks import Findings, false_downs
 from ryelock.proving.scenario import Scenario
 from ryelock.proving.standins import CUT, DEAF, FAILING, LONG, LOST, SHORT, SLOW, WRONG
@@ -260,12 +259,12 @@
         scenario.world.kill(name)
         scenario.world.later(0.3, lambda: scenario.start(name))
 
-    def whole() -> Step[None]:
+    async def whole() -> None:
         assert node.inner is not None
-        yield from node.inner.stop()
+        await node.inner.stop()
         scenario.world.later(0.01, again)
 
-    node.scheduler.spawn("planned stop", whole())
+    node.scheduler.create_task(whole(), name="planned stop")
     return f"planned stop of {name}"
 
 
@@ -379,20 +378,20 @@
     target = random.choice([*scenario.edges, *(f"zone:{place}" for place in scenario.zones)])
     number = len(scenario.world.events) + scenario.world.points
 
-    def whole() -> Step[None]:
-        yield from scenario.operator("POST", "/drains", {"id": f"drain-{number}", "target": target})
-        yield from scenario.operators.scheduler.pause(0.5 + 3 * random.random())
+    async def whole() -> None:
+        await scenario.operator("POST", "/drains", {"id": f"drain-{number}", "target": target})
+        await scenario.operators.scheduler.sleep(0.5 + 3 * random.random())
         for turn in range(20):
-            status, _ = yield from scenario.operator(
+            status, _ = await scenario.operator(
                 "POST",
                 "/recoveries",
                 {"id": f"recover-{number}-{turn}", "target": target, "force": True},
             )
             if status in (200, 409, 422):
                 return
-            yield from scenario.operators.scheduler.pause(0.5)
+            await scenario.operators.scheduler.sleep(0.5)
 
-    scenario.operators.scheduler.spawn("drains", whole())
+    scenario.operators.scheduler.create_task(whole(), name="drains")
     return f"{target} is drained for a while"
 
 
@@ -400,14 +399,14 @@
     """Purge objects in quick succession."""
     number = scenario.world.points
 
-    def whole(turn: int) -> Step[None]:
+    async def whole(turn: int) -> None:
         for count in range(6):
-            yield from scenario.renew_object(
+            await scenario.renew_object(
                 f"/covers/{(turn + count) % 8}", f"flood-{number}-{turn}-{count}"
             )
 
     for turn in range(4):
-        scenario.operators.scheduler.spawn("flood", whole(turn))
+        scenario.operators.scheduler.create_task(whole(turn), name="flood")
     return "a flood of purges"
 
 
@@ -415,7 +414,7 @@
     """Changes in quick succession, each growing by hundreds of routes."""
     number = scenario.world.points
 
-    def whole() -> Step[None]:
+    async def whole() -> None:
         base = max((changed.version for changed in scenario.changes), default=1)
         for turn in range(3):
             name = f"gen-many-{number}-{turn}"
@@ -424,33 +423,33 @@
                 for count in range(200)
             }
             routes[name] = {"path": f"/{name}", "service": "pages"}
-            changed = yield from scenario.change(name, base, {"routes": routes}, f"/{name}")
+            changed = await scenario.change(name, base, {"routes": routes}, f"/{name}")
             base = changed.version or base
 
-    scenario.operators.scheduler.spawn("many routes", whole())
+    scenario.operators.scheduler.create_task(whole(), name="many routes")
     return "changes of hundreds of routes"
 
 
 def hang_ups(scenario: Scenario, random: Random) -> str:
     """Callers that leave in the middle: of their order, of its answer, or having read nothing."""
 
-    def whole(turn: int) -> Step[None]:
+    async def whole(turn: int) -> None:
         edges = scenario.ready_edges()
         if not edges:
             return
         link = scenario.outside.network.connect(f"{scenario.node(random.choice(edges)).host}:3")
-        if (yield from link.open(1.0)):
+        if await link.open(1.0):
             order = (
                 b"POST /orders/1 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 4\r\n"
                 b"X-Order-Identity: hang-%d-%d\r\n\r\nbody" % (number, turn)
             )
             link.write(order[: random.randrange(1, len(order) + 1)])
-            yield from scenario.outside.scheduler.pause(random.random() * 0.2)
+            await scenario.outside.scheduler.sleep(random.random() * 0.2)
         link.abort()
 
     number = scenario.world.points
     for turn in range(20):
-        scenario.outside.scheduler.spawn("hangs up", whole(turn))
+        scenario.outside.scheduler.create_task(whole(turn), name="hangs up")
     return "callers hang up"
 
 
@@ -545,9 +544,11 @@
     )
     scenario.set_up()
     scenario.start_callers()
-    scenario.operators.scheduler.spawn("verdicts", scenario.watch_verdicts())
+    scenario.operators.scheduler.create_task(scenario.watch_verdicts(), name="verdicts")
     for number in (1, 2):
-        scenario.operators.scheduler.spawn("operator", scenario.operate(number, seconds + 5))
+        scenario.operators.scheduler.create_task(
+            scenario.operate(number, seconds + 5), name="operator"
+        )
     happened: list[str] = []
     counts: dict[str, int] = {}
     start = scenario.world.time
--- a/packages/proving/ryelock/proving/scripted.py
+++ b/packages/proving/ryelock/proving/scripted.py
@@ -24,7 +24,7 @@
 )
 from ryelock.exchange.heads import content_length
 from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Step
+from ryelock.loop import Link
 from ryelock.operator import ask
 from ryelock.proving.simulated import SimNode, World
 from ryelock.proving.standins import PlatformStandIn
@@ -157,47 +157,47 @@
 
     def greet(self, link: Link) -> None:
         """Take a new connection."""
-        self.node.scheduler.spawn("requests", self.take(link))
+        self.node.scheduler.create_task(self.take(link), name="requests")
 
-    def take(self, link: Link) -> Step[None]:
+    async def take(self, link: Link) -> None:
         """Every request of one link."""
         scheduler = self.node.scheduler
         reader = Reader(scheduler, link)
         try:
             script = self.fleet.due(Moment.OPENING)
-            if script is not None and not (yield from self.misbehave(link, script, None)):
+            if script is not None and not await self.misbehave(link, script, None):
                 return
             while True:
                 if not reader.buffer:
                     self.waiting.append(link)
                     try:
-                        yield from reader.more(scheduler.now() + FOREVER)
+                        await reader.more(scheduler.now() + FOREVER)
                     finally:
                         self.waiting.remove(link)
                 until = scheduler.now() + FOREVER
-                head = parse_order_head((yield from reader.head(HEAD_BYTES, until)))
-                if not (yield from self.serve(link, reader, head)):
+                head = parse_order_head(await reader.head(HEAD_BYTES, until))
+                if not await self.serve(link, reader, head):
                     return
         except (Cut, Late, FramingError):
             link.close()
 
-    def serve(self, link: Link, reader: Reader, head: OrderHead) -> Step[bool]:
+    async def serve(self, link: Link, reader: Reader, head: OrderHead) -> bool:
         """One request, whether the link is read on afterwards."""
         arrival = Arrival(self.node.world.time, self.address, head)
         self.fleet.history.append(arrival)
         self.last[link] = arrival
-        if not (yield from self.moment(link, Moment.SENDING, arrival)):
+        if not await self.moment(link, Moment.SENDING, arrival):
             return False
         left = content_length(head.fields) or 0
         while left:
-            left -= len((yield from reader.some(left, self.node.scheduler.now() + FOREVER)))
+            left -= len(await reader.some(left, self.node.scheduler.now() + FOREVER))
         if arrival.turned_away:
             return True
         expected = field(head.fields, DIALECT.expected.lower()) or b""
         if expected != self.life.encode():
             link.write(not_run(arrival.name, b"421 Misdirected"))
             return True
-        if not (yield from self.moment(link, Moment.SENT, arrival)):
+        if not await self.moment(link, Moment.SENT, arrival):
             arrival.ran = True
             return False
         if arrival.turned_away:
@@ -206,21 +206,21 @@
         if link in self.mute:
             return False
         if link in self.slow:
-            yield from self.node.scheduler.pause(LATE_SECONDS)
-        yield from self.node.scheduler.pause(WORK_SECONDS)
-        return (yield from self.give(link, arrival))
+            await self.node.scheduler.sleep(LATE_SECONDS)
+        await self.node.scheduler.sleep(WORK_SECONDS)
+        return await self.give(link, arrival)
 
-    def give(self, link: Link, arrival: Arrival) -> Step[bool]:
+    async def give(self, link: Link, arrival: Arrival) -> bool:
         """The whole answer, in the pieces between which something may happen."""
         head, body = self.whole(arrival)
         link.write(head[: len(head) // 2])
-        if not (yield from self.moment(link, Moment.IN_HEAD, arrival)):
+        if not await self.moment(link, Moment.IN_HEAD, arrival):
             return False
         link.write(head[len(head) // 2 :] + body[: len(body) // 2])
-        if not (yield from self.moment(link, Moment.IN_BODY, arrival)):
+        if not await self.moment(link, Moment.IN_BODY, arrival):
             return False
         link.write(body[len(body) // 2 :])
-        return (yield from self.moment(link, Moment.BEHIND, arrival))
+        return await self.moment(link, Moment.BEHIND, arrival)
 
     def whole(self, arrival: Arrival) -> tuple[bytes, bytes]:
         """Return head and body of a proper answer."""
@@ -231,28 +231,30 @@
             [(DIALECT.seal, b"seal"), (b"Keep-Alive", b"timeout=60")],
         )
 
-    def moment(self, link: Link, moment: Moment, arrival: Arrival) -> Step[bool]:
+    async def moment(self, link: Link, moment: Moment, arrival: Arrival) -> bool:
         """Play what is planned at a moment; False where the connection is done with."""
         script = self.fleet.due(moment, arrival)
         if script is None:
             return True
-        return (yield from self.misbehave(link, script, arrival))
+        return await self.misbehave(link, script, arrival)
 
     def disturb_idle(self, script: Script) -> None:
         """Do a script's event on every link that waits for a request."""
         for link in list(self.waiting):
-            self.node.scheduler.spawn("idle", self.on_idle(link, script, self.last.get(link)))
+            self.node.scheduler.create_task(
+                self.on_idle(link, script, self.last.get(link)), name="idle"
+            )
 
-    def on_idle(self, link: Link, script: Script, last: Arrival | None) -> Step[None]:
+    async def on_idle(self, link: Link, script: Script, last: Arrival | None) -> None:
         """Play an event on a kept connection that carries no request."""
         if script.event is Event.SILENCE:
             self.mute.add(link)
         elif script.event is Event.LATE:
             self.slow.add(link)
         else:
-            yield from self.misbehave(link, script, last)
+            await self.misbehave(link, script, last)
 
-    def misbehave(self, link: Link, script: Script, arrival: Arrival | None) -> Step[bool]:
+    async def misbehave(self, link: Link, script: Script, arrival: Arrival | None) -> bool:
         """Do the event; says whether the server goes on with the link as if nothing had been."""
         event = script.event
         if event is Event.SILENCE:
@@ -264,7 +266,7 @@
             link.close()
             return False
         if event is Event.LATE:
-            yield from self.node.scheduler.pause(LATE_SECONDS)
+            await self.node.scheduler.sleep(LATE_SECONDS)
             if script.moment is Moment.BEHIND and arrival is not None:
                 link.write(b"".join(self.whole(arrival)))
             return True
@@ -459,12 +461,12 @@
             server.mute.clear()
             server.slow.clear()
 
-    def ask(
+    async def ask(
         self, name: str, method: str, target: str, more: Fields | None = None, edge: int = 0
-    ) -> Step[Told]:
+    ) -> Told:
         """One request of a caller, on a link of its own."""
         started = self.world.time
-        found = yield from call(
+        found = await call(
             self.outside.scheduler,
             self.outside.network,
             f"10.1.0.{4 + edge}:3",
--- a/packages/proving/ryelock/proving/simulated.py
+++ b/packages/proving/ryelock/proving/simulated.py
@@ -18,7 +18,7 @@
 from ryelock.env import Env, read_env
 from ryelock.events import QuietLog
 from ryelock.journal import FolderError
-from ryelock.loop import Greeting, Link, NetworkError, Scheduler, Step, TaskHandle
+from ryelock.loop import Greeting, Link, NetworkError, Scheduler, Task, TaskCoroutine
 from ryelock.proving.simulated_time import SimulatedTime
 
 Found = TypeVar("Found")
@@ -538,15 +538,15 @@
                     times.append(timer - node.clock.zero)
         return min(times, default=None)
 
-    def task(self, node: SimNode, work: Step[Found], seconds: float) -> Found:
+    def task(self, node: SimNode, work: TaskCoroutine[Found], seconds: float) -> Found:
         """Run one task on a node to its end."""
         found: list[Found] = []
 
-        def whole() -> Step[None]:
-            found.append((yield from work))
+        async def whole() -> None:
+            found.append(await work)
 
-        running: TaskHandle = node.scheduler.spawn("task", whole())
-        if not self.run_until(lambda: running.over, seconds):
+        running: Task = node.scheduler.create_task(whole(), name="task")
+        if not self.run_until(lambda: running.done, seconds):
             raise AssertionError(f"a task did not end in {seconds} s at {self.time:.3f}")
         if not found:
             raise AssertionError(f"a task failed: {self.faults[-1:]}")
--- a/packages/watch/ryelock/watch/probe.py
+++ b/packages/watch/ryelock/watch/probe.py
@@ -26,7 +26,7 @@
 )
 from ryelock.exchange.heads import FramingError
 from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Network, Scheduler, Step
+from ryelock.loop import Link, Network, Scheduler
 from ryelock.register import Watch
 
 MARKED_BYTES = 64
@@ -244,13 +244,13 @@
         self.timeout = timeout
         self.prober = prober
 
-    def run(self, row: Row, dater: Dater) -> Step[None]:
+    async def run(self, row: Row, dater: Dater) -> None:
         """Fill in the row, in the order of the steps."""
         until = self.scheduler.now() + self.timeout
         row.taken = self.scheduler.now()
         try:
             started = self.scheduler.now()
-            manifest = yield from self.fetch(
+            manifest = await self.fetch(
                 self.watch.manifest or self.watch.object, [(b"Cache-Control", b"no-cache")], until
             )
             row.reachable = True
@@ -259,7 +259,7 @@
             if row.error:
                 return
             row.manifest_valid = True
-            served = yield from self.fetch(self.watch.object, [(b"Range", RANGE)], until)
+            served = await self.fetch(self.watch.object, [(b"Range", RANGE)], until)
             if served.status not in (200, 206):
                 crowded = field(served.fields, b"x-ryelock-outcome") == CROWD
                 row.error = CROWDED if crowded else f"object status {served.status}"
@@ -313,14 +313,14 @@
         age = dater.age(fresh_tag, served_tag, self.scheduler.now())
         return None if age is None else round(age, 1)
 
-    def fetch(self, target: str, fields: Fields, until: float) -> Step[Fetched]:
+    async def fetch(self, target: str, fields: Fields, until: float) -> Fetched:
         """Fetch one target over a connection of its own; raises ProbeFailed."""
         link = self.network.connect(self.address)
         try:
-            if not (yield from link.open(max(0.0, until - self.scheduler.now()))):
+            if not await link.open(max(0.0, until - self.scheduler.now())):
                 raise ProbeFailed("timeout" if self.scheduler.now() >= until else "no link")
             send_order(link, b"GET", target.encode(), self.fields_with(fields, until), b"")
-            return (yield from self.read_fetched(link, until))
+            return await self.read_fetched(link, until)
         except Cut:
             raise ProbeFailed("answer cut") from None
         except Late:
@@ -339,16 +339,16 @@
             found.append((self.dialect.deadline, b"%d" % left))
         return [*found, (b"Connection", b"close")]
 
-    def read_fetched(self, link: Link, until: float) -> Step[Fetched]:
+    async def read_fetched(self, link: Link, until: float) -> Fetched:
         """Read an answer to its end; only the body's first bytes are kept."""
-        answer = yield from read_answer(Reader(self.scheduler, link), b"GET", HEAD_MOST, until)
+        answer = await read_answer(Reader(self.scheduler, link), b"GET", HEAD_MOST, until)
         if answer.is_error():
             raise ProbeFailed(answer.error.reason)
         head, body, at = answer.ok.head, answer.ok.body, self.scheduler.now()
         start = b""
         total = 0
         while True:
-            piece = yield from body.piece(until)
+            piece = await body.piece(until)
             if not piece and body.over:
                 return Fetched(head.status, head.fields, start, at)
             total += len(piece)
--- a/packages/watch/ryelock/watch/prober.py
+++ b/packages/watch/ryelock/watch/prober.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from ryelock.exchange import Dialect
-from ryelock.loop import Mailbox, Network, Scheduler, Step, TaskHandle
+from ryelock.loop import Network, Queue, Scheduler, Task
 from ryelock.register import Watch
 from ryelock.watch.probe import CROWDED, Dater, Probe, Row, watch_mark
 
@@ -125,23 +125,23 @@
         self.rows: deque[Row] = deque(maxlen=ROWS_KEPT)
         self.due: dict[tuple[str, str, str], float] = {}
         self.daters: dict[tuple[str, str, str], Dater] = {}
-        self.room: Mailbox[bool] = Mailbox(scheduler)
+        self.room: Queue[bool] = Queue(scheduler)
         self.sequence = 0
         self.turn = 0
-        self.tasks: list[TaskHandle] = []
+        self.tasks: list[Task] = []
 
     def start(self) -> None:
         """Start probing."""
         for _ in range(self.flight):
             self.room.put(True)
-        self.tasks.append(self.scheduler.spawn("prober", self.work()))
+        self.tasks.append(self.scheduler.create_task(self.work(), name="prober"))
 
     def stop(self) -> None:
         """Cancel all probes."""
         for running in self.tasks:
             running.cancel()
 
-    def work(self) -> Step[None]:
+    async def work(self) -> None:
         """Start each target when it is due, as far as the flight has room."""
         while True:
             now = self.scheduler.now()
@@ -163,12 +163,12 @@
                 if target.outside:
                     self.turn += 1
                 self.due[key] = now + max(self.cadence, target.seconds)
-                yield from self.room.take()
-                self.tasks = [running for running in self.tasks if not running.over]
+                await self.room.get()
+                self.tasks = [running for running in self.tasks if not running.done]
                 self.tasks.append(
-                    self.scheduler.spawn(f"probe of {target.edge}", self.probe(target))
+                    self.scheduler.create_task(self.probe(target), name=f"probe of {target.edge}")
                 )
-            yield from self.scheduler.pause(min(1.0, self.cadence / 10))
+            await self.scheduler.sleep(min(1.0, self.cadence / 10))
 
     def phase_of(self, target: Target) -> float:
         """Seconds until a target is probed first: at once, or spread over a longer cadence.
@@ -179,7 +179,7 @@
         spread = zlib.crc32(f"{self.name} {target.edge} {target.watch_name}".encode()) / 2**32
         return extra * spread
 
-    def probe(self, target: Target) -> Step[None]:
+    async def probe(self, target: Target) -> None:
         """Probe one target and keep the row, unless the service was only overloaded."""
         self.sequence += 1
         row = Row(
@@ -204,7 +204,7 @@
             self.dialect,
         )
         try:
-            yield from probe.run(row, dater)
+            await probe.run(row, dater)
         finally:
             self.room.put(True)
         if row.error == CROWDED:
--- a/packages/wire/ryelock/wire/__init__.py
+++ b/packages/wire/ryelock/wire/__init__.py
@@ -13,7 +13,7 @@
 from expression import Error, Ok, Result
 
 from ryelock.events import FRAME_DECLINED, Log
-from ryelock.loop import Link, Mailbox, Network, Scheduler, Step, TaskHandle
+from ryelock.loop import Link, Network, Queue, Scheduler, Task
 
 PROTOCOL = "ryelock"
 VERSION = 1
@@ -123,12 +123,14 @@
         self.network = network
         self.log = log
         self.answerer = answerer
-        self.links: dict[Link, TaskHandle] = {}
+        self.links: dict[Link, Task] = {}
         self.address = network.listen(address, self.greet)
 
     def greet(self, link: Link) -> None:
         """Start to serve an accepted connection."""
-        self.links[link] = self.scheduler.spawn(f"wire from {link.peer}", self.serve(link))
+        self.links[link] = self.scheduler.create_task(
+            self.serve(link), name=f"wire from {link.peer}"
+        )
 
     def close(self) -> None:
         """Stop listening and end all connections."""
@@ -137,13 +139,13 @@
             running.cancel()
             link.close()
 
-    def serve(self, link: Link) -> Step[None]:
+    async def serve(self, link: Link) -> None:
         """Read frames of one connection until it ends or sends a malformed one."""
         frames = GreetedFrames()
         link.write(HELLO)
         try:
             while True:
-                data = yield from link.receive(60.0)
+                data = await link.receive(60.0)
                 if not data:
                     return
                 for message in frames.feed(data):
@@ -193,12 +195,12 @@
         self.log = log
         self.address = address
         self.link: Link | None = None
-        self.reader: TaskHandle | None = None
+        self.reader: Task | None = None
         self.sequence = 0
         self.heard = 0
-        self.open_asks: dict[int, Mailbox[Message | None]] = {}
+        self.open_asks: dict[int, Queue[Message | None]] = {}
 
-    def ask(self, message: Message, seconds: float) -> Step[Result[Message, WireError]]:
+    async def ask(self, message: Message, seconds: float) -> Result[Message, WireError]:
         """Send a message and wait for its answer, at most so many seconds."""
         until = self.scheduler.now() + seconds
         link = self.link
@@ -206,19 +208,19 @@
             link = self.network.connect(self.address)
             self.link = link
             link.write(HELLO)
-            self.reader = self.scheduler.spawn(
-                f"wire to {self.address}", self.read(link), urgent=True
+            self.reader = self.scheduler.create_task(
+                self.read(link), name=f"wire to {self.address}", urgent=True
             )
         self.sequence += 1
         number = self.sequence
-        box: Mailbox[Message | None] = Mailbox(self.scheduler)
+        box: Queue[Message | None] = Queue(self.scheduler)
         self.open_asks[number] = box
         heard = self.heard
         try:
             link.write(encode({**message, "ask": number}))
-            answer = yield from box.take(min(seconds, OPEN_SECONDS))
+            answer = await box.get(min(seconds, OPEN_SECONDS))
             if answer is None and link.opened and not link.ended:
-                answer = yield from box.take(max(0.0, until - self.scheduler.now()))
+                answer = await box.get(max(0.0, until - self.scheduler.now()))
         finally:
             self.open_asks.pop(number, None)
         if answer is None:
@@ -227,12 +229,12 @@
             return Error(WireError(f"no answer from {self.address}", link.opened))
         return Ok(answer)
 
-    def read(self, link: Link) -> Step[None]:
+    async def read(self, link: Link) -> None:
         """Hand answers to those who wait for them until the connection ends."""
         frames = GreetedFrames()
         try:
             while True:
-                data = yield from link.receive(None)
+                data = await link.receive(None)
                 if not data:
                     return
                 self.heard += 1
@@ -275,8 +277,8 @@
             line = self.lines[address] = Line(self.scheduler, self.network, self.log, address)
         return line
 
-    def ask(
+    async def ask(
         self, address: str, message: Message, seconds: float
-    ) -> Step[Result[Message, WireError]]:
+    ) -> Result[Message, WireError]:
         """Ask the process at an address; see Line.ask."""
-        return (yield from self.line(address).ask(message, seconds))
+        return await self.line(address).ask(message, seconds)
