--- a/packages/cache/ryelock/cache/rules.py
+++ b/packages/cache/ryelock/cache/rules.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ryelock.exchange import AnswerHead, Fields, OrderHead, field, parse_http_date, tokens
-from ryelock.register import Route
+from ryelock.http import AnswerHead, Fields, OrderHead, field, parse_http_date, tokens
+from ryelock.replicated_state import Route
 
 KEPT_STATUSES = frozenset([200, 203, 300, 301, 308, 404, 410])
 ONE_RANGE = re.compile(rb"bytes=(\d*)-(\d*)")
--- a/packages/cache/ryelock/cache/store.py
+++ b/packages/cache/ryelock/cache/store.py
@@ -8,9 +8,9 @@
 from cachetools import LRUCache
 
 from ryelock.cache.rules import Copy, vary_key
-from ryelock.exchange import Fields, field
-from ryelock.loop import Queue
-from ryelock.register import Purge
+from ryelock.http import Fields, field
+from ryelock.replicated_state import Purge
+from ryelock.runtime import Queue
 
 Key = tuple[str, str, str]
 
--- a/packages/program/ryelock/program/main.py
+++ b/packages/cli/ryelock/cli/main.py
@@ -12,11 +12,11 @@
 
 warnings.filterwarnings("ignore", message="pkg_resources is deprecated")
 
-from ryelock.env import EnvError, read_env  # noqa: E402
+from ryelock.cli.running import run_daemon, run_once  # noqa: E402
+from ryelock.control_client import UNREACHED, Plain, ask, code_of  # noqa: E402
 from ryelock.explain import explain_order, explain_url, in_words  # noqa: E402
-from ryelock.loop.reactor import Reactor  # noqa: E402
-from ryelock.operator import UNREACHED, Plain, ask, code_of  # noqa: E402
-from ryelock.program.running import run_daemon, run_once  # noqa: E402
+from ryelock.runtime.reactor import Reactor  # noqa: E402
+from ryelock.settings import EnvError, read_env  # noqa: E402
 
 BAD_SETTINGS = 2
 
--- a/packages/program/ryelock/program/running.py
+++ b/packages/cli/ryelock/cli/running.py
@@ -8,14 +8,14 @@
 from random import Random, SystemRandom
 from typing import Protocol
 
-from ryelock.core.identity import open_disk
-from ryelock.core.process import ControlNode
+from ryelock.control_plane.identity import open_disk
+from ryelock.control_plane.process import ControlNode
 from ryelock.edge.process import TrafficNode
-from ryelock.env import Env, EnvError
 from ryelock.events import SETTINGS_DECLINED, SETTINGS_FOLLOWED, TASK_FAULT, Log
 from ryelock.journal import FolderError, MachineFolder
-from ryelock.loop import NetworkError, TaskCoroutine
-from ryelock.loop.reactor import Reactor
+from ryelock.runtime import NetworkError, TaskCoroutine
+from ryelock.runtime.reactor import Reactor
+from ryelock.settings import Env, EnvError
 
 
 class Node(Protocol):
--- a/packages/consensus/ryelock/consensus/elections.py
+++ b/packages/consensus/ryelock/consensus/elections.py
@@ -12,8 +12,8 @@
 from ryelock.consensus.following import Following
 from ryelock.consensus.messages import whole
 from ryelock.consensus.types import Command
-from ryelock.loop import Queue
-from ryelock.wire import Message
+from ryelock.rpc import Message
+from ryelock.runtime import Queue
 
 
 class Elections(Following):
--- a/packages/consensus/ryelock/consensus/following.py
+++ b/packages/consensus/ryelock/consensus/following.py
@@ -14,7 +14,7 @@
     FOLLOWING,
     IMAGE_TAKEN,
 )
-from ryelock.wire import Message
+from ryelock.rpc import Message
 
 
 class Following(Replication):
--- a/packages/consensus/ryelock/consensus/joining.py
+++ b/packages/consensus/ryelock/consensus/joining.py
@@ -15,8 +15,8 @@
 from ryelock.events import (
     FOUNDED,
 )
-from ryelock.loop import Queue
-from ryelock.wire import Message
+from ryelock.rpc import Message
+from ryelock.runtime import Queue
 
 
 class Joining(Proposals):
--- a/packages/consensus/ryelock/consensus/node.py
+++ b/packages/consensus/ryelock/consensus/node.py
@@ -13,7 +13,7 @@
     ISOLATED,
     LEADERLESS,
 )
-from ryelock.wire import Message, Reply
+from ryelock.rpc import Message, Reply
 
 APPLY_PAUSE_SECONDS = 0.0005
 """What the other tasks of the process get between two such batches."""
--- a/packages/consensus/ryelock/consensus/proposals.py
+++ b/packages/consensus/ryelock/consensus/proposals.py
@@ -17,8 +17,8 @@
 from ryelock.events import (
     VOTERS_CHANGED,
 )
-from ryelock.loop import Queue
-from ryelock.wire import Message
+from ryelock.rpc import Message
+from ryelock.runtime import Queue
 
 
 class Proposals(Elections):
--- a/packages/consensus/ryelock/consensus/replication.py
+++ b/packages/consensus/ryelock/consensus/replication.py
@@ -23,7 +23,7 @@
 from ryelock.events import (
     LEADING,
 )
-from ryelock.wire import Message, WireError
+from ryelock.rpc import Message, WireError
 
 IMAGE_PIECE_SECONDS = 2.0
 """How long a leader waits for the answer to one piece of an image."""
--- a/packages/consensus/ryelock/consensus/state.py
+++ b/packages/consensus/ryelock/consensus/state.py
@@ -26,8 +26,8 @@
     Log,
 )
 from ryelock.journal import Journal
-from ryelock.loop import Queue, Scheduler, Task
-from ryelock.wire import Lines
+from ryelock.rpc import Lines
+from ryelock.runtime import Queue, Scheduler, Task
 
 RELEASED_SECONDS = 3.0
 """What a disk stored counts again so long after it was told that it may end."""
--- a/packages/consensus/ryelock/consensus/types.py
+++ b/packages/consensus/ryelock/consensus/types.py
@@ -9,8 +9,8 @@
 from ryelock.consensus.transfer import (
     OutgoingImage,
 )
-from ryelock.loop import Queue, Scheduler, Task
-from ryelock.wire import Message
+from ryelock.rpc import Message
+from ryelock.runtime import Queue, Scheduler, Task
 
 BATCH_BYTES = 1_048_576
 """The most bytes of entries in one heartbeat; halved for a peer that is late, then grown again."""
--- a/packages/control_api/ryelock/control_api/__init__.py
+++ b/packages/control_api/ryelock/control_api/__init__.py
@@ -9,10 +9,10 @@
 from urllib.parse import parse_qs, urlsplit
 
 from ryelock.events import Log
-from ryelock.exchange import Exchange, Fields, HttpServer, Limits
-from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Network, Scheduler, TaskCoroutine
-from ryelock.wire import Lines, Message
+from ryelock.http import Exchange, Fields, HttpServer, Limits
+from ryelock.http.reader import Cut, Late
+from ryelock.rpc import Lines, Message
+from ryelock.runtime import Network, Scheduler, TaskCoroutine
 
 ASK_SECONDS = 6.0
 OPERATOR = "operator"
--- a/packages/operator/ryelock/operator/__init__.py
+++ b/packages/control_client/ryelock/control_client/__init__.py
@@ -10,8 +10,8 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.exchange import call
-from ryelock.loop import Network, Scheduler
+from ryelock.http import call
+from ryelock.runtime import Network, Scheduler
 
 DONE, DECLINED, NOT_TAKEN, UNKNOWN, UNREACHED = 0, 1, 3, 4, 5
 CODES = {200: DONE, 503: NOT_TAKEN, 504: UNKNOWN}
--- a/packages/core/ryelock/core/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -7,14 +7,13 @@
 
 from collections.abc import Callable
 
-from ryelock.duty import Duty
-from ryelock.env import Env
-from ryelock.loop import Scheduler, TaskCoroutine
-from ryelock.register import Register, derived_name
-from ryelock.roster import Roster
-from ryelock.verdict import History, Judged, Rules, Weights, gone_watches, judge
-from ryelock.watch import row_of
-from ryelock.wire import Message
+from ryelock.health import History, Judged, Rules, Weights, gone_watches, judge, row_of
+from ryelock.membership import Roster
+from ryelock.replicated_state import Register, derived_name
+from ryelock.rpc import Message
+from ryelock.runtime import Scheduler, TaskCoroutine
+from ryelock.settings import Env
+from ryelock.singleton import Duty
 
 REWRITE_SECONDS = 30.0
 Decide = Callable[[Message], TaskCoroutine[bool]]
--- a/packages/core/ryelock/core/keeper.py
+++ b/packages/control_plane/ryelock/control_plane/keeper.py
@@ -1,11 +1,11 @@
 """What the leader tends: lost duties, voters that are gone for good, watches that nobody wrote."""
 
 from ryelock.consensus import Consensus
-from ryelock.core.voters import VoterKeeper
-from ryelock.duty import Duty, next_duty
+from ryelock.control_plane.voters import VoterKeeper
 from ryelock.events import DUTY_GIVEN, WATCH_DERIVED, WATCH_ENDED, Log
-from ryelock.loop import Scheduler
-from ryelock.register import (
+from ryelock.health import watch_mark
+from ryelock.membership import Roster
+from ryelock.replicated_state import (
     Register,
     Watch,
     derivable_routes,
@@ -14,8 +14,8 @@
     encode_word,
     places_of,
 )
-from ryelock.roster import Roster
-from ryelock.watch import watch_mark
+from ryelock.runtime import Scheduler
+from ryelock.singleton import Duty, next_duty
 
 
 class Keeper:
--- a/packages/core/ryelock/core/leading.py
+++ b/packages/control_plane/ryelock/control_plane/leading.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ryelock.consensus import Consensus
-from ryelock.core.renewals import Renewals
+from ryelock.control_plane.renewals import Renewals
 from ryelock.events import (
     CHANGE_DECLINED,
     CHANGE_TAKEN,
@@ -16,10 +16,10 @@
     VERDICT_WRITTEN,
     Log,
 )
-from ryelock.loop import Scheduler
-from ryelock.register import Register, encode_word, merge_change, places_of, plan_of
-from ryelock.roster import Roster
-from ryelock.wire import Message
+from ryelock.membership import Roster
+from ryelock.replicated_state import Register, encode_word, merge_change, places_of, plan_of
+from ryelock.rpc import Message
+from ryelock.runtime import Scheduler
 
 ID_MOST = 200
 LATE_SECONDS = 2.0
--- a/packages/core/ryelock/core/metrics.py
+++ b/packages/control_plane/ryelock/control_plane/metrics.py
@@ -1,9 +1,9 @@
 """The figures that a control node tells: whether it leads, and how it divides the rates."""
 
 from ryelock.consensus import Consensus
-from ryelock.core.renewals import Renewals
+from ryelock.control_plane.renewals import Renewals
 from ryelock.metrics import Labels, Metrics
-from ryelock.register import Register
+from ryelock.replicated_state import Register
 
 
 class ControlMetrics:
--- a/packages/core/ryelock/core/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -10,12 +10,12 @@
 
 from expression import Error, Result
 
-from ryelock.env import Env
 from ryelock.events import LISTING_DECLINED, LISTING_MISSED, Log
-from ryelock.exchange import call
-from ryelock.loop import Network, Scheduler, TaskCoroutine
-from ryelock.roster import Listing, Server, listing_of
-from ryelock.roster.servers import ListingError, servers_from
+from ryelock.http import call
+from ryelock.membership import Listing, Server, listing_of
+from ryelock.membership.servers import ListingError, servers_from
+from ryelock.runtime import Network, Scheduler, TaskCoroutine
+from ryelock.settings import Env
 
 Plain = dict[str, object]
 DUTY = "reader"
--- a/packages/core/ryelock/core/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -5,23 +5,23 @@
 from ryelock.consensus import Consensus, Pace
 from ryelock.consensus.status import member_status
 from ryelock.control_api import OPERATOR, ControlApi
-from ryelock.core.aggregator import Aggregator
-from ryelock.core.keeper import Keeper
-from ryelock.core.leading import Leading
-from ryelock.core.metrics import ControlMetrics
-from ryelock.core.platform import DUTY as READER
-from ryelock.core.platform import PlatformReader
-from ryelock.core.renewals import Renewals
-from ryelock.core.voters import LEAVE
-from ryelock.duty import Duty
-from ryelock.env import Env
+from ryelock.control_plane.aggregator import Aggregator
+from ryelock.control_plane.keeper import Keeper
+from ryelock.control_plane.leading import Leading
+from ryelock.control_plane.metrics import ControlMetrics
+from ryelock.control_plane.platform import DUTY as READER
+from ryelock.control_plane.platform import PlatformReader
+from ryelock.control_plane.renewals import Renewals
+from ryelock.control_plane.voters import LEAVE
 from ryelock.events import DUTY_FENCED, LEAVING, STARTED, STOPPED, STOPPING, Log
 from ryelock.journal import Journal
-from ryelock.loop import Network, Scheduler, Task
+from ryelock.membership import Roster, Session
 from ryelock.metrics import show_metrics
-from ryelock.register import Register
-from ryelock.roster import Roster, Session
-from ryelock.wire import Lines, Message, MessageServer, Reply
+from ryelock.replicated_state import Register
+from ryelock.rpc import Lines, Message, MessageServer, Reply
+from ryelock.runtime import Network, Scheduler, Task
+from ryelock.settings import Env
+from ryelock.singleton import Duty
 
 LEAVE_SECONDS_MOST = 4.0
 """A stopping node waits for its place to be taken for so long at most."""
--- a/packages/core/ryelock/core/renewals.py
+++ b/packages/control_plane/ryelock/control_plane/renewals.py
@@ -8,15 +8,15 @@
 
 from collections import deque
 
-from ryelock.allowance import Divider, is_narrow
 from ryelock.consensus import Consensus
-from ryelock.core.platform import PlatformReader
-from ryelock.env import Env
+from ryelock.control_plane.platform import PlatformReader
 from ryelock.events import SESSION_ENDED, SESSION_STANDS, Log
-from ryelock.loop import Queue, Scheduler
-from ryelock.register import DERIVED_MOST, Register, vector_of
-from ryelock.roster import Roster, Session, session_of
-from ryelock.wire import Message, Reply
+from ryelock.membership import Roster, Session, session_of
+from ryelock.rate_limit import Divider, is_narrow
+from ryelock.replicated_state import DERIVED_MOST, Register, vector_of
+from ryelock.rpc import Message, Reply
+from ryelock.runtime import Queue, Scheduler
+from ryelock.settings import Env
 
 CLOCK_MARGIN = 1.05
 FAILED_KEPT = 1000
--- a/packages/core/ryelock/core/voters.py
+++ b/packages/control_plane/ryelock/control_plane/voters.py
@@ -12,9 +12,9 @@
 from ryelock.consensus.membership import Membership, Spare, next_voters
 from ryelock.consensus.status import replica_statuses
 from ryelock.events import VOTER_LOST
-from ryelock.loop import Scheduler
-from ryelock.roster import Roster
-from ryelock.wire import Message
+from ryelock.membership import Roster
+from ryelock.rpc import Message
+from ryelock.runtime import Scheduler
 
 LEAVE = "council.leave"
 JOINED_SECONDS = 3.0
--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -6,11 +6,11 @@
 from ryelock.edge.gate import Gate, come_back
 from ryelock.edge.orders import Caller, Order
 from ryelock.edge.replies import NO_SHARE, Replies
-from ryelock.exchange import (
+from ryelock.http import (
     Exchange,
     field,
 )
-from ryelock.register import Route
+from ryelock.replicated_state import Route
 
 PATIENCE_PART = 0.2
 CLAIM_SECONDS = 1.0
--- a/packages/edge/ryelock/edge/answers.py
+++ b/packages/edge/ryelock/edge/answers.py
@@ -4,7 +4,7 @@
 from ryelock.edge.failures import Withdrawn
 from ryelock.edge.orders import Order
 from ryelock.edge.servers import ServerState
-from ryelock.exchange import (
+from ryelock.http import (
     Answer,
     AnswerHead,
     CallError,
--- a/packages/edge/ryelock/edge/context.py
+++ b/packages/edge/ryelock/edge/context.py
@@ -10,15 +10,15 @@
 from ryelock.edge.peers import Peers
 from ryelock.edge.plan import Plan
 from ryelock.edge.servers import Servers, ServerState
-from ryelock.env import Env
 from ryelock.events import Log
-from ryelock.exchange import (
+from ryelock.http import (
     Answer,
     AnswerHead,
     Dialect,
     Reader,
 )
-from ryelock.loop import Link, Network, Scheduler
+from ryelock.runtime import Link, Network, Scheduler
+from ryelock.settings import Env
 
 REPEAT_SECONDS = 30.0
 
--- a/packages/edge/ryelock/edge/copies.py
+++ b/packages/edge/ryelock/edge/copies.py
@@ -1,7 +1,7 @@
 """Copies as an edge fills and refreshes them, and conditions that only their caller sets."""
 
 from ryelock.cache import Copy, Fill, freshness
-from ryelock.exchange import AnswerHead, end_to_end, field
+from ryelock.http import AnswerHead, end_to_end, field
 
 CONDITIONS = frozenset(
     [
--- a/packages/edge/ryelock/edge/dispatch.py
+++ b/packages/edge/ryelock/edge/dispatch.py
@@ -14,7 +14,7 @@
 )
 from ryelock.edge.servers import ServerState
 from ryelock.events import ANSWER_BROKEN
-from ryelock.exchange import (
+from ryelock.http import (
     CallError,
     Exchange,
     Fields,
@@ -24,10 +24,10 @@
     read_answer,
     send_order,
 )
-from ryelock.exchange.heads import FramingError
-from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link
-from ryelock.register import Route
+from ryelock.http.heads import FramingError
+from ryelock.http.reader import Cut, Late
+from ryelock.replicated_state import Route
+from ryelock.runtime import Link
 
 ANSWERS_SKIPPED = 2
 TRY_PART = 0.6
--- a/packages/edge/ryelock/edge/failures.py
+++ b/packages/edge/ryelock/edge/failures.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-from ryelock.exchange import CallError
+from ryelock.http import CallError
 
 
 class FailureKind(StrEnum):
--- a/packages/edge/ryelock/edge/gate.py
+++ b/packages/edge/ryelock/edge/gate.py
@@ -9,9 +9,9 @@
 import math
 from collections import deque
 
-from ryelock.allowance import RetryBudget, TokenBucket
-from ryelock.loop import Queue, Scheduler, Task
-from ryelock.register import Service
+from ryelock.rate_limit import RetryBudget, TokenBucket
+from ryelock.replicated_state import Service
+from ryelock.runtime import Queue, Scheduler, Task
 
 PATIENCE = 1.0
 NARROW_PATIENCE = 3.0
--- a/packages/edge/ryelock/edge/handler.py
+++ b/packages/edge/ryelock/edge/handler.py
@@ -23,13 +23,13 @@
     Relayed,
 )
 from ryelock.edge.peers import Peers
-from ryelock.exchange import (
+from ryelock.http import (
     Exchange,
     end_to_end,
     field,
 )
-from ryelock.loop import Queue
-from ryelock.register import Route
+from ryelock.replicated_state import Route
+from ryelock.runtime import Queue
 
 
 class RequestHandler(Foresee):
--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -11,11 +11,11 @@
 
 from ryelock.edge.promises import Promise, are_enough, promise_of
 from ryelock.events import TERM_HELD, TERM_LAPSED, TERM_PROMISED, Log
-from ryelock.loop import Queue, Scheduler, Task
-from ryelock.register import Register
-from ryelock.roster import Listing, Session, session_of
-from ryelock.roster.servers import servers_from
-from ryelock.wire import Lines, Message
+from ryelock.membership import Listing, Session, session_of
+from ryelock.membership.servers import servers_from
+from ryelock.replicated_state import Register
+from ryelock.rpc import Lines, Message
+from ryelock.runtime import Queue, Scheduler, Task
 
 HOLD_SECONDS = 0.15
 HOLD_EACH = 0.01
--- a/packages/edge/ryelock/edge/metrics.py
+++ b/packages/edge/ryelock/edge/metrics.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Mapping
 
 from ryelock.edge.gate import Gate
-from ryelock.loop import Scheduler
 from ryelock.metrics import Labels, Metrics
+from ryelock.runtime import Scheduler
 
 
 class EdgeMetrics:
--- a/packages/edge/ryelock/edge/orders.py
+++ b/packages/edge/ryelock/edge/orders.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from ryelock.register import Route
+from ryelock.replicated_state import Route
 
 Caller = bytes
 FRESH_MOST = 200
--- a/packages/edge/ryelock/edge/owner.py
+++ b/packages/edge/ryelock/edge/owner.py
@@ -25,7 +25,7 @@
 from ryelock.edge.copies import CONDITIONS, refreshed
 from ryelock.edge.orders import Order
 from ryelock.edge.peers import Peers
-from ryelock.exchange import (
+from ryelock.http import (
     Answer,
     AnswerHead,
     CallError,
@@ -37,11 +37,11 @@
     read_answer,
     send_order,
 )
-from ryelock.exchange.heads import FramingError
-from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link
-from ryelock.register import Route
-from ryelock.roster import Session
+from ryelock.http.heads import FramingError
+from ryelock.http.reader import Cut, Late
+from ryelock.membership import Session
+from ryelock.replicated_state import Route
+from ryelock.runtime import Link
 
 if TYPE_CHECKING:
     from ryelock.edge.handler import RequestHandler
--- a/packages/edge/ryelock/edge/peers.py
+++ b/packages/edge/ryelock/edge/peers.py
@@ -26,9 +26,9 @@
 
 from cachetools import LRUCache
 
-from ryelock.exchange import Reader
-from ryelock.loop import Link, Scheduler
-from ryelock.roster import Session
+from ryelock.http import Reader
+from ryelock.membership import Session
+from ryelock.runtime import Link, Scheduler
 
 DOUBT_SECONDS = 1.0
 DOUBT_MOST = 8.0
--- a/packages/edge/ryelock/edge/plan.py
+++ b/packages/edge/ryelock/edge/plan.py
@@ -4,7 +4,7 @@
 that ends at a '/' or, where the prefix itself has none, at the end of the path.
 """
 
-from ryelock.register import Configuration, Route, Service
+from ryelock.replicated_state import Configuration, Route, Service
 
 
 class Plan:
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -5,23 +5,23 @@
 
 from random import Random
 
-from ryelock.allowance import is_narrow, reserve
-from ryelock.allowance.divide import GRANT_SECONDS
 from ryelock.control_api import ControlApi
 from ryelock.edge.gate import Gate
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.member import Member
 from ryelock.edge.plan import Plan
 from ryelock.edge.targets import ProbeTargets
-from ryelock.env import Env
 from ryelock.events import STARTED, STOPPED, STOPPING, Log
-from ryelock.exchange import Dialect, HttpServer, Limits
-from ryelock.loop import Network, Scheduler, Task
+from ryelock.health import Prober
+from ryelock.http import Dialect, HttpServer, Limits
+from ryelock.membership import Listing, Session
 from ryelock.metrics import Metrics, show_metrics
-from ryelock.register import CallerLimits, Register
-from ryelock.roster import Listing, Session
-from ryelock.watch import Prober
-from ryelock.wire import Lines, Message, MessageServer, Reply
+from ryelock.rate_limit import is_narrow, reserve
+from ryelock.rate_limit.quota_allocator import GRANT_SECONDS
+from ryelock.replicated_state import CallerLimits, Register
+from ryelock.rpc import Lines, Message, MessageServer, Reply
+from ryelock.runtime import Network, Scheduler, Task
+from ryelock.settings import Env
 
 LASTING = 1e18
 
--- a/packages/edge/ryelock/edge/promises.py
+++ b/packages/edge/ryelock/edge/promises.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from ryelock.consensus import majority_of
-from ryelock.wire import Message
+from ryelock.rpc import Message
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/edge/ryelock/edge/replies.py
+++ b/packages/edge/ryelock/edge/replies.py
@@ -16,7 +16,7 @@
 )
 from ryelock.edge.routing import Routing
 from ryelock.events import ANSWER_BROKEN
-from ryelock.exchange import (
+from ryelock.http import (
     AnswerHead,
     Exchange,
     Fields,
@@ -24,9 +24,9 @@
     field,
     tokens,
 )
-from ryelock.exchange.heads import FramingError
-from ryelock.exchange.reading import Cut, Late
-from ryelock.register import DERIVED_MOST, Route
+from ryelock.http.heads import FramingError
+from ryelock.http.reader import Cut, Late
+from ryelock.replicated_state import DERIVED_MOST, Route
 
 OBJECT_MOST = 300
 UNROUTED_BACK_SECONDS = 0.2
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -7,11 +7,11 @@
     number_of,
 )
 from ryelock.edge.plan import has_dots, host_of, path_of
-from ryelock.exchange import (
+from ryelock.http import (
     Exchange,
     field,
 )
-from ryelock.register import Route
+from ryelock.replicated_state import Route
 
 SAFE = (b"GET", b"HEAD", b"OPTIONS", b"TRACE")
 ANSWER_MARGIN = 0.02
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -12,11 +12,11 @@
 import math
 from random import Random
 
-from ryelock.env import Env
 from ryelock.events import SERVER_ASIDE, SERVER_BACK, Log
-from ryelock.exchange import Reader
-from ryelock.loop import Link, Scheduler
-from ryelock.roster import Listing, Server
+from ryelock.http import Reader
+from ryelock.membership import Listing, Server
+from ryelock.runtime import Link, Scheduler
+from ryelock.settings import Env
 
 FAILURES_MOST = 3
 ASIDE_FIRST = 1.0
--- a/packages/edge/ryelock/edge/targets.py
+++ b/packages/edge/ryelock/edge/targets.py
@@ -9,10 +9,10 @@
 from itertools import islice
 
 from ryelock.edge.member import Member
-from ryelock.env import Env
-from ryelock.register import Register, Watch
-from ryelock.roster import Session
-from ryelock.watch import Target
+from ryelock.health import Target
+from ryelock.membership import Session
+from ryelock.replicated_state import Register, Watch
+from ryelock.settings import Env
 
 STAND_INS = 2
 """Probers that stand in for a zone with too few of its own."""
--- a/packages/explain/ryelock/explain/__init__.py
+++ b/packages/explain/ryelock/explain/__init__.py
@@ -9,8 +9,8 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.loop import Network, Scheduler
-from ryelock.operator import OperatorError, Reply, ask, with_query
+from ryelock.control_client import OperatorError, Reply, ask, with_query
+from ryelock.runtime import Network, Scheduler
 
 Plain = dict[str, object]
 
--- a/packages/verdict/ryelock/verdict/judge.py
+++ b/packages/health/ryelock/health/evaluation.py
@@ -10,9 +10,9 @@
 from dataclasses import asdict, dataclass, field
 from enum import StrEnum
 
-from ryelock.register import Watch
-from ryelock.verdict.history import History
-from ryelock.watch import Row, watch_mark
+from ryelock.health.history import History
+from ryelock.health.probe import Row, watch_mark
+from ryelock.replicated_state import Watch
 
 MACHINES_NEEDED = 2
 
--- a/packages/verdict/ryelock/verdict/history.py
+++ b/packages/health/ryelock/health/history.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from ryelock.watch import Row
+from ryelock.health.probe import Row
 
 ROWS_PER_TARGET = 400
 DAYS = 14
--- a/packages/watch/ryelock/watch/probe.py
+++ b/packages/health/ryelock/health/probe.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ryelock.exchange import (
+from ryelock.http import (
     Dialect,
     Fields,
     Reader,
@@ -24,10 +24,10 @@
     read_answer,
     send_order,
 )
-from ryelock.exchange.heads import FramingError
-from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Network, Scheduler
-from ryelock.register import Watch
+from ryelock.http.heads import FramingError
+from ryelock.http.reader import Cut, Late
+from ryelock.replicated_state import Watch
+from ryelock.runtime import Link, Network, Scheduler
 
 MARKED_BYTES = 64
 RANGE = b"bytes=0-1023"
--- a/packages/watch/ryelock/watch/prober.py
+++ b/packages/health/ryelock/health/prober.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ryelock.exchange import Dialect
-from ryelock.loop import Network, Queue, Scheduler, Task
-from ryelock.register import Watch
-from ryelock.watch.probe import CROWDED, Dater, Probe, Row, watch_mark
+from ryelock.health.probe import CROWDED, Dater, Probe, Row, watch_mark
+from ryelock.http import Dialect
+from ryelock.replicated_state import Watch
+from ryelock.runtime import Network, Queue, Scheduler, Task
 
 ROWS_KEPT = 4000
 
--- a/packages/verdict/ryelock/verdict/weights.py
+++ b/packages/health/ryelock/health/weights.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from ryelock.roster import Session
+from ryelock.membership import Session
 
 
 class Counter:
--- a/packages/exchange/ryelock/exchange/__init__.py
+++ b/packages/http/ryelock/http/__init__.py
@@ -4,9 +4,8 @@
 framing, http_server.py for the side that takes orders and caller.py for the side that sends them.
 """
 
-from ryelock.exchange.caller import Answer, CallError, call, read_answer, send_order
-from ryelock.exchange.dialect import Dialect
-from ryelock.exchange.heads import (
+from ryelock.http.client import Answer, CallError, call, read_answer, send_order
+from ryelock.http.heads import (
     AnswerHead,
     Fields,
     FramingError,
@@ -20,8 +19,9 @@
     reason_of,
     tokens,
 )
-from ryelock.exchange.http_server import Exchange, HttpServer, Limits
-from ryelock.exchange.reading import Reader
+from ryelock.http.protocol_profile import Dialect
+from ryelock.http.reader import Reader
+from ryelock.http.server import Exchange, HttpServer, Limits
 
 __all__ = [
     "Answer",
--- a/packages/exchange/ryelock/exchange/caller.py
+++ b/packages/http/ryelock/http/client.py
@@ -7,7 +7,7 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.exchange.heads import (
+from ryelock.http.heads import (
     AnswerHead,
     Fields,
     FramingError,
@@ -16,8 +16,8 @@
     keeps_open,
     parse_answer_head,
 )
-from ryelock.exchange.reading import Body, Cut, Late, Reader
-from ryelock.loop import Link, Network, Scheduler
+from ryelock.http.reader import Body, Cut, Late, Reader
+from ryelock.runtime import Link, Network, Scheduler
 
 PROCESSING = 102
 """Status of the interim answer that a request arrived and is worked on (RFC 2518, 10.1)."""
--- a/packages/exchange/ryelock/exchange/reading.py
+++ b/packages/http/ryelock/http/reader.py
@@ -6,8 +6,8 @@
 
 import re
 
-from ryelock.exchange.heads import FramingError
-from ryelock.loop import Link, Scheduler
+from ryelock.http.heads import FramingError
+from ryelock.runtime import Link, Scheduler
 
 CHUNK_LINE = re.compile(rb"([0-9A-Fa-f]{1,12})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
 PIECE = 65_536
--- a/packages/exchange/ryelock/exchange/http_server.py
+++ b/packages/http/ryelock/http/server.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from ryelock.events import ORDER_MALFORMED, Log
-from ryelock.exchange.heads import (
+from ryelock.http.heads import (
     Fields,
     FramingError,
     OrderHead,
@@ -21,8 +21,8 @@
     reason_of,
     tokens,
 )
-from ryelock.exchange.reading import Body, Cut, Late, Reader
-from ryelock.loop import Link, Network, Scheduler, Task, TaskCoroutine
+from ryelock.http.reader import Body, Cut, Late, Reader
+from ryelock.runtime import Link, Network, Scheduler, Task, TaskCoroutine
 
 UNSENT_MOST = 262_144
 REFUSAL_SECONDS = 0.5
--- a/packages/roster/ryelock/roster/__init__.py
+++ b/packages/membership/ryelock/membership/__init__.py
@@ -4,7 +4,7 @@
 servers.py reads the platform's listing and holds one by its source's version and its age.
 """
 
-from ryelock.roster.servers import Listing, Server, listing_of
-from ryelock.roster.sessions import Roster, Session, session_of
+from ryelock.membership.servers import Listing, Server, listing_of
+from ryelock.membership.sessions import Roster, Session, session_of
 
 __all__ = ["Listing", "Roster", "Server", "Session", "listing_of", "session_of"]
--- a/packages/roster/ryelock/roster/servers.py
+++ b/packages/membership/ryelock/membership/servers.py
@@ -12,7 +12,7 @@
 import cbor2
 from expression import Error, Ok, Result
 
-from ryelock.env import address as check_address
+from ryelock.settings import address as check_address
 
 SERVERS_MOST = 10_000
 NEVER = -1e18
--- a/packages/roster/ryelock/roster/sessions.py
+++ b/packages/membership/ryelock/membership/sessions.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from ryelock.loop import Scheduler
+from ryelock.runtime import Scheduler
 
 Plain = dict[str, object]
 TEXTS = (
--- a/packages/metrics/ryelock/metrics/__init__.py
+++ b/packages/metrics/ryelock/metrics/__init__.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING
 
 from ryelock.events import FIGURES, Log
-from ryelock.exchange import Exchange, HttpServer, Limits
-from ryelock.loop import Network, Scheduler
+from ryelock.http import Exchange, HttpServer, Limits
+from ryelock.runtime import Network, Scheduler
 
 if TYPE_CHECKING:
     from prometheus_client import Metric
--- a/packages/register/ryelock/register/__init__.py
+++ b/packages/replicated_state/ryelock/replicated_state/__init__.py
@@ -6,7 +6,7 @@
 one version per source.
 """
 
-from ryelock.register.configuration import (
+from ryelock.replicated_state.configuration import (
     CallerLimits,
     Configuration,
     Route,
@@ -16,15 +16,15 @@
     merge_change,
     plan_of,
 )
-from ryelock.register.derived import (
+from ryelock.replicated_state.derived import (
     DERIVED_MOST,
     derivable_routes,
     derived_name,
     derived_watches,
     places_of,
 )
-from ryelock.register.state import Purge, Register, encode_word
-from ryelock.register.vector import Vector, vector_of
+from ryelock.replicated_state.state import Purge, Register, encode_word
+from ryelock.replicated_state.vector import Vector, vector_of
 
 __all__ = [
     "DERIVED_MOST",
--- a/packages/register/ryelock/register/derived.py
+++ b/packages/replicated_state/ryelock/replicated_state/derived.py
@@ -5,7 +5,7 @@
 so that it comes to the same on every node.
 """
 
-from ryelock.register.configuration import Configuration, Fault, Route, Watch, check_watch
+from ryelock.replicated_state.configuration import Configuration, Fault, Route, Watch, check_watch
 
 DERIVED = "derived "
 DERIVED_MOST = 4
--- a/packages/register/ryelock/register/state.py
+++ b/packages/replicated_state/ryelock/replicated_state/state.py
@@ -11,21 +11,21 @@
 
 import cbor2
 
-from ryelock.duty import Duty
-from ryelock.register.configuration import (
+from ryelock.replicated_state.configuration import (
     Configuration,
     Watch,
     configuration_of,
     merge_change,
 )
-from ryelock.register.derived import (
+from ryelock.replicated_state.derived import (
     derivable_routes,
     derived_name,
     derived_watches,
     places_of,
     still_standing,
 )
-from ryelock.register.outcomes import Outcomes, outcomes_of
+from ryelock.replicated_state.outcomes import Outcomes, outcomes_of
+from ryelock.singleton import Duty
 
 PURGES_KEPT = 2000
 DECISIONS_KEPT = 500
--- a/packages/wire/ryelock/wire/__init__.py
+++ b/packages/rpc/ryelock/rpc/__init__.py
@@ -13,7 +13,7 @@
 from expression import Error, Ok, Result
 
 from ryelock.events import FRAME_DECLINED, Log
-from ryelock.loop import Link, Network, Queue, Scheduler, Task
+from ryelock.runtime import Link, Network, Queue, Scheduler, Task
 
 PROTOCOL = "ryelock"
 VERSION = 1
--- a/packages/loop/ryelock/loop/__init__.py
+++ b/packages/runtime/ryelock/runtime/__init__.py
@@ -4,8 +4,8 @@
 code runs on circuits in a daemon and on a seeded clock and network in the simulator.
 """
 
-from ryelock.loop.network import Greeting, Link, Network, NetworkError
-from ryelock.loop.tasks import Clock, Queue, Scheduler, Task, TaskCoroutine, Wait
+from ryelock.runtime.network import Greeting, Link, Network, NetworkError
+from ryelock.runtime.tasks import Clock, Queue, Scheduler, Task, TaskCoroutine, Wait
 
 __all__ = [
     "Clock",
--- a/packages/loop/ryelock/loop/egress.py
+++ b/packages/runtime/ryelock/runtime/egress.py
@@ -8,7 +8,7 @@
 
 from typing import Protocol
 
-from ryelock.loop.tasks import Queue, Scheduler
+from ryelock.runtime.tasks import Queue, Scheduler
 
 LINK_SHARE = 0.92
 """Part of the link's rate that is used; the rest is for headers and acknowledgements."""
--- a/packages/loop/ryelock/loop/network.py
+++ b/packages/runtime/ryelock/runtime/network.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ryelock.loop.tasks import Queue, Scheduler
+from ryelock.runtime.tasks import Queue, Scheduler
 
 HELD_BYTES = 262_144
 
--- a/packages/loop/ryelock/loop/reactor.py
+++ b/packages/runtime/ryelock/runtime/reactor.py
@@ -18,9 +18,9 @@
 from circuits.core.handlers import handler
 from circuits.core.pollers import EPoll
 
-from ryelock.loop.egress import EgressPacer
-from ryelock.loop.network import Greeting, Link, NetworkError
-from ryelock.loop.tasks import Queue, Scheduler
+from ryelock.runtime.egress import EgressPacer
+from ryelock.runtime.network import Greeting, Link, NetworkError
+from ryelock.runtime.tasks import Queue, Scheduler
 
 PIECE = 65_536
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
--- a/packages/env/ryelock/env/__init__.py
+++ b/packages/settings/ryelock/settings/__init__.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Generic, TypeVar, overload
 
-from ryelock.loop.reactor import split_address
+from ryelock.runtime.reactor import split_address
 
 Kind = TypeVar("Kind")
 HEARTBEATS_MISSED = 3
--- a/packages/proving/ryelock/proving/__main__.py
+++ b/packages/testing/ryelock/testing/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ryelock.proving`: fleets of real processes, and simulated runs over many seeds."""
+"""`python -m ryelock.testing`: fleets of real processes, and simulated runs over many seeds."""
 
 import sys
 import time
@@ -8,18 +8,18 @@
 
 warnings.filterwarnings("ignore", message="pkg_resources is deprecated")
 
-from ryelock.proving.cases import CASES  # noqa: E402
-from ryelock.proving.catchup_measure import measure_catch_up  # noqa: E402
-from ryelock.proving.days_command import days, played  # noqa: E402
-from ryelock.proving.finals import FINALS, run_final  # noqa: E402
-from ryelock.proving.measure import MEASURES, measure  # noqa: E402
-from ryelock.proving.model.replay import replay_schedule  # noqa: E402
-from ryelock.proving.model.schedule import LEFT_OUT  # noqa: E402
-from ryelock.proving.model.search import report, search  # noqa: E402
-from ryelock.proving.pieces import measure_pieces  # noqa: E402
-from ryelock.proving.run import run_fleet  # noqa: E402
-from ryelock.proving.scale import Point, Size, run_scale, table  # noqa: E402
-from ryelock.proving.schedules import run_schedule  # noqa: E402
+from ryelock.testing.cases import CASES  # noqa: E402
+from ryelock.testing.catchup_measure import measure_catch_up  # noqa: E402
+from ryelock.testing.days_command import days, played  # noqa: E402
+from ryelock.testing.finals import FINALS, run_final  # noqa: E402
+from ryelock.testing.measure import MEASURES, measure  # noqa: E402
+from ryelock.testing.model.replay import replay_schedule  # noqa: E402
+from ryelock.testing.model.schedule import LEFT_OUT  # noqa: E402
+from ryelock.testing.model.search import report, search  # noqa: E402
+from ryelock.testing.pieces import measure_pieces  # noqa: E402
+from ryelock.testing.run import run_fleet  # noqa: E402
+from ryelock.testing.scale import Point, Size, run_scale, table  # noqa: E402
+from ryelock.testing.schedules import run_schedule  # noqa: E402
 
 
 def fleet(
@@ -72,7 +72,7 @@
         if ended.findings.violations:
             failed += 1
             sys.stdout.write(
-                f"  again: python -m ryelock.proving simulate --seed {number} "
+                f"  again: python -m ryelock.testing simulate --seed {number} "
                 f"--faults {faults} --size {size}\n"
             )
     sys.stdout.write(
@@ -93,7 +93,7 @@
 def case(name: str = "", *, seed: int = 1, runs: int = 1) -> int:
     """Run one case over seeds; without a name, every case.
 
-    :param name: one of the cases in ryelock.proving.cases
+    :param name: one of the cases in ryelock.testing.cases
     :param seed: the first seed
     :param runs: how many seeds
     """
@@ -124,7 +124,7 @@
 ) -> int:
     """Lose something for good, mend nothing, and see service return; without a name, each loss.
 
-    :param name: one of the losses in ryelock.proving.finals
+    :param name: one of the losses in ryelock.testing.finals
     :param seed: the first seed
     :param runs: how many seeds
     :param size: small, buchfalter or wanjiru
--- a/packages/proving/ryelock/proving/answer_cases.py
+++ b/packages/testing/ryelock/testing/answer_cases.py
@@ -8,9 +8,9 @@
 from enum import Enum
 from random import Random
 
-from ryelock.exchange import Fields
-from ryelock.proving.checks import Findings
-from ryelock.proving.scripted import (
+from ryelock.http import Fields
+from ryelock.testing.checks import Findings
+from ryelock.testing.scripted import (
     ATTEMPTS,
     BODY_BYTES,
     LATE_SECONDS,
--- a/packages/proving/ryelock/proving/callers.py
+++ b/packages/testing/ryelock/testing/callers.py
@@ -7,10 +7,10 @@
 
 from random import Random
 
-from ryelock.exchange import Fields, Reader, field, read_answer, send_order
-from ryelock.exchange.heads import FramingError
-from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Network, Scheduler
+from ryelock.http import Fields, Reader, field, read_answer, send_order
+from ryelock.http.heads import FramingError
+from ryelock.http.reader import Cut, Late
+from ryelock.runtime import Link, Network, Scheduler
 
 
 class Told:
--- a/packages/proving/ryelock/proving/cases.py
+++ b/packages/testing/ryelock/testing/cases.py
@@ -1,19 +1,19 @@
 """Cases made for one rule or one fault each, by seed; tests run them with their mechanism in
-place and taken out. `python -m ryelock.proving case NAME` runs one over many seeds."""
+place and taken out. `python -m ryelock.testing case NAME` runs one over many seeds."""
 
 from collections.abc import Callable, Iterable
 from random import Random
 
-from ryelock.loop import TaskCoroutine
-from ryelock.proving.answer_cases import foreign_answer, silent_server
-from ryelock.proving.callers import Caller, Told
-from ryelock.proving.catchup import many_changes
-from ryelock.proving.checks import Findings
-from ryelock.proving.control_cases import CONTROL_CASES
-from ryelock.proving.loss_cases import LOSS_CASES
-from ryelock.proving.scenario import Scenario
-from ryelock.proving.simulated import SimNode
-from ryelock.proving.standins import CUT, DEAF, FAILING, LONG, LOST, SHORT, WRONG
+from ryelock.runtime import TaskCoroutine
+from ryelock.testing.answer_cases import foreign_answer, silent_server
+from ryelock.testing.callers import Caller, Told
+from ryelock.testing.catchup import many_changes
+from ryelock.testing.checks import Findings
+from ryelock.testing.control_cases import CONTROL_CASES
+from ryelock.testing.loss_cases import LOSS_CASES
+from ryelock.testing.scenario import Scenario
+from ryelock.testing.simulated import SimNode
+from ryelock.testing.standins import CUT, DEAF, FAILING, LONG, LOST, SHORT, WRONG
 
 Case = Callable[[int], Findings]
 
--- a/packages/proving/ryelock/proving/catchup.py
+++ b/packages/testing/ryelock/testing/catchup.py
@@ -14,8 +14,8 @@
 """
 
 from ryelock.consensus import Consensus
-from ryelock.proving.checks import Findings
-from ryelock.proving.scenario import Scenario
+from ryelock.testing.checks import Findings
+from ryelock.testing.scenario import Scenario
 
 CHANGES = 260
 """Changes that must be acknowledged in all."""
--- a/packages/proving/ryelock/proving/catchup_measure.py
+++ b/packages/testing/ryelock/testing/catchup_measure.py
@@ -19,13 +19,13 @@
 from ryelock.consensus.compaction import Compaction
 from ryelock.consensus.entries import WORD
 from ryelock.consensus.types import Peer
-from ryelock.core.renewals import Renewals
+from ryelock.control_plane.renewals import Renewals
 from ryelock.events import QuietLog
 from ryelock.journal import Journal, MachineFolder, open_journal
-from ryelock.loop import Network, Scheduler
-from ryelock.loop.reactor import Reactor
-from ryelock.register import Register, encode_word
-from ryelock.wire import Lines, encode
+from ryelock.replicated_state import Register, encode_word
+from ryelock.rpc import Lines, encode
+from ryelock.runtime import Network, Scheduler
+from ryelock.runtime.reactor import Reactor
 
 SEGMENT_BYTES = 4_194_304
 ROUNDS_MOST = 100_000
--- a/packages/proving/ryelock/proving/checks.py
+++ b/packages/testing/ryelock/testing/checks.py
@@ -6,8 +6,8 @@
 
 from dataclasses import dataclass
 
-from ryelock.proving.callers import Told
-from ryelock.proving.standins import Objects, Ran, body_for
+from ryelock.testing.callers import Told
+from ryelock.testing.standins import Objects, Ran, body_for
 
 RATE_WINDOW = 5.0
 RATE_OVER = 1.10
--- a/packages/proving/ryelock/proving/control_cases.py
+++ b/packages/testing/ryelock/testing/control_cases.py
@@ -1,18 +1,18 @@
 """Simulated runs aimed at the control plane: isolation, racing changes, lost acknowledgements.
 
 Each case takes a seed and returns findings made from what the operators and edges of the run were
-told, never from the control nodes' own state. `python -m ryelock.proving case NAME` runs one.
+told, never from the control nodes' own state. `python -m ryelock.testing case NAME` runs one.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
 
-from ryelock.proving.checks import Findings
-from ryelock.proving.scenario import Scenario
-from ryelock.register import Register
-from ryelock.roster import Session
-from ryelock.wire import Lines, Message
+from ryelock.membership import Session
+from ryelock.replicated_state import Register
+from ryelock.rpc import Lines, Message
+from ryelock.testing.checks import Findings
+from ryelock.testing.scenario import Scenario
 
 ISOLATION_SECONDS = 20.0
 SUCCESSION_SECONDS = 5.0
--- a/packages/proving/ryelock/proving/days.py
+++ b/packages/testing/ryelock/testing/days.py
@@ -11,8 +11,8 @@
 from itertools import combinations
 from random import Random
 
-from ryelock.proving.dayfile import Day, Site
-from ryelock.proving.troubles import (
+from ryelock.testing.dayfile import Day, Site
+from ryelock.testing.troubles import (
     CLOSINGS,
     KINDS,
     Entry,
--- a/packages/proving/ryelock/proving/days_command.py
+++ b/packages/testing/ryelock/testing/days_command.py
@@ -1,13 +1,13 @@
-"""The commands `days` and `played` of `python -m ryelock.proving`."""
+"""The commands `days` and `played` of `python -m ryelock.testing`."""
 
 import sys
 from pathlib import Path
 
-from ryelock.proving.aimed import AIMS, draw_aimed
-from ryelock.proving.dayfile import SiteError, read_site, write_day
-from ryelock.proving.days import CoverageError, coverage, coverage_lines, draw_days
-from ryelock.proving.played import ReportError, read_report, summary_lines
-from ryelock.proving.troubles import KINDS, open_kinds
+from ryelock.testing.aimed import AIMS, draw_aimed
+from ryelock.testing.dayfile import SiteError, read_site, write_day
+from ryelock.testing.days import CoverageError, coverage, coverage_lines, draw_days
+from ryelock.testing.played import ReportError, read_report, summary_lines
+from ryelock.testing.troubles import KINDS, open_kinds
 
 
 def days(
@@ -21,7 +21,7 @@
     :param out: folder for the day files
     :param count: how many days
     :param seed: seed of the days
-    :param aim: one of the aims in ryelock.proving.aimed in place of pairs of kinds
+    :param aim: one of the aims in ryelock.testing.aimed in place of pairs of kinds
     :param kinds: only these kinds, divided by commas
     """
     if aim and aim not in AIMS:
--- a/packages/proving/ryelock/proving/finals.py
+++ b/packages/testing/ryelock/testing/finals.py
@@ -3,17 +3,17 @@
 Callers go by readiness as the platform asks for it, over the network. Service is back when
 every kind of order is: from some moment on, in each half second, at most a tenth of its orders
 fail, and some succeed. The moment is worked out from the callers' notes alone. A change and a
-purge must be acknowledged too. `python -m ryelock.proving finals` runs each over seeds and sizes.
+purge must be acknowledged too. `python -m ryelock.testing finals` runs each over seeds and sizes.
 """
 
 from collections.abc import Callable
 from random import Random
 
-from ryelock.proving.callers import Caller, Told
-from ryelock.proving.checks import Findings
-from ryelock.proving.scenario import Scenario
-from ryelock.proving.schedules import RETURN_SECONDS, SIZES, end_of_day
-from ryelock.proving.standins import SLOW
+from ryelock.testing.callers import Caller, Told
+from ryelock.testing.checks import Findings
+from ryelock.testing.scenario import Scenario
+from ryelock.testing.schedules import RETURN_SECONDS, SIZES, end_of_day
+from ryelock.testing.standins import SLOW
 
 BIN = 0.5
 A_SECOND = 8.0
--- a/packages/proving/ryelock/proving/fleet.py
+++ b/packages/testing/ryelock/testing/fleet.py
@@ -14,9 +14,9 @@
 import time
 from pathlib import Path
 
-from ryelock.loop import Network, Scheduler
-from ryelock.operator import ask
-from ryelock.proving.shapes import Machine, Shape
+from ryelock.control_client import ask
+from ryelock.runtime import Network, Scheduler
+from ryelock.testing.shapes import Machine, Shape
 
 FAST = {"probe_seconds": 1.0, "probe_timeout": 1.0, "replace_seconds": 4.0}
 
@@ -49,7 +49,7 @@
         """Start the daemon; its output is appended to its log file."""
         with open(self.log, "ab") as log:
             self.popen = subprocess.Popen(
-                [sys.executable, "-m", "ryelock.program", self.role, "--settings", str(self.file)],
+                [sys.executable, "-m", "ryelock.cli", self.role, "--settings", str(self.file)],
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
--- a/packages/proving/ryelock/proving/fleet_faults.py
+++ b/packages/testing/ryelock/testing/fleet_faults.py
@@ -7,9 +7,9 @@
 import signal
 import statistics
 
-from ryelock.proving.callers import Caller
-from ryelock.proving.fleet import wait_ready
-from ryelock.proving.fleet_run import Run
+from ryelock.testing.callers import Caller
+from ryelock.testing.fleet import wait_ready
+from ryelock.testing.fleet_run import Run
 
 CROWD_MOST = 400
 
--- a/packages/proving/ryelock/proving/fleet_run.py
+++ b/packages/testing/ryelock/testing/fleet_run.py
@@ -10,15 +10,15 @@
 from pathlib import Path
 from random import Random
 
+from ryelock.control_client import Reply, ask
 from ryelock.events import QuietLog
-from ryelock.loop import Scheduler
-from ryelock.loop.reactor import Reactor
-from ryelock.operator import Reply, ask
-from ryelock.proving.callers import Caller, Told
-from ryelock.proving.checks import Findings, check_bytes, check_once, check_rates, check_repeats
-from ryelock.proving.fleet import Fleet, Process, wait_ready
-from ryelock.proving.shapes import Kind, Shape
-from ryelock.proving.standins import Objects, PlatformStandIn, Ran, ServerStandIn
+from ryelock.runtime import Scheduler
+from ryelock.runtime.reactor import Reactor
+from ryelock.testing.callers import Caller, Told
+from ryelock.testing.checks import Findings, check_bytes, check_once, check_rates, check_repeats
+from ryelock.testing.fleet import Fleet, Process, wait_ready
+from ryelock.testing.shapes import Kind, Shape
+from ryelock.testing.standins import Objects, PlatformStandIn, Ran, ServerStandIn
 
 CALLERS = 40
 
--- a/packages/proving/ryelock/proving/hollow.py
+++ b/packages/testing/ryelock/testing/hollow.py
@@ -13,11 +13,11 @@
 import cbor2
 from dacite import Config, from_dict
 
-from ryelock.loop import Network, Scheduler
-from ryelock.loop.reactor import Reactor
-from ryelock.proving.hollow_node import DEMAND, CountedLog, Counts, HollowHost, HollowNode
-from ryelock.proving.reactors import run_to_end
-from ryelock.wire import Message, MessageServer, Reply
+from ryelock.rpc import Message, MessageServer, Reply
+from ryelock.runtime import Network, Scheduler
+from ryelock.runtime.reactor import Reactor
+from ryelock.testing.hollow_node import DEMAND, CountedLog, Counts, HollowHost, HollowNode
+from ryelock.testing.reactors import run_to_end
 
 ROWS_SECONDS = 0.5
 
--- a/packages/proving/ryelock/proving/hollow_node.py
+++ b/packages/testing/ryelock/testing/hollow_node.py
@@ -14,12 +14,12 @@
 
 from ryelock.edge.member import Member
 from ryelock.events import TERM_LAPSED, Event, QuietLog
-from ryelock.loop import Network, Scheduler
-from ryelock.register import Register
-from ryelock.roster import Listing, Session
-from ryelock.watch import Row
-from ryelock.watch.probe import watch_mark
-from ryelock.wire import Lines, Message, WireError
+from ryelock.health import Row
+from ryelock.health.probe import watch_mark
+from ryelock.membership import Listing, Session
+from ryelock.replicated_state import Register
+from ryelock.rpc import Lines, Message, WireError
+from ryelock.runtime import Network, Scheduler
 
 REACHED_KEPT = 4000
 ROWS_MOST = 200
--- a/packages/proving/ryelock/proving/hosting_platform.py
+++ b/packages/testing/ryelock/testing/hosting_platform.py
@@ -16,10 +16,10 @@
 from urllib.parse import parse_qs
 
 from ryelock.events import Log
-from ryelock.exchange import Dialect, Exchange, Fields, HttpServer, Limits, field
-from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Network, Queue, Scheduler
-from ryelock.proving.standins import Objects, body_for
+from ryelock.http import Dialect, Exchange, Fields, HttpServer, Limits, field
+from ryelock.http.reader import Cut, Late
+from ryelock.runtime import Link, Network, Queue, Scheduler
+from ryelock.testing.standins import Objects, body_for
 
 
 class Manner(StrEnum):
--- a/packages/proving/ryelock/proving/load.py
+++ b/packages/testing/ryelock/testing/load.py
@@ -1,6 +1,6 @@
 """Orders a second and processor time an order of one edge under full load, by kind of order.
 
-`python -m ryelock.proving.load` brings up the small fleet without limits by rate, drives one edge
+`python -m ryelock.testing.load` brings up the small fleet without limits by rate, drives one edge
 with closed loops of callers for some seconds a kind, and prints a JSON line. To compare two
 versions run this same file with each one's packages on the path, in turn.
 """
@@ -11,13 +11,13 @@
 import tempfile
 from pathlib import Path
 
-from ryelock.loop import TaskCoroutine
-from ryelock.loop.reactor import Reactor
-from ryelock.proving.callers import Caller, Told
-from ryelock.proving.fleet import FAST
-from ryelock.proving.fleet_run import Run
-from ryelock.proving.reactors import run_to_end
-from ryelock.proving.shapes import SHAPES
+from ryelock.runtime import TaskCoroutine
+from ryelock.runtime.reactor import Reactor
+from ryelock.testing.callers import Caller, Told
+from ryelock.testing.fleet import FAST
+from ryelock.testing.fleet_run import Run
+from ryelock.testing.reactors import run_to_end
+from ryelock.testing.shapes import SHAPES
 
 KINDS = {
     "hits": ("GET", "/covers/", 20),
--- a/packages/proving/ryelock/proving/loss_cases.py
+++ b/packages/testing/ryelock/testing/loss_cases.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 from random import Random
 
-from ryelock.proving.checks import Findings
-from ryelock.proving.control_cases import (
+from ryelock.testing.checks import Findings
+from ryelock.testing.control_cases import (
     OK,
     RESEND_SECONDS,
     newest_version,
     route_change,
 )
-from ryelock.proving.scenario import Scenario
+from ryelock.testing.scenario import Scenario
 
 LOSSES = 3
 CATCH_UP_SECONDS = 4.0
--- a/packages/proving/ryelock/proving/measure.py
+++ b/packages/testing/ryelock/testing/measure.py
@@ -1,18 +1,18 @@
 """Measures in the simulator, over seeds: times that follow from the protocol, not from a machine.
 
 The network's delays are the simulator's (0.3 to 2.3 ms, now and then 50 to 350 ms), processing
-takes no time. `python -m ryelock.proving measure` prints the lowest, median and highest of each.
+takes no time. `python -m ryelock.testing measure` prints the lowest, median and highest of each.
 """
 
 from collections.abc import Callable
 
-from ryelock.proving.cases import stubborn
-from ryelock.proving.checks import Findings, check_rates
-from ryelock.proving.control_cases import play_isolation
-from ryelock.proving.finals import order_once
-from ryelock.proving.loss_cases import LOSS_SETTINGS
-from ryelock.proving.scenario import Scenario
-from ryelock.proving.standins import FAILING, SLOW, WHOLE
+from ryelock.testing.cases import stubborn
+from ryelock.testing.checks import Findings, check_rates
+from ryelock.testing.control_cases import play_isolation
+from ryelock.testing.finals import order_once
+from ryelock.testing.loss_cases import LOSS_SETTINGS
+from ryelock.testing.scenario import Scenario
+from ryelock.testing.standins import FAILING, SLOW, WHOLE
 
 Measure = Callable[[int], float | None]
 STANDING_SECONDS = 4
--- a/packages/proving/ryelock/proving/model/adapter.py
+++ b/packages/testing/ryelock/testing/model/adapter.py
@@ -14,16 +14,16 @@
 from ryelock.consensus import Consensus, Pace
 from ryelock.consensus.entries import VOTERS, Entry, Stored, voters_of
 from ryelock.consensus.log import RETAINED_BYTES
-from ryelock.core.identity import open_disk, read_identity
-from ryelock.core.process import FINISH_SECONDS, LEAVE_SECONDS_MOST, ControlNode
-from ryelock.core.voters import LEAVE, VoterKeeper
+from ryelock.control_plane.identity import open_disk, read_identity
+from ryelock.control_plane.process import FINISH_SECONDS, LEAVE_SECONDS_MOST, ControlNode
+from ryelock.control_plane.voters import LEAVE, VoterKeeper
 from ryelock.edge.promises import Promise, are_enough, promise_of
 from ryelock.events import Event, Log
 from ryelock.journal import Folder, JournalError, open_journal
-from ryelock.loop import Scheduler
-from ryelock.register import Register, encode_word
-from ryelock.roster import Roster
-from ryelock.wire import Lines, Message, Reply
+from ryelock.membership import Roster
+from ryelock.replicated_state import Register, encode_word
+from ryelock.rpc import Lines, Message, Reply
+from ryelock.runtime import Scheduler
 
 __all__ = [
     "LEAVE",
--- a/packages/proving/ryelock/proving/model/cluster.py
+++ b/packages/testing/ryelock/testing/model/cluster.py
@@ -5,8 +5,9 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.loop import Queue, Scheduler
-from ryelock.proving.model.adapter import (
+from ryelock.rpc import WireError
+from ryelock.runtime import Queue, Scheduler
+from ryelock.testing.model.adapter import (
     LEAVE,
     PROMISE_SECONDS,
     UNREADABLE,
@@ -20,8 +21,8 @@
     promise_of,
     read_disk,
 )
-from ryelock.proving.model.disk import Crash, ModelFolder
-from ryelock.proving.model.invariants import (
+from ryelock.testing.model.disk import Crash, ModelFolder
+from ryelock.testing.model.invariants import (
     ACKNOWLEDGED_AGAIN,
     LIVENESS,
     READABLE,
@@ -29,7 +30,7 @@
     History,
     PromiseWindow,
 )
-from ryelock.proving.model.linearizability import (
+from ryelock.testing.model.linearizability import (
     ACCEPTED,
     CHANGE,
     CONFLICT,
@@ -38,8 +39,7 @@
     UNKNOWN,
     Operation,
 )
-from ryelock.proving.model.network import CALM, World
-from ryelock.wire import WireError
+from ryelock.testing.model.network import CALM, World
 
 SEEDS = 3
 SEGMENT_BYTES = 1500
@@ -84,7 +84,7 @@
 
 
 class CarrierLines:
-    """The asks of one process, as `ryelock.wire.Lines` offers them, over the model's world."""
+    """The asks of one process, as `ryelock.rpc.Lines` offers them, over the model's world."""
 
     __slots__ = ("asks", "cluster", "machine", "sequence")
 
--- a/packages/proving/ryelock/proving/model/invariants.py
+++ b/packages/testing/ryelock/testing/model/invariants.py
@@ -7,15 +7,15 @@
 import zlib
 from itertools import pairwise
 
-from ryelock.proving.model.adapter import Change, DiskLog, Message, change_of
-from ryelock.proving.model.linearizability import (
+from ryelock.testing.model.adapter import Change, DiskLog, Message, change_of
+from ryelock.testing.model.linearizability import (
     ACCEPTED,
     CHANGE,
     READ,
     Operation,
     linearizable,
 )
-from ryelock.proving.model.violation import Violation
+from ryelock.testing.model.violation import Violation
 
 ELECTION_SAFETY = "election safety"
 ONE_VOTE = "one vote an epoch"
--- a/packages/proving/ryelock/proving/model/replay.py
+++ b/packages/testing/ryelock/testing/model/replay.py
@@ -3,7 +3,7 @@
 import sys
 from pathlib import Path
 
-from ryelock.proving.model.schedule import decode_schedule, run_schedule
+from ryelock.testing.model.schedule import decode_schedule, run_schedule
 
 
 def replay_schedule(path: str) -> int:
--- a/packages/proving/ryelock/proving/model/schedule.py
+++ b/packages/testing/ryelock/testing/model/schedule.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from ryelock.proving.model.adapter import ProductNode, batch_limit
-from ryelock.proving.model.cluster import Cluster, Machine
-from ryelock.proving.model.disk import Crash, Fault, LossMode
-from ryelock.proving.model.network import WEATHERS
-from ryelock.proving.model.violation import Violation
+from ryelock.testing.model.adapter import ProductNode, batch_limit
+from ryelock.testing.model.cluster import Cluster, Machine
+from ryelock.testing.model.disk import Crash, Fault, LossMode
+from ryelock.testing.model.network import WEATHERS
+from ryelock.testing.model.violation import Violation
 
 Step = tuple[str, int, int, int]
 RUN_SECONDS = (0.02, 0.1, 0.3, 0.8, 1.6, 3.0)
--- a/packages/proving/ryelock/proving/model/search.py
+++ b/packages/testing/ryelock/testing/model/search.py
@@ -5,7 +5,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass, field
 
-from ryelock.proving.model.schedule import Schedule, Step, draw, run_schedule, shrink
+from ryelock.testing.model.schedule import Schedule, Step, draw, run_schedule, shrink
 
 CHUNK = 50
 
--- a/packages/proving/ryelock/proving/pieces.py
+++ b/packages/testing/ryelock/testing/pieces.py
@@ -13,17 +13,17 @@
 
 import cbor2
 
-from ryelock.allowance.divide import Given
 from ryelock.cache.store import Store, Variants
-from ryelock.core.identity import open_disk
-from ryelock.core.process import ControlNode
-from ryelock.env import read_env
+from ryelock.control_plane.identity import open_disk
+from ryelock.control_plane.process import ControlNode
 from ryelock.events import QuietLog
 from ryelock.journal import MachineFolder
-from ryelock.loop.reactor import Reactor
-from ryelock.proving.scale import Figures, Size, measure_judging, zone_name
-from ryelock.register import Purge, Register, encode_word
-from ryelock.roster import Roster, Server, Session, session_of
+from ryelock.membership import Roster, Server, Session, session_of
+from ryelock.rate_limit.quota_allocator import Given
+from ryelock.replicated_state import Purge, Register, encode_word
+from ryelock.runtime.reactor import Reactor
+from ryelock.settings import read_env
+from ryelock.testing.scale import Figures, Size, measure_judging, zone_name
 
 REPEATS = 5
 SERVICES = 2
--- a/packages/proving/ryelock/proving/platform_clients.py
+++ b/packages/testing/ryelock/testing/platform_clients.py
@@ -10,11 +10,11 @@
 from dataclasses import field as dataclass_field
 from random import Random
 
-from ryelock.exchange import Fields, Reader, call, field, read_answer, send_order
-from ryelock.exchange.heads import FramingError
-from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link, Network, Scheduler
-from ryelock.proving.hosting_platform import Arrival, ServiceStandIn, Words
+from ryelock.http import Fields, Reader, call, field, read_answer, send_order
+from ryelock.http.heads import FramingError
+from ryelock.http.reader import Cut, Late
+from ryelock.runtime import Link, Network, Scheduler
+from ryelock.testing.hosting_platform import Arrival, ServiceStandIn, Words
 
 SAFE, UNSAFE, CACHEABLE = "safe", "unsafe", "cacheable"
 PROMISES = (408, 421, 429, 503)
--- a/packages/proving/ryelock/proving/reactors.py
+++ b/packages/testing/ryelock/testing/reactors.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from ryelock.loop import TaskCoroutine
-from ryelock.loop.reactor import Reactor
+from ryelock.runtime import TaskCoroutine
+from ryelock.runtime.reactor import Reactor
 
 Result = TypeVar("Result")
 
--- a/packages/proving/ryelock/proving/run.py
+++ b/packages/testing/ryelock/testing/run.py
@@ -1,6 +1,6 @@
 """One run of a fleet of real processes: traffic, faults by plan, and a report of rules kept.
 
-`python -m ryelock.proving fleet SHAPE` prints a JSON report.
+`python -m ryelock.testing fleet SHAPE` prints a JSON report.
 """
 
 import json
@@ -9,13 +9,13 @@
 import time
 from pathlib import Path
 
-from ryelock.loop import TaskCoroutine
-from ryelock.loop.reactor import Reactor
-from ryelock.proving.fleet import FAST
-from ryelock.proving.fleet_faults import with_faults
-from ryelock.proving.fleet_run import Run
-from ryelock.proving.reactors import run_to_end
-from ryelock.proving.shapes import SHAPES
+from ryelock.runtime import TaskCoroutine
+from ryelock.runtime.reactor import Reactor
+from ryelock.testing.fleet import FAST
+from ryelock.testing.fleet_faults import with_faults
+from ryelock.testing.fleet_run import Run
+from ryelock.testing.reactors import run_to_end
+from ryelock.testing.shapes import SHAPES
 
 
 async def quick(run: Run, seconds: float, faults: bool) -> int:
--- a/packages/proving/ryelock/proving/scale/__init__.py
+++ b/packages/testing/ryelock/testing/scale/__init__.py
@@ -1,8 +1,8 @@
 """Scale runs: real cores and a real edge beside hollow nodes, and what each costs by size.
 
 For every size three `ryelock core` processes and one `ryelock edge` are started anew, with a
-stand-in of the platform, and hollow nodes (ryelock.proving.hollow) join them, many to a process.
-The runner reads the kernel's accounts (ryelock.proving.accounts) over windows: at rest, under
+stand-in of the platform, and hollow nodes (ryelock.testing.hollow) join them, many to a process.
+The runner reads the kernel's accounts (ryelock.testing.accounts) over windows: at rest, under
 changes, purges, changed listings and restarts; then it kills the leader, and last all cores, and
 counts what the nodes send until each has its session again. The slopes go to a table, to JSON
 and to plots.
@@ -17,10 +17,10 @@
 - sweep.py: all runs of all sizes
 """
 
-from ryelock.proving.scale.judging import measure_judging
-from ryelock.proving.scale.report import Point, growth, plot, table
-from ryelock.proving.scale.sizes import Figures, Size, zone_name
-from ryelock.proving.scale.sweep import run_scale, run_size
+from ryelock.testing.scale.judging import measure_judging
+from ryelock.testing.scale.report import Point, growth, plot, table
+from ryelock.testing.scale.sizes import Figures, Size, zone_name
+from ryelock.testing.scale.sweep import run_scale, run_size
 
 __all__ = [
     "Figures",
--- a/packages/proving/ryelock/proving/scale/hollow_process.py
+++ b/packages/testing/ryelock/testing/scale/hollow_process.py
@@ -6,9 +6,9 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from ryelock.proving.fleet import picked_port
-from ryelock.proving.hollow import HollowSettings
-from ryelock.proving.scale.sizes import LISTING_SECONDS, TERM_SECONDS, Size, zone_name
+from ryelock.testing.fleet import picked_port
+from ryelock.testing.hollow import HollowSettings
+from ryelock.testing.scale.sizes import LISTING_SECONDS, TERM_SECONDS, Size, zone_name
 
 HOST = "127.0.8.1"
 STOP_SECONDS = 5
@@ -41,7 +41,7 @@
         """Start the process; its output is appended to its log file."""
         with open(self.log, "ab") as log:
             self.popen = subprocess.Popen(
-                [sys.executable, "-m", "ryelock.proving.hollow", str(self.file)],
+                [sys.executable, "-m", "ryelock.testing.hollow", str(self.file)],
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
--- a/packages/proving/ryelock/proving/scale/judging.py
+++ b/packages/testing/ryelock/testing/scale/judging.py
@@ -8,10 +8,9 @@
 
 import cbor2
 
-from ryelock.proving.scale.sizes import Figures, zone_name
-from ryelock.register import Watch
-from ryelock.verdict import History, Rules, judge
-from ryelock.watch import Row, watch_mark
+from ryelock.health import History, Row, Rules, judge, watch_mark
+from ryelock.replicated_state import Watch
+from ryelock.testing.scale.sizes import Figures, zone_name
 
 SPAN_SECONDS = 600.0
 ROWS = 400
--- a/packages/proving/ryelock/proving/scale/losses.py
+++ b/packages/testing/ryelock/testing/scale/losses.py
@@ -2,12 +2,12 @@
 
 import signal
 
-from ryelock.proving.fleet import wait_ready
-from ryelock.proving.scale.readings import Reading, grown, number_of
-from ryelock.proving.scale.run import LOOK_SECONDS, REACH_SECONDS, ScaleRun
-from ryelock.proving.scale.sizes import zone_name
-from ryelock.proving.scale.startup import wait_storm
-from ryelock.proving.scale.steady import kilobytes_above_rest
+from ryelock.testing.fleet import wait_ready
+from ryelock.testing.scale.readings import Reading, grown, number_of
+from ryelock.testing.scale.run import LOOK_SECONDS, REACH_SECONDS, ScaleRun
+from ryelock.testing.scale.sizes import zone_name
+from ryelock.testing.scale.startup import wait_storm
+from ryelock.testing.scale.steady import kilobytes_above_rest
 
 KILL_SECONDS = 5.0
 READY_SECONDS = 30.0
--- a/packages/proving/ryelock/proving/scale/readings.py
+++ b/packages/testing/ryelock/testing/scale/readings.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from ryelock.proving.accounts import Account, Spent
-from ryelock.proving.scale.sizes import Figures, Plain
+from ryelock.testing.accounts import Account, Spent
+from ryelock.testing.scale.sizes import Figures, Plain
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/proving/ryelock/proving/scale/report.py
+++ b/packages/testing/ryelock/testing/scale/report.py
@@ -4,7 +4,7 @@
 import statistics
 from pathlib import Path
 
-from ryelock.proving.scale.sizes import Figures, Plain, Size
+from ryelock.testing.scale.sizes import Figures, Plain, Size
 
 
 class Point:
--- a/packages/proving/ryelock/proving/scale/run.py
+++ b/packages/testing/ryelock/testing/scale/run.py
@@ -2,15 +2,16 @@
 
 from pathlib import Path
 
+from ryelock.control_client import Reply, ask
 from ryelock.events import QuietLog
-from ryelock.loop import Scheduler
-from ryelock.loop.reactor import Reactor
-from ryelock.operator import Reply, ask
-from ryelock.proving.accounts import Account, read_traffic
-from ryelock.proving.fleet import Fleet, Process
-from ryelock.proving.scale.hollow_process import hollow_processes
-from ryelock.proving.scale.readings import Reading, sum_of_states
-from ryelock.proving.scale.sizes import (
+from ryelock.rpc import Lines, Message
+from ryelock.runtime import Scheduler
+from ryelock.runtime.reactor import Reactor
+from ryelock.testing.accounts import Account, read_traffic
+from ryelock.testing.fleet import Fleet, Process
+from ryelock.testing.scale.hollow_process import hollow_processes
+from ryelock.testing.scale.readings import Reading, sum_of_states
+from ryelock.testing.scale.sizes import (
     LISTING_SECONDS,
     TERM_SECONDS,
     Figures,
@@ -19,8 +20,7 @@
     service_name,
     zone_name,
 )
-from ryelock.proving.standins import PlatformStandIn
-from ryelock.wire import Lines, Message
+from ryelock.testing.standins import PlatformStandIn
 
 REACH_SECONDS = 15.0
 TELL_SECONDS = 20.0
--- a/packages/proving/ryelock/proving/scale/startup.py
+++ b/packages/testing/ryelock/testing/scale/startup.py
@@ -1,9 +1,9 @@
 """The first phase: all processes start, and the hollow nodes join."""
 
-from ryelock.proving.accounts import Spent
-from ryelock.proving.fleet import wait_ready
-from ryelock.proving.scale.readings import Reading, grown
-from ryelock.proving.scale.run import ScaleRun
+from ryelock.testing.accounts import Spent
+from ryelock.testing.fleet import wait_ready
+from ryelock.testing.scale.readings import Reading, grown
+from ryelock.testing.scale.run import ScaleRun
 
 READY_SECONDS = 60.0
 JOIN_SECONDS = 40.0
--- a/packages/proving/ryelock/proving/scale/steady.py
+++ b/packages/testing/ryelock/testing/scale/steady.py
@@ -3,17 +3,17 @@
 import time
 from collections.abc import Callable
 
-from ryelock.loop import TaskCoroutine
-from ryelock.proving.accounts import Spent
-from ryelock.proving.scale.readings import (
+from ryelock.runtime import TaskCoroutine
+from ryelock.testing.accounts import Spent
+from ryelock.testing.scale.readings import (
     Reading,
     grown,
     keep_percentiles,
     number_of,
     spent_by,
 )
-from ryelock.proving.scale.run import LOOK_SECONDS, REACH_SECONDS, ScaleRun
-from ryelock.proving.scale.sizes import EDGE, Plain, service_name, zone_name
+from ryelock.testing.scale.run import LOOK_SECONDS, REACH_SECONDS, ScaleRun
+from ryelock.testing.scale.sizes import EDGE, Plain, service_name, zone_name
 
 FLOOD_SECONDS = 3.0
 FLOOD_END_SECONDS = 30.0
--- a/packages/proving/ryelock/proving/scale/sweep.py
+++ b/packages/testing/ryelock/testing/scale/sweep.py
@@ -7,16 +7,16 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from ryelock.loop import TaskCoroutine
-from ryelock.loop.reactor import Reactor
-from ryelock.proving.reactors import run_to_end
-from ryelock.proving.scale.judging import measure_judging
-from ryelock.proving.scale.losses import lose_all, lose_leader, lose_zone
-from ryelock.proving.scale.report import Point, plot
-from ryelock.proving.scale.run import ScaleRun
-from ryelock.proving.scale.sizes import Figures, Plain, Size
-from ryelock.proving.scale.startup import bring_up
-from ryelock.proving.scale.steady import (
+from ryelock.runtime import TaskCoroutine
+from ryelock.runtime.reactor import Reactor
+from ryelock.testing.reactors import run_to_end
+from ryelock.testing.scale.judging import measure_judging
+from ryelock.testing.scale.losses import lose_all, lose_leader, lose_zone
+from ryelock.testing.scale.report import Point, plot
+from ryelock.testing.scale.run import ScaleRun
+from ryelock.testing.scale.sizes import Figures, Plain, Size
+from ryelock.testing.scale.startup import bring_up
+from ryelock.testing.scale.steady import (
     at_rest,
     change_listing,
     changes,
--- a/packages/proving/ryelock/proving/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -9,10 +9,11 @@
 from collections.abc import Callable
 from random import Random
 
-from ryelock.exchange import call
-from ryelock.operator import ask
-from ryelock.proving.callers import Caller, Told
-from ryelock.proving.checks import (
+from ryelock.control_client import ask
+from ryelock.health import Row
+from ryelock.http import call
+from ryelock.testing.callers import Caller, Told
+from ryelock.testing.checks import (
     LATE_MOST,
     Changed,
     Down,
@@ -30,9 +31,8 @@
     check_rates,
     check_repeats,
 )
-from ryelock.proving.simulated import SimFolder, SimNode, World
-from ryelock.proving.standins import Objects, PlatformStandIn, Ran, ServerStandIn
-from ryelock.watch import Row
+from ryelock.testing.simulated import SimFolder, SimNode, World
+from ryelock.testing.standins import Objects, PlatformStandIn, Ran, ServerStandIn
 
 LIFETIME = 6.0
 DRAINED = ("drained", "its zone is drained")
--- a/packages/proving/ryelock/proving/schedules.py
+++ b/packages/testing/ryelock/testing/schedules.py
@@ -2,15 +2,15 @@
 
 Each fault is an action on a scenario. A schedule draws some of them, at times of its own,
 then everything is mended, and service must be back within 15 s. What a run came to is its
-findings; a failing seed is run again by `python -m ryelock.proving simulate --seed N`.
+findings; a failing seed is run again by `python -m ryelock.testing simulate --seed N`.
 """
 
 from collections.abc import Callable
 from random import Random
 
-from ryelock.proving.checks import Findings, false_downs
-from ryelock.proving.scenario import Scenario
-from ryelock.proving.standins import CUT, DEAF, FAILING, LONG, LOST, SHORT, SLOW, WRONG
+from ryelock.testing.checks import Findings, false_downs
+from ryelock.testing.scenario import Scenario
+from ryelock.testing.standins import CUT, DEAF, FAILING, LONG, LOST, SHORT, SLOW, WRONG
 
 RETURN_SECONDS = 15.0
 Fault = Callable[[Scenario, Random], str]
--- a/packages/proving/ryelock/proving/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -9,10 +9,10 @@
 
 from enum import Enum
 
+from ryelock.control_client import ask
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.process import TrafficNode
-from ryelock.env import read_env
-from ryelock.exchange import (
+from ryelock.http import (
     Dialect,
     Fields,
     FramingError,
@@ -22,12 +22,12 @@
     field,
     parse_order_head,
 )
-from ryelock.exchange.heads import content_length
-from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Link
-from ryelock.operator import ask
-from ryelock.proving.simulated import SimNode, World
-from ryelock.proving.standins import PlatformStandIn
+from ryelock.http.heads import content_length
+from ryelock.http.reader import Cut, Late
+from ryelock.runtime import Link
+from ryelock.settings import read_env
+from ryelock.testing.simulated import SimNode, World
+from ryelock.testing.standins import PlatformStandIn
 
 DIALECT = Dialect(
     b"X-Request-Name", b"X-Milliseconds-Left", b"X-Seal", b"X-Server-Life", b"X-Not-Run", b"X-Tags"
--- a/packages/proving/ryelock/proving/simulated.py
+++ b/packages/testing/ryelock/testing/simulated.py
@@ -12,14 +12,14 @@
 from random import Random
 from typing import TypeVar
 
-from ryelock.core.identity import open_disk
-from ryelock.core.process import ControlNode
+from ryelock.control_plane.identity import open_disk
+from ryelock.control_plane.process import ControlNode
 from ryelock.edge.process import TrafficNode
-from ryelock.env import Env, read_env
 from ryelock.events import QuietLog
 from ryelock.journal import FolderError
-from ryelock.loop import Greeting, Link, NetworkError, Scheduler, Task, TaskCoroutine
-from ryelock.proving.simulated_time import SimulatedTime
+from ryelock.runtime import Greeting, Link, NetworkError, Scheduler, Task, TaskCoroutine
+from ryelock.settings import Env, read_env
+from ryelock.testing.simulated_time import SimulatedTime
 
 Found = TypeVar("Found")
 WALL_ZERO = 1_800_000_000.0
--- a/packages/proving/ryelock/proving/standins.py
+++ b/packages/testing/ryelock/testing/standins.py
@@ -10,9 +10,9 @@
 import json
 
 from ryelock.events import Log
-from ryelock.exchange import Exchange, Fields, HttpServer, Limits, field, http_date
-from ryelock.exchange.reading import Cut, Late
-from ryelock.loop import Network, Scheduler
+from ryelock.http import Exchange, Fields, HttpServer, Limits, field, http_date
+from ryelock.http.reader import Cut, Late
+from ryelock.runtime import Network, Scheduler
 
 WHOLE, SLOW, CUT, SHORT, LONG, WRONG, LOST, FAILING, DEAF = (
     "whole",
--- a/tests/consensus_takeouts.py
+++ b/tests/consensus_takeouts.py
@@ -9,12 +9,12 @@
 from ryelock.consensus.entries import Image
 from ryelock.consensus.log import ReplicatedLog
 from ryelock.consensus.types import ConsensusError, Peer
-from ryelock.core.process import ControlNode
-from ryelock.core.voters import VoterKeeper
+from ryelock.control_plane.process import ControlNode
+from ryelock.control_plane.voters import VoterKeeper
 from ryelock.journal import Journal, open_journal
-from ryelock.proving.model.disk import ModelFolder
-from ryelock.register import Register
-from ryelock.register.outcomes import Outcomes
+from ryelock.replicated_state import Register
+from ryelock.replicated_state.outcomes import Outcomes
+from ryelock.testing.model.disk import ModelFolder
 
 Plain = dict[str, Any]
 TakeOut = Callable[[], AbstractContextManager[object]]
@@ -183,7 +183,7 @@
 def outcomes_forgotten() -> Iterator[None]:
     """Two outcomes of a kind are remembered, that of the standing change not for longer."""
     with (
-        mock.patch("ryelock.register.outcomes.REMEMBERED_MOST", 1),
+        mock.patch("ryelock.replicated_state.outcomes.REMEMBERED_MOST", 1),
         mock.patch.object(Outcomes, "stand", lambda _outcomes, _kind, _identity: None),
     ):
         yield
@@ -236,7 +236,7 @@
 
     with (
         mock.patch.object(ModelFolder, "sync", without_sync),
-        mock.patch("ryelock.core.identity.open_journal", opened),
+        mock.patch("ryelock.control_plane.identity.open_journal", opened),
     ):
         yield
 
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -13,19 +13,20 @@
 sys.path.append(str(ROOT / "platform"))
 
 import settings  # noqa: E402
+from header_fields import DIALECT  # noqa: E402
 from operators import Operators  # noqa: E402
 from readiness import Readiness  # noqa: E402
-from ryelock.core.process import ControlNode  # noqa: E402
+from ryelock.control_plane.process import ControlNode  # noqa: E402
 from ryelock.edge.process import TrafficNode  # noqa: E402
-from ryelock.exchange import Dialect, Fields  # noqa: E402
-from ryelock.proving.hosting_platform import (  # noqa: E402
+from ryelock.http import Dialect, Fields  # noqa: E402
+from ryelock.testing.hosting_platform import (  # noqa: E402
     Arrival,
     HostingPlatform,
     ServerLife,
     ServiceStandIn,
     Words,
 )
-from ryelock.proving.platform_clients import (  # noqa: E402
+from ryelock.testing.platform_clients import (  # noqa: E402
     CACHEABLE,
     SAFE,
     UNSAFE,
@@ -35,9 +36,8 @@
     OperatorCaller,
     broken,
 )
-from ryelock.proving.simulated import SimNode, World  # noqa: E402
+from ryelock.testing.simulated import SimNode, World  # noqa: E402
 from servers import Instances  # noqa: E402
-from words import DIALECT  # noqa: E402
 
 Plain = dict[str, object]
 HOST = "shop.example"
--- a/tests/observed.py
+++ b/tests/observed.py
@@ -13,10 +13,10 @@
 import cbor2
 
 from ryelock.events import Event, QuietLog
-from ryelock.proving.model.adapter import SilentLog
-from ryelock.proving.model.cluster import CarrierLines, Cluster
-from ryelock.proving.model.disk import ModelFolder
-from ryelock.proving.simulated import SimFolder, SimLink, World
+from ryelock.testing.model.adapter import SilentLog
+from ryelock.testing.model.cluster import CarrierLines, Cluster
+from ryelock.testing.model.disk import ModelFolder
+from ryelock.testing.simulated import SimFolder, SimLink, World
 
 # What this file knows of the simulators' names: a rename inside changes this section only.
 
--- a/tests/simulated_client.py
+++ b/tests/simulated_client.py
@@ -6,8 +6,8 @@
 
 from observed import GREETING, frame, frames_in, message_in
 
-from ryelock.loop import Link, TaskCoroutine
-from ryelock.proving.simulated import SimFolder, SimNode, World
+from ryelock.runtime import Link, TaskCoroutine
+from ryelock.testing.simulated import SimFolder, SimNode, World
 
 # What this file knows of the simulator's names: a rename inside changes this section only.
 
--- a/tests/simulated_runs.py
+++ b/tests/simulated_runs.py
@@ -1,7 +1,7 @@
 """Seeded simulated runs that bring about each kind of message between processes."""
 
-from ryelock.proving.callers import Caller
-from ryelock.proving.scenario import Scenario
+from ryelock.testing.callers import Caller
+from ryelock.testing.scenario import Scenario
 
 PROBING: dict[str, object] = {
     "derive_watches": True,
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -12,7 +12,7 @@
 from ryelock.edge.orders import Order
 from ryelock.edge.owner import OwnerAsk, Refusal
 from ryelock.edge.servers import Servers
-from ryelock.proving.answer_cases import (
+from ryelock.testing.answer_cases import (
     RUNS_ONCE,
     Cell,
     Kind,
@@ -20,8 +20,8 @@
     play,
     run_cell,
 )
-from ryelock.proving.cases import CASES
-from ryelock.proving.scripted import DIALECT, AnswerFleet, Event, Moment
+from ryelock.testing.cases import CASES
+from ryelock.testing.scripted import DIALECT, AnswerFleet, Event, Moment
 
 Patch = AbstractContextManager[Any]
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -12,9 +12,9 @@
     LISTING_DECLINED,
     LISTING_MISSED,
 )
-from ryelock.loop import Link
-from ryelock.proving.scenario import Scenario
-from ryelock.wire import HELLO, encode
+from ryelock.rpc import HELLO, encode
+from ryelock.runtime import Link
+from ryelock.testing.scenario import Scenario
 
 BAD_ASKS: tuple[dict[str, Any], ...] = (
     {"kind": "renew"},
--- a/tests/test_caller_leaves.py
+++ b/tests/test_caller_leaves.py
@@ -5,11 +5,11 @@
 
 from deployment import HOST, Deployment
 from ryelock.edge.process import TrafficNode
-from ryelock.exchange import send_order
-from ryelock.loop import Link
-from ryelock.loop.reactor import Reactor, SocketLink
-from ryelock.proving.hosting_platform import Arrival, Manner
-from ryelock.proving.platform_clients import SAFE
+from ryelock.http import send_order
+from ryelock.runtime import Link
+from ryelock.runtime.reactor import Reactor, SocketLink
+from ryelock.testing.hosting_platform import Arrival, Manner
+from ryelock.testing.platform_clients import SAFE
 
 STAYS_SECONDS = 0.3
 """A caller of these tests leaves so long after its request was sent."""
--- a/tests/test_checked.py
+++ b/tests/test_checked.py
@@ -8,40 +8,39 @@
 
 import testtools
 
-from ryelock.duty import Duty, next_duty
-from ryelock.env import Env, EnvError, read_env, settings_of
 from ryelock.events import CATALOGUE, catalogue_page
-from ryelock.proving.cases import CASES
-from ryelock.proving.finals import FINALS
-from ryelock.proving.schedules import run_schedule
-from ryelock.register import Configuration, Register, encode_word, merge_change, plan_of
-from ryelock.roster import listing_of
-from ryelock.wire import FrameError, Frames, encode
+from ryelock.membership import listing_of
+from ryelock.replicated_state import Configuration, Register, encode_word, merge_change, plan_of
+from ryelock.rpc import FrameError, Frames, encode
+from ryelock.settings import Env, EnvError, read_env, settings_of
+from ryelock.singleton import Duty, next_duty
+from ryelock.testing.cases import CASES
+from ryelock.testing.finals import FINALS
+from ryelock.testing.schedules import run_schedule
 
 ROOT = Path(__file__).parent.parent
 ORDER = [
-    "loop",
-    "env",
+    "runtime",
+    "settings",
     "events",
-    "wire",
-    "exchange",
+    "rpc",
+    "http",
     "metrics",
     "journal",
     "consensus",
-    "duty",
-    "register",
-    "roster",
-    "watch",
-    "verdict",
-    "allowance",
+    "singleton",
+    "replicated_state",
+    "membership",
+    "health",
+    "rate_limit",
     "cache",
     "control_api",
     "edge",
-    "core",
-    "operator",
+    "control_plane",
+    "control_client",
     "explain",
-    "program",
-    "proving",
+    "cli",
+    "testing",
 ]
 OLD_WORDS = {
     "beat": "heartbeat",
@@ -290,7 +289,7 @@
                             ORDER.index(used), ORDER.index(package), f"{file} imports {name}"
                         )
                     if name.startswith("circuits"):
-                        self.assertIn(package, ("loop", "exchange"), str(file))
+                        self.assertIn(package, ("runtime", "http"), str(file))
 
     def words_of(self, file: Path) -> dict[str, str]:
         """Each word of the names that a file gives, with one name that has it."""
@@ -353,7 +352,7 @@
             elif name not in (
                 "simulate",
                 "RequestHandler.serve",
-                "python -m ryelock.proving finals",
+                "python -m ryelock.testing finals",
             ):
                 self.assertTrue(name in ORDER or (ROOT / name).exists(), name)
 
--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -9,7 +9,7 @@
 from ryelock.consensus.entries import WORD, Entry
 from ryelock.consensus.node import Consensus
 from ryelock.journal import FolderError, Journal
-from ryelock.proving.simulated import SimFolder
+from ryelock.testing.simulated import SimFolder
 
 RECORD_BYTES = 20_000
 DISK_BYTES = 2_000_000
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -8,7 +8,7 @@
 
 from ryelock.consensus import Consensus
 from ryelock.events import SERVER_ASIDE
-from ryelock.proving.scenario import Scenario
+from ryelock.testing.scenario import Scenario
 
 Plain = dict[str, Any]
 
--- a/tests/test_consensus_model.py
+++ b/tests/test_consensus_model.py
@@ -6,8 +6,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from ryelock.proving.model.invariants import LIVENESS
-from ryelock.proving.model.linearizability import (
+from ryelock.testing.model.invariants import LIVENESS
+from ryelock.testing.model.linearizability import (
     ACCEPTED,
     CHANGE,
     CONFLICT,
@@ -15,7 +15,7 @@
     Operation,
     linearizable,
 )
-from ryelock.proving.model.schedule import (
+from ryelock.testing.model.schedule import (
     ARGUMENT_MOST,
     KINDS,
     MOTIFS,
@@ -26,7 +26,7 @@
     run_schedule,
     shrink,
 )
-from ryelock.proving.model.search import exhaustive_schedules
+from ryelock.testing.model.search import exhaustive_schedules
 
 CHUNKS = 4
 CHUNK_SEEDS = 400
--- a/tests/test_control_cases.py
+++ b/tests/test_control_cases.py
@@ -8,14 +8,14 @@
 import testtools
 
 from ryelock.consensus import Consensus
-from ryelock.core import renewals
-from ryelock.core.leading import Leading
+from ryelock.control_plane import renewals
+from ryelock.control_plane.leading import Leading
 from ryelock.journal import FolderError
-from ryelock.proving.control_cases import CONTROL_CASES, ISOLATIONS, route_change
-from ryelock.proving.scenario import Scenario
-from ryelock.proving.simulated import SimFolder
-from ryelock.register import Register, outcomes
-from ryelock.register.outcomes import Outcomes
+from ryelock.replicated_state import Register, outcomes
+from ryelock.replicated_state.outcomes import Outcomes
+from ryelock.testing.control_cases import CONTROL_CASES, ISOLATIONS, route_change
+from ryelock.testing.scenario import Scenario
+from ryelock.testing.simulated import SimFolder
 
 Patch = AbstractContextManager[Any]
 SEEDS = range(len(ISOLATIONS))
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,9 +7,9 @@
 
 import testtools
 
-from ryelock.proving.aimed import AIMS, draw_aimed
-from ryelock.proving.dayfile import Day, Site, SiteError, as_toml, read_site, write_day
-from ryelock.proving.days import (
+from ryelock.testing.aimed import AIMS, draw_aimed
+from ryelock.testing.dayfile import Day, Site, SiteError, as_toml, read_site, write_day
+from ryelock.testing.days import (
     CoverageError,
     coverage,
     coverage_lines,
@@ -17,7 +17,7 @@
     overlapping_pairs,
     wanted_pairs,
 )
-from ryelock.proving.troubles import CLOSINGS, KINDS, Closing, Entry
+from ryelock.testing.troubles import CLOSINGS, KINDS, Closing, Entry
 
 CONTRACTS = ("base", "health", "pool")
 SITE = Site("somewhere", 32.0, 4.0, 1, ("pages", "desk"), ("desk",), CONTRACTS)
--- a/tests/test_derived.py
+++ b/tests/test_derived.py
@@ -11,16 +11,15 @@
 from ryelock.edge.process import TrafficNode
 from ryelock.edge.servers import Servers
 from ryelock.edge.targets import Probing
-from ryelock.env import read_env
 from ryelock.events import WATCH_DERIVED, WATCH_ENDED
-from ryelock.exchange import Dialect, Exchange, Fields, field
-from ryelock.proving.scenario import CONFIGURATION, Scenario
-from ryelock.proving.simulated import SimNode, World
-from ryelock.proving.standins import ServerStandIn
-from ryelock.register import Register, Watch, encode_word
-from ryelock.roster import Listing, Server, Session
-from ryelock.verdict import History, Rules, gone_watches, judge
-from ryelock.watch import Row, Target, watch_mark
+from ryelock.health import History, Row, Rules, Target, gone_watches, judge, watch_mark
+from ryelock.http import Dialect, Exchange, Fields, field
+from ryelock.membership import Listing, Server, Session
+from ryelock.replicated_state import Register, Watch, encode_word
+from ryelock.settings import read_env
+from ryelock.testing.scenario import CONFIGURATION, Scenario
+from ryelock.testing.simulated import SimNode, World
+from ryelock.testing.standins import ServerStandIn
 
 DIALECT = Dialect(
     identity=b"X-Order-Identity",
--- a/tests/test_edge_catchup.py
+++ b/tests/test_edge_catchup.py
@@ -10,8 +10,8 @@
 
 from ryelock.consensus.entries import NOTE, WORD, Entry
 from ryelock.consensus.node import Consensus
-from ryelock.core.renewals import WORDS_BYTES_SMALL, Renewals
-from ryelock.register import Register, encode_word
+from ryelock.control_plane.renewals import WORDS_BYTES_SMALL, Renewals
+from ryelock.replicated_state import Register, encode_word
 
 
 def route_change(number: int, routes: int) -> dict[str, object]:
--- a/tests/test_egress.py
+++ b/tests/test_egress.py
@@ -4,9 +4,9 @@
 
 import testtools
 
-from ryelock.loop.egress import LINK_SHARE, TURN_BYTES_LEAST, EgressPacer
-from ryelock.loop.reactor import Reactor, SocketLink
-from ryelock.loop.tasks import Scheduler
+from ryelock.runtime.egress import LINK_SHARE, TURN_BYTES_LEAST, EgressPacer
+from ryelock.runtime.reactor import Reactor, SocketLink
+from ryelock.runtime.tasks import Scheduler
 
 LINK_BYTES_PER_SECOND = 500_000.0
 STEP_SECONDS = 0.001
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -5,7 +5,7 @@
 import testtools
 
 from ryelock.cache import Copy, answer_from, copy_of, may_use
-from ryelock.exchange import (
+from ryelock.http import (
     AnswerHead,
     Exchange,
     FramingError,
@@ -18,9 +18,9 @@
     parse_order_head,
     read_answer,
 )
-from ryelock.exchange.heads import content_length, is_chunked
-from ryelock.proving.simulated import World
-from ryelock.register import Route
+from ryelock.http.heads import content_length, is_chunked
+from ryelock.replicated_state import Route
+from ryelock.testing.simulated import World
 
 BAD_HEADS = (
     b"GET  / HTTP/1.1\r\nHost: a",
--- a/tests/test_finals.py
+++ b/tests/test_finals.py
@@ -6,13 +6,13 @@
 
 import testtools
 
-from ryelock.core.platform import PlatformReader
-from ryelock.core.process import ControlNode
+from ryelock.control_plane.platform import PlatformReader
+from ryelock.control_plane.process import ControlNode
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.process import TrafficNode
-from ryelock.proving.finals import FINALS, order_once, run_final
-from ryelock.proving.scenario import Scenario
-from ryelock.roster import Listing
+from ryelock.membership import Listing
+from ryelock.testing.finals import FINALS, order_once, run_final
+from ryelock.testing.scenario import Scenario
 
 
 class FinalTests(testtools.TestCase):
--- a/tests/test_golden_command.py
+++ b/tests/test_golden_command.py
@@ -20,8 +20,8 @@
 
 from golden import GoldenTest
 
-from ryelock import operator as operator_side
-from ryelock.program import main as program
+from ryelock import control_client as operator_side
+from ryelock.cli import main as program
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
--- a/tests/test_golden_lists.py
+++ b/tests/test_golden_lists.py
@@ -18,17 +18,17 @@
 from golden import GoldenTest
 
 import deployment
+import header_fields as platform_words
 import settings as platform_settings
-import words as platform_words
-from ryelock import control_api, env, events
-from ryelock.core.metrics import ControlMetrics
+from ryelock import control_api, events, settings
+from ryelock.control_plane.metrics import ControlMetrics
 from ryelock.edge.metrics import EdgeMetrics
-from ryelock.exchange import Dialect
-from ryelock.loop import Scheduler
+from ryelock.http import Dialect
+from ryelock.membership import sessions
 from ryelock.metrics import Metrics
-from ryelock.proving.simulated import World
-from ryelock.register import configuration as register_configuration
-from ryelock.roster import sessions
+from ryelock.replicated_state import configuration as register_configuration
+from ryelock.runtime import Scheduler
+from ryelock.testing.simulated import World
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
@@ -43,20 +43,20 @@
 
 def declared_settings() -> Iterator[tuple[str, object, Callable[[object], object]]]:
     """Yield key, default and check of each setting, in their order."""
-    for key, setting in env.settings_of(env.Env).items():
+    for key, setting in settings.settings_of(settings.Env).items():
         yield key, setting.default, setting.check
 
 
 def needed_settings() -> dict[str, tuple[str, ...]]:
     """Return the settings that each role needs."""
-    return env.NEEDED
+    return settings.NEEDED
 
 
 def read_settings(role: str, file: str, flags: dict[str, object]) -> dict[str, object]:
     """Return the settings of a process, or its faults."""
     try:
-        return dict(env.read_env(role, file, flags).values)
-    except env.EnvError as error:
+        return dict(settings.read_env(role, file, flags).values)
+    except settings.EnvError as error:
         return {"faults": error.faults}
 
 
@@ -113,7 +113,7 @@
     """Return the product's settings for lines of the platform, or their faults."""
     try:
         return dict(platform_settings.env_of(role, platform_settings.Told(lines)).values)
-    except env.EnvError as error:
+    except settings.EnvError as error:
         return {"faults": error.faults}
 
 
@@ -287,7 +287,7 @@
     texts = [
         path.read_text()
         for path in PACKAGES.glob("*/ryelock/*/*.py")
-        if path.parent.name != "proving"
+        if path.parent.name != "testing"
     ]
     names = {name.lower() for text in texts for name in HEADER.findall(text)}
     dialect, base_version = platform_dialect()
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -23,14 +23,14 @@
 from ryelock.consensus import entries as entry_forms
 from ryelock.consensus.entries import Entry, Image
 from ryelock.consensus.log import ReplicatedLog
-from ryelock.core.identity import open_disk
-from ryelock.core.process import ControlNode
-from ryelock.env import read_env
+from ryelock.control_plane.identity import open_disk
+from ryelock.control_plane.process import ControlNode
 from ryelock.events import QuietLog
 from ryelock.journal import Journal, MachineFolder
-from ryelock.proving.simulated import World
-from ryelock.register import Register, encode_word
-from ryelock.register import state as state_machine
+from ryelock.replicated_state import Register, encode_word
+from ryelock.replicated_state import state as state_machine
+from ryelock.settings import read_env
+from ryelock.testing.simulated import World
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -10,13 +10,13 @@
 from golden import GoldenTest
 from observed import frame, frames_in, message_in, observed
 
-import ryelock.wire as wire
+import ryelock.rpc as wire
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
 HELLO = wire.HELLO
 PACKAGES = Path(__file__).parent.parent / "packages"
-NOT_ON_THE_WIRE = ("register", "journal", "cache", "proving")
+NOT_ON_THE_WIRE = ("replicated_state", "journal", "cache", "testing")
 
 
 def encoded(message: dict[str, object]) -> bytes:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -5,12 +5,12 @@
 
 import testtools
 
-from ryelock.core.leading import Leading
+from ryelock.control_plane.leading import Leading
 from ryelock.edge.gate import Gate
 from ryelock.events import DUTY_FENCED
-from ryelock.proving.checks import Down, Findings, Probed, check_downs
-from ryelock.proving.scenario import CONFIGURATION, Scenario
-from ryelock.verdict.judge import TargetVerdict
+from ryelock.health.evaluation import TargetVerdict
+from ryelock.testing.checks import Down, Findings, Probed, check_downs
+from ryelock.testing.scenario import CONFIGURATION, Scenario
 
 Plain = dict[str, Any]
 
@@ -352,7 +352,7 @@
 
         with (
             mock.patch.object(TargetVerdict, "__init__", careless),
-            mock.patch("ryelock.verdict.judge.blind_probers", lambda *_rest: set()),
+            mock.patch("ryelock.health.evaluation.blind_probers", lambda *_rest: set()),
         ):
             scenario = standing(7)
             for other in scenario.edges:
--- a/tests/test_http_server_stop.py
+++ b/tests/test_http_server_stop.py
@@ -3,10 +3,10 @@
 import testtools
 
 from ryelock.events import QuietLog
-from ryelock.exchange import Exchange, HttpServer, Limits
-from ryelock.exchange.http_server import IDLE_GRACE_SECONDS
-from ryelock.loop import Link
-from ryelock.proving.simulated import World
+from ryelock.http import Exchange, HttpServer, Limits
+from ryelock.http.server import IDLE_GRACE_SECONDS
+from ryelock.runtime import Link
+from ryelock.testing.simulated import World
 
 SLOW_SECONDS = 3.0
 STOP_SECONDS = 4.0
--- a/tests/test_journal_faults.py
+++ b/tests/test_journal_faults.py
@@ -17,7 +17,7 @@
 import cbor2
 import testtools
 
-from ryelock.core.identity import open_disk
+from ryelock.control_plane.identity import open_disk
 from ryelock.events import QuietLog
 from ryelock.journal import FolderError, Journal, open_journal
 
--- a/tests/test_lapse.py
+++ b/tests/test_lapse.py
@@ -12,10 +12,10 @@
 
 import testtools
 
-from ryelock.allowance import Divider
 from ryelock.consensus import Consensus
-from ryelock.exchange import call
-from ryelock.proving.scenario import Scenario
+from ryelock.http import call
+from ryelock.rate_limit import Divider
+from ryelock.testing.scenario import Scenario
 
 
 def lapsing(seed: int, **settings: object) -> Scenario:
@@ -210,7 +210,7 @@
                 "-W",
                 "ignore",
                 "-m",
-                "ryelock.program",
+                "ryelock.cli",
                 "core",
                 "--settings",
                 str(file),
--- a/tests/test_listing_news.py
+++ b/tests/test_listing_news.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from ryelock.proving.scenario import Scenario
+from ryelock.testing.scenario import Scenario
 
 HOLD_SECONDS = 1.0
 NEWS_SECONDS = 0.3
--- a/tests/test_loss_cases.py
+++ b/tests/test_loss_cases.py
@@ -6,9 +6,9 @@
 import pytest
 import testtools
 
-from ryelock.core.voters import VoterKeeper
-from ryelock.proving import loss_cases
-from ryelock.proving.loss_cases import every_loss, leaving_member, play_losses, second_loss
+from ryelock.control_plane.voters import VoterKeeper
+from ryelock.testing import loss_cases
+from ryelock.testing.loss_cases import every_loss, leaving_member, play_losses, second_loss
 
 LEAVING_SEEDS = range(12)
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -3,10 +3,10 @@
 import unittest
 
 from deployment import Deployment
-from ryelock.exchange import read_answer, send_order
-from ryelock.exchange.reading import Reader
+from ryelock.http import read_answer, send_order
+from ryelock.http.reader import Reader
 from ryelock.metrics import Metrics
-from ryelock.proving.platform_clients import SAFE
+from ryelock.testing.platform_clients import SAFE
 
 METRICS_PORT = 9464
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -2,8 +2,8 @@
 
 import testtools
 
-from ryelock.register import Register, encode_word
-from ryelock.register.outcomes import REMEMBERED_MOST, outcomes_of
+from ryelock.replicated_state import Register, encode_word
+from ryelock.replicated_state.outcomes import REMEMBERED_MOST, outcomes_of
 
 PURGE = [{"path": "/covers/1"}]
 SERVICE = {"pages": {"rate": 10, "answer_seconds": 2}}
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from ryelock.proving.run import run_fleet
+from ryelock.testing.run import run_fleet
 
 PARTS = Path(__file__).parent.parent / "docs" / "parts"
 
@@ -15,7 +15,7 @@
     def test_every_example_runs(self) -> None:
         pages = sorted(PARTS.glob("*.md"))
         self.assertEqual(
-            ["allowance", "consensus", "duty", "journal", "roster", "verdict"],
+            ["consensus", "health", "journal", "membership", "rate-limit", "singleton"],
             [page.stem for page in pages],
         )
         for page in pages:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,15 +7,15 @@
 import testtools
 from test_egress import SteppedClock, raise_fault
 
-from ryelock.core.renewals import Renewals
+from ryelock.control_plane.renewals import Renewals
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.peers import Peers, owner_of
-from ryelock.exchange import call, field
-from ryelock.loop import Scheduler
-from ryelock.proving.checks import Findings
-from ryelock.proving.scenario import Scenario
-from ryelock.roster import Session
-from ryelock.wire import Message
+from ryelock.http import call, field
+from ryelock.membership import Session
+from ryelock.rpc import Message
+from ryelock.runtime import Scheduler
+from ryelock.testing.checks import Findings
+from ryelock.testing.scenario import Scenario
 
 HOST = "site"
 
--- a/tests/test_platform_listing.py
+++ b/tests/test_platform_listing.py
@@ -6,8 +6,8 @@
 import testtools
 
 from deployment import Deployment
-from ryelock.core.platform import Listed
-from ryelock.proving.platform_clients import SAFE, UNSAFE
+from ryelock.control_plane.platform import Listed
+from ryelock.testing.platform_clients import SAFE, UNSAFE
 from servers import Instances
 
 
--- a/tests/test_platform_orders.py
+++ b/tests/test_platform_orders.py
@@ -6,9 +6,9 @@
 import testtools
 
 from deployment import HOST, WORDS, Deployment, route, service_item
-from ryelock.exchange import Reader, field, read_answer
-from ryelock.proving.hosting_platform import Manner
-from ryelock.proving.platform_clients import (
+from ryelock.http import Reader, field, read_answer
+from ryelock.testing.hosting_platform import Manner
+from ryelock.testing.platform_clients import (
     CACHEABLE,
     SAFE,
     UNSAFE,
--- a/tests/test_platform_schedules.py
+++ b/tests/test_platform_schedules.py
@@ -13,8 +13,8 @@
 import testtools
 
 from deployment import HOST, Deployment, route, service_item
-from ryelock.proving.hosting_platform import Manner, ServerLife
-from ryelock.proving.platform_clients import (
+from ryelock.testing.hosting_platform import Manner, ServerLife
+from ryelock.testing.platform_clients import (
     CACHEABLE,
     SAFE,
     UNSAFE,
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -7,7 +7,7 @@
 
 import deployment
 import settings
-from ryelock.env import Env, EnvError
+from ryelock.settings import Env, EnvError
 
 THREE = {"a": "north", "b": "north", "c": "south"}
 SEEDS = ["10.1.0.1:8146", "10.2.0.1:8146", "10.3.0.1:8146"]
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -9,9 +9,9 @@
 import testtools
 
 from deployment import HOST, WORDS, Deployment
-from ryelock.exchange import Fields
-from ryelock.proving.hosting_platform import Arrival, Manner, ServerLife
-from ryelock.proving.platform_clients import SAFE, UNSAFE, Client, Note, over_budget, over_ceiling
+from ryelock.http import Fields
+from ryelock.testing.hosting_platform import Arrival, Manner, ServerLife
+from ryelock.testing.platform_clients import SAFE, UNSAFE, Client, Note, over_budget, over_ceiling
 
 
 class Direct(testtools.TestCase):
--- a/tests/test_platform_takeouts.py
+++ b/tests/test_platform_takeouts.py
@@ -8,13 +8,13 @@
 import testtools
 
 from deployment import HOST, Deployment
-from ryelock.allowance import RetryBudget, TokenBucket
+from header_fields import DIALECT
 from ryelock.cache import Store
 from ryelock.edge.handler import RequestHandler
-from ryelock.exchange import CallError
-from ryelock.proving.hosting_platform import Manner
-from ryelock.proving.platform_clients import CACHEABLE, SAFE, UNSAFE, over_budget, over_ceiling
-from words import DIALECT
+from ryelock.http import CallError
+from ryelock.rate_limit import RetryBudget, TokenBucket
+from ryelock.testing.hosting_platform import Manner
+from ryelock.testing.platform_clients import CACHEABLE, SAFE, UNSAFE, over_budget, over_ceiling
 
 Run = Callable[[], list[str]]
 ONE_ZONE = {"a": "north"}
--- a/tests/test_played.py
+++ b/tests/test_played.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from ryelock.proving.played import (
+from ryelock.testing.played import (
     NEVER,
     ReportError,
     margin_lines,
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -14,7 +14,7 @@
 
 def program(*words: str) -> tuple[int, str, str]:
     found = subprocess.run(
-        [sys.executable, "-m", "ryelock.program", *words],
+        [sys.executable, "-m", "ryelock.cli", *words],
         capture_output=True,
         text=True,
         timeout=60,
--- a/tests/test_rate_sharing.py
+++ b/tests/test_rate_sharing.py
@@ -5,8 +5,8 @@
 
 from deployment import HOST, Deployment, route, service_item
 from ryelock.edge.process import TrafficNode
-from ryelock.proving.hosting_platform import Manner
-from ryelock.proving.platform_clients import CACHEABLE, Note, over_ceiling
+from ryelock.testing.hosting_platform import Manner
+from ryelock.testing.platform_clients import CACHEABLE, Note, over_ceiling
 
 OBJECTS = 240
 LIFETIME_SECONDS = 20.0
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -11,7 +11,7 @@
 from ryelock.events import JOURNAL_TORN, QuietLog
 from ryelock.journal import MachineFolder, open_journal
 from ryelock.journal.folder import FolderError
-from ryelock.proving.simulated import SimFolder
+from ryelock.testing.simulated import SimFolder
 
 
 class JournalTests(testtools.TestCase):
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -6,10 +6,10 @@
 
 import testtools
 
-from ryelock.core.process import ControlNode
-from ryelock.proving.loss_cases import LOSS_SETTINGS
-from ryelock.proving.scenario import Scenario
-from ryelock.wire import Message
+from ryelock.control_plane.process import ControlNode
+from ryelock.rpc import Message
+from ryelock.testing.loss_cases import LOSS_SETTINGS
+from ryelock.testing.scenario import Scenario
 
 
 class ReleaseTests(testtools.TestCase):
--- a/tests/test_replicated_log.py
+++ b/tests/test_replicated_log.py
@@ -6,7 +6,7 @@
 from ryelock.consensus.log import ReplicatedLog
 from ryelock.events import QuietLog
 from ryelock.journal import FolderError, Journal, open_journal
-from ryelock.proving.simulated import SimFolder
+from ryelock.testing.simulated import SimFolder
 
 
 def word(index: int, epoch: int) -> Entry:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -14,10 +14,10 @@
 from ryelock.consensus.types import BATCH_BYTES, BATCH_BYTES_LEAST, Pace, Peer
 from ryelock.events import QuietLog
 from ryelock.journal import open_journal
-from ryelock.loop import Scheduler
-from ryelock.proving.simulated import SimFolder
-from ryelock.register import Register, encode_word
-from ryelock.wire import WireError
+from ryelock.replicated_state import Register, encode_word
+from ryelock.rpc import WireError
+from ryelock.runtime import Scheduler
+from ryelock.testing.simulated import SimFolder
 
 Message = dict[str, Any]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,20 +8,20 @@
 import testtools
 from expression import Ok
 
-from ryelock.allowance import Divider, RetryBudget
 from ryelock.cache import Store
 from ryelock.consensus import Consensus
 from ryelock.consensus.transfer import IncomingImage
-from ryelock.core.voters import VoterKeeper
+from ryelock.control_plane.voters import VoterKeeper
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.member import Member
 from ryelock.edge.orders import Failed
 from ryelock.edge.servers import Servers
-from ryelock.exchange.http_server import HttpServer
-from ryelock.exchange.reading import Body, Cut
-from ryelock.proving.cases import CASES
-from ryelock.proving.simulated import SimFolder
-from ryelock.register import Register
+from ryelock.http.reader import Body, Cut
+from ryelock.http.server import HttpServer
+from ryelock.rate_limit import Divider, RetryBudget
+from ryelock.replicated_state import Register
+from ryelock.testing.cases import CASES
+from ryelock.testing.simulated import SimFolder
 
 Patch = AbstractContextManager[Any]
 
@@ -65,7 +65,7 @@
 def boundless_repeats() -> list[Patch]:
     return [
         mock.patch.object(RetryBudget, "repeat", always(True)),
-        mock.patch("ryelock.allowance.divide.usable", lambda rate, _burst, _edges: rate),
+        mock.patch("ryelock.rate_limit.quota_allocator.usable", lambda rate, _burst, _edges: rate),
     ]
 
 
@@ -174,7 +174,7 @@
 def no_service_is_narrow() -> list[Patch]:
     return [
         mock.patch(f"ryelock.{place}.is_narrow", always(False))
-        for place in ("core.renewals", "edge.process")
+        for place in ("control_plane.renewals", "edge.process")
     ]
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,9 +8,9 @@
 
 import testtools
 
-from ryelock.proving.accounts import Account, Spent, read_traffic
-from ryelock.proving.pieces import measure_configuration, measure_purge, measure_sessions
-from ryelock.proving.scale import Point, Size, growth, measure_judging, plot, run_scale, table
+from ryelock.testing.accounts import Account, Spent, read_traffic
+from ryelock.testing.pieces import measure_configuration, measure_purge, measure_sessions
+from ryelock.testing.scale import Point, Size, growth, measure_judging, plot, run_scale, table
 
 NODES, CHANGES = 8, 2
 
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -5,8 +5,8 @@
 import testtools
 
 from ryelock.events import FOLLOWS_AGAIN, ISOLATED, LEAVING, VOTER_LOST
-from ryelock.proving.loss_cases import LOSS_SETTINGS
-from ryelock.proving.scenario import Scenario
+from ryelock.testing.loss_cases import LOSS_SETTINGS
+from ryelock.testing.scenario import Scenario
 
 
 def standing(cores: int) -> Scenario:
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -2,8 +2,8 @@
 
 import testtools
 
-from ryelock.loop import Queue, Scheduler
-from ryelock.loop.tasks import RUN_SECONDS, STEPS_BETWEEN_CLOCK_READS
+from ryelock.runtime import Queue, Scheduler
+from ryelock.runtime.tasks import RUN_SECONDS, STEPS_BETWEEN_CLOCK_READS
 
 
 class SteppedClock:
--- a/tests/transcript.py
+++ b/tests/transcript.py
@@ -29,10 +29,10 @@
 import test_platform_schedules  # noqa: E402
 from observed import GREETING, MODEL, observed  # noqa: E402
 
-from ryelock.proving.control_cases import isolated_leader  # noqa: E402
-from ryelock.proving.model.schedule import draw  # noqa: E402
-from ryelock.proving.model.schedule import run_schedule as run_model  # noqa: E402
-from ryelock.proving.schedules import run_schedule  # noqa: E402
+from ryelock.testing.control_cases import isolated_leader  # noqa: E402
+from ryelock.testing.model.schedule import draw  # noqa: E402
+from ryelock.testing.model.schedule import run_schedule as run_model  # noqa: E402
+from ryelock.testing.schedules import run_schedule  # noqa: E402
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
