--- a/packages/cache/ryelock/cache/__init__.py
+++ b/packages/cache/ryelock/cache/__init__.py
@@ -4,7 +4,16 @@
 copies, the fills that are under way, and what purges do to both.
 """
 
-from ryelock.cache.rules import Copy, answer_from, copy_of, freshness, may_use, vary_key
-from ryelock.cache.store import Fill, Store
+from ryelock.cache.rules import StoredResponse, answer_from, copy_of, freshness, may_use, vary_key
+from ryelock.cache.store import CacheStore, Fill
 
-__all__ = ["Copy", "Fill", "Store", "answer_from", "copy_of", "freshness", "may_use", "vary_key"]
+__all__ = [
+    "CacheStore",
+    "Fill",
+    "StoredResponse",
+    "answer_from",
+    "copy_of",
+    "freshness",
+    "may_use",
+    "vary_key",
+]
--- a/packages/cache/ryelock/cache/rules.py
+++ b/packages/cache/ryelock/cache/rules.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ryelock.http import AnswerHead, Fields, OrderHead, field, parse_http_date, tokens
+from ryelock.http import Fields, RequestHead, ResponseHead, field, parse_http_date, tokens
 from ryelock.replicated_state import Route
 
 KEPT_STATUSES = frozenset([200, 203, 300, 301, 308, 404, 410])
@@ -28,7 +28,7 @@
 )
 
 
-class Copy:
+class StoredResponse:
     """One stored answer."""
 
     __slots__ = (
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        head: AnswerHead,
+        head: ResponseHead,
         fields: Fields,
         body: bytes,
         at: float,
@@ -125,23 +125,23 @@
 
 
 def copy_of(
-    order: OrderHead,
+    request: RequestHead,
     route: Route,
-    head: AnswerHead,
+    head: ResponseHead,
     fields: Fields,
     body: bytes,
     sent: float,
     now: float,
-) -> Copy | None:
+) -> StoredResponse | None:
     """The copy that may be kept of an answer, or None."""
-    if not route.cached or order.method != b"GET" or head.status not in KEPT_STATUSES:
+    if not route.cached or request.method != b"GET" or head.status not in KEPT_STATUSES:
         return None
     said = directives(fields)
-    if "no-store" in said or "private" in said or "no-store" in directives(order.fields):
+    if "no-store" in said or "private" in said or "no-store" in directives(request.fields):
         return None
     if field(fields, b"set-cookie") is not None:
         return None
-    if field(order.fields, b"authorization") is not None and not (
+    if field(request.fields, b"authorization") is not None and not (
         "public" in said or "s-maxage" in said or "must-revalidate" in said
     ):
         return None
@@ -157,10 +157,12 @@
     short = (lifetime is None and route.lifetime_seconds <= 0) or lifetime == 0.0
     if short and field(fields, b"etag") is None:
         return None
-    return Copy(head, kept, body, now, age + (now - sent), lifetime, vary_key(order.fields, names))
+    return StoredResponse(
+        head, kept, body, now, age + (now - sent), lifetime, vary_key(request.fields, names)
+    )
 
 
-def lifetime_under(copy: Copy, route: Route) -> float:
+def lifetime_under(copy: StoredResponse, route: Route) -> float:
     """The lifetime of a copy: the server's, but never above the route's."""
     if copy.lifetime is None:
         return route.lifetime_seconds
@@ -169,12 +171,12 @@
     return copy.lifetime
 
 
-def may_use(copy: Copy, route: Route, order: Fields, now: float) -> bool:
+def may_use(copy: StoredResponse, route: Route, request: Fields, now: float) -> bool:
     """Whether a copy may answer an order without asking the server."""
-    asked = directives(order)
+    asked = directives(request)
     if "no-cache" in asked or copy.revalidate:
         return False
-    if not asked and field(order, b"pragma") == b"no-cache":
+    if not asked and field(request, b"pragma") == b"no-cache":
         return False
     left = lifetime_under(copy, route) - copy.age(now)
     most = seconds_of(asked, "max-age")
@@ -187,16 +189,16 @@
     return one.removeprefix(b"W/") == other.removeprefix(b"W/")
 
 
-def not_modified(copy: Copy, order: Fields) -> bool:
+def not_modified(copy: StoredResponse, request: Fields) -> bool:
     """Tell whether the request's conditions allow 304 (RFC 9110, 13.1.2 and 13.1.3)."""
-    wanted = field(order, b"if-none-match")
+    wanted = field(request, b"if-none-match")
     if wanted is not None:
         if wanted.strip() == b"*":
             return True
         return copy.etag is not None and any(
             same_etag(part.strip(), copy.etag) for part in wanted.split(b",")
         )
-    since = parse_http_date(field(order, b"if-modified-since"))
+    since = parse_http_date(field(request, b"if-modified-since"))
     modified = parse_http_date(copy.modified)
     return since is not None and modified is not None and modified <= since
 
@@ -217,13 +219,13 @@
 UNSATISFIABLE = Part(0, 0)
 
 
-def one_range(copy: Copy, order: Fields) -> Part | None:
+def one_range(copy: StoredResponse, request: Fields) -> Part | None:
     """Return the range that is asked for; None for the whole body."""
-    asked = field(order, b"range")
+    asked = field(request, b"range")
     found = ONE_RANGE.fullmatch(asked) if asked is not None else None
     if found is None or copy.status != 200 or (not found[1] and not found[2]):
         return None
-    condition = field(order, b"if-range")
+    condition = field(request, b"if-range")
     if condition is not None and (
         condition.startswith(b"W/") or condition not in (copy.etag, copy.modified)
     ):
@@ -247,13 +249,13 @@
     body: bytes
 
 
-def answer_from(copy: Copy, order: OrderHead, now: float) -> CopyAnswer:
+def answer_from(copy: StoredResponse, request: RequestHead, now: float) -> CopyAnswer:
     """Return what a copy answers at monotonic time `now`: whole, in part, or not modified."""
     fields = [*copy.fields, (b"Age", b"%d" % int(copy.age(now)))]
-    if copy.status == 200 and not_modified(copy, order.fields):
+    if copy.status == 200 and not_modified(copy, request.fields):
         kept = [pair for pair in fields if pair[0].lower() in NOT_MODIFIED_FIELDS]
         return CopyAnswer(304, b"", kept, b"")
-    part = one_range(copy, order.fields)
+    part = one_range(copy, request.fields)
     if part is None:
         return CopyAnswer(copy.status, copy.reason, fields, copy.body)
     size = len(copy.body)
--- a/packages/cache/ryelock/cache/store.py
+++ b/packages/cache/ryelock/cache/store.py
@@ -7,7 +7,7 @@
 
 from cachetools import LRUCache
 
-from ryelock.cache.rules import Copy, vary_key
+from ryelock.cache.rules import StoredResponse, vary_key
 from ryelock.http import Fields, field
 from ryelock.replicated_state import Purge
 from ryelock.runtime import Queue
@@ -24,9 +24,9 @@
         """Create a fill of one key that nobody waits for yet."""
         self.key = key
         self.spoiled = False
-        self.waiting: list[Queue[Copy | None]] = []
+        self.waiting: list[Queue[StoredResponse | None]] = []
 
-    def end(self, copy: Copy | None) -> None:
+    def end(self, copy: StoredResponse | None) -> None:
         """Wake everyone who waits; None means that there is no copy to serve."""
         for box in self.waiting:
             box.put(copy)
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         """Create a set without copies."""
-        self.copies: list[Copy] = []
+        self.copies: list[StoredResponse] = []
 
     @property
     def size(self) -> int:
@@ -56,10 +56,10 @@
 VARIANTS_MOST = 16
 
 
-class Store:
+class CacheStore:
     """The cache of one edge: copies, fills under way, and the purges done so far."""
 
-    __slots__ = ("copies", "fills", "labels", "purged", "recent", "room")
+    __slots__ = ("fills", "labels", "purged", "recent", "responses", "room")
 
     def __init__(self, room: int, labels: bytes = b"") -> None:
         """Create an empty cache.
@@ -71,17 +71,17 @@
         self.room = room
         self.labels = labels.lower()
         self.recent: list[Purge] = []
-        self.copies: LRUCache[Key, Variants] = LRUCache(maxsize=max(1, room), getsizeof=size_of)
+        self.responses: LRUCache[Key, Variants] = LRUCache(maxsize=max(1, room), getsizeof=size_of)
         self.fills: dict[Key, Fill] = {}
         self.purged = 0
 
-    def find(self, key: Key, order: Fields) -> Copy | None:
+    def find(self, key: Key, request: Fields) -> StoredResponse | None:
         """Return the copy that matches the request's fields, or None."""
-        variants = self.copies.get(key)
+        variants = self.responses.get(key)
         if variants is None:
             return None
         for copy in variants.copies:
-            if vary_key(order, [name for name, _ in copy.vary]) == copy.vary:
+            if vary_key(request, [name for name, _ in copy.vary]) == copy.vary:
                 return copy
         return None
 
@@ -91,7 +91,7 @@
         self.fills[key] = fill
         return fill
 
-    def end(self, fill: Fill, copy: Copy | None) -> None:
+    def end(self, fill: Fill, copy: StoredResponse | None) -> None:
         """Keep what a fill brought, unless a purge came in between, and wake who waits."""
         if self.fills.get(fill.key) is fill:
             del self.fills[fill.key]
@@ -101,9 +101,9 @@
             self.keep(fill.key, copy)
         fill.end(copy)
 
-    def keep(self, key: Key, copy: Copy) -> None:
+    def keep(self, key: Key, copy: StoredResponse) -> None:
         """Add a copy beside the other variants of its key, replacing an equal variant."""
-        before = self.copies.pop(key, None)
+        before = self.responses.pop(key, None)
         variants = Variants()
         if before is not None:
             variants.copies = [other for other in before.copies if other.vary != copy.vary][
@@ -111,11 +111,11 @@
             ]
         variants.copies.append(copy)
         if variants.size <= self.room:
-            self.copies[key] = variants
+            self.responses[key] = variants
 
     def drop(self, key: Key) -> None:
         """Remove all copies of a key."""
-        self.copies.pop(key, None)
+        self.responses.pop(key, None)
 
     def take_purges(self, purges: list[Purge], newest: int) -> int:
         """Do all purges that were not done yet, in one pass; says how many copies went."""
@@ -126,11 +126,11 @@
         self.purged = newest
         self.recent = purges
         gone = 0
-        for key, variants in list(self.copies.items()):
+        for key, variants in list(self.responses.items()):
             if missed or any(
                 matches(purge, key) or self.bears(purge, variants.copies) for purge in fresh
             ):
-                del self.copies[key]
+                del self.responses[key]
                 gone += 1
         for key, fill in list(self.fills.items()):
             if missed or any(matches(purge, key) for purge in fresh):
@@ -139,7 +139,7 @@
                 fill.end(None)
         return gone
 
-    def bears(self, purge: Purge, copies: list[Copy]) -> bool:
+    def bears(self, purge: Purge, copies: list[StoredResponse]) -> bool:
         """Whether one of the copies bears the label of a purge."""
         return (
             purge.kind == "label"
@@ -150,7 +150,7 @@
             )
         )
 
-    def purged_since(self, before: int, key: Key, copy: Copy) -> bool:
+    def purged_since(self, before: int, key: Key, copy: StoredResponse) -> bool:
         """Whether a purge later than a number names what a fill begun at that number brought."""
         if self.purged == before:
             return False
--- a/packages/cli/ryelock/cli/main.py
+++ b/packages/cli/ryelock/cli/main.py
@@ -14,9 +14,9 @@
 
 from ryelock.cli.running import run_daemon, run_once  # noqa: E402
 from ryelock.control_client import UNREACHED, Plain, ask, code_of  # noqa: E402
-from ryelock.explain import explain_order, explain_url, in_words  # noqa: E402
+from ryelock.explain import explain_request, explain_url, in_words  # noqa: E402
 from ryelock.runtime.reactor import Reactor  # noqa: E402
-from ryelock.settings import EnvError, read_env  # noqa: E402
+from ryelock.settings import SettingsError, read_settings  # noqa: E402
 
 BAD_SETTINGS = 2
 
@@ -27,8 +27,8 @@
         key, _, value = pair.partition("=")
         flags[key] = value
     try:
-        env = read_env(role, settings, flags)
-    except EnvError as error:
+        env = read_settings(role, settings, flags)
+    except SettingsError as error:
         for fault in error.faults:
             sys.stderr.write(f"ryelock {role}: {fault}\n")
         return BAD_SETTINGS
@@ -340,7 +340,7 @@
         if url:
             found = await explain_url(reactor.scheduler, reactor, at, what, url)
         else:
-            found = await explain_order(reactor.scheduler, reactor, at, what)
+            found = await explain_request(reactor.scheduler, reactor, at, what)
         if found.is_error():
             sys.stderr.write(f"ryelock explain: {found.error}\n")
             return UNREACHED
--- a/packages/cli/ryelock/cli/running.py
+++ b/packages/cli/ryelock/cli/running.py
@@ -15,7 +15,7 @@
 from ryelock.journal import FolderError, MachineFolder
 from ryelock.runtime import NetworkError, TaskCoroutine
 from ryelock.runtime.reactor import Reactor
-from ryelock.settings import Env, EnvError
+from ryelock.settings import Settings, SettingsError
 
 
 class Node(Protocol):
@@ -25,7 +25,7 @@
         """Start the node's tasks."""
         ...
 
-    def follow(self, env: Env) -> None:
+    def follow(self, settings: Settings) -> None:
         """Take over changed settings."""
         ...
 
@@ -43,7 +43,7 @@
 
     __slots__ = ("path", "read")
 
-    def __init__(self, path: str, read: Callable[[], Env]) -> None:
+    def __init__(self, path: str, read: Callable[[], Settings]) -> None:
         """Watch a settings file; `read` reads it and raises EnvError for faults."""
         self.path = path
         self.read = read
@@ -57,34 +57,36 @@
         return found.st_mtime_ns, found.st_size, found.st_ino
 
 
-def build(role: str, env: Env, reactor: Reactor, log: Log, random: Random) -> Node:
+def build(role: str, settings: Settings, reactor: Reactor, log: Log, random: Random) -> Node:
     """The node of a role; raises FolderError or NetworkError with a plain message."""
     if role != "core":
-        return TrafficNode(role, env, reactor.scheduler, reactor, log, random)
-    return open_control(env, reactor, log, random)
+        return TrafficNode(role, settings, reactor.scheduler, reactor, log, random)
+    return open_control(settings, reactor, log, random)
 
 
-def open_control(env: Env, reactor: Reactor, log: Log, random: Random) -> ControlNode:
+def open_control(settings: Settings, reactor: Reactor, log: Log, random: Random) -> ControlNode:
     """A control node on its disk; raises FolderError or NetworkError with a plain message."""
-    folder = MachineFolder(env.data_folder)
-    found = open_disk(folder, log, env.segment_bytes, random)
+    folder = MachineFolder(settings.data_folder)
+    found = open_disk(folder, log, settings.segment_bytes, random)
     if found.is_error():
-        raise FolderError(f"data folder {env.data_folder}: {found.error.reason}")
+        raise FolderError(f"data folder {settings.data_folder}: {found.error.reason}")
     disk, journal = found.ok
-    return ControlNode(env, reactor.scheduler, reactor, log, random, disk, journal)
+    return ControlNode(settings, reactor.scheduler, reactor, log, random, disk, journal)
 
 
-def run_daemon(role: str, env: Env) -> int:
+def run_daemon(role: str, settings: Settings) -> int:
     """Run the daemon of a role until it is told to stop; return its exit code."""
-    return run_node(role, env, lambda reactor, log, random: build(role, env, reactor, log, random))
+    return run_node(
+        role, settings, lambda reactor, log, random: build(role, settings, reactor, log, random)
+    )
 
 
-def run_node(role: str, env: Env, build: Build, watched: Watched | None = None) -> int:
+def run_node(role: str, settings: Settings, build: Build, watched: Watched | None = None) -> int:
     """Run a node as a daemon until it is told to stop; the exit code.
 
     Where its settings file is watched, it is read again when it changed or a SIGHUP says so.
     """
-    log = Log(env.name)
+    log = Log(settings.name)
 
     def fault(name: str, error: BaseException) -> None:
         log.write(
@@ -94,7 +96,7 @@
             trace="".join(traceback.format_exception(error))[-4000:],
         )
 
-    reactor = Reactor(fault, env.link_bytes)
+    reactor = Reactor(fault, settings.link_bytes)
     try:
         node = build(reactor, log, SystemRandom())
     except (FolderError, NetworkError) as error:
@@ -122,7 +124,7 @@
         try:
             node.follow(watched.read())
             log.write(SETTINGS_FOLLOWED)
-        except EnvError as error:
+        except SettingsError as error:
             log.write(SETTINGS_DECLINED, faults=error.faults)
 
 
--- a/packages/consensus/ryelock/consensus/__init__.py
+++ b/packages/consensus/ryelock/consensus/__init__.py
@@ -5,17 +5,17 @@
 the log to it; there is no pure core apart from them. See docs/parts/consensus.md.
 """
 
-from ryelock.consensus.entries import Entry, Image, Voters, majority_of
+from ryelock.consensus.entries import Entry, Snapshot, Voters, majority_of
 from ryelock.consensus.node import Consensus
-from ryelock.consensus.types import ConsensusError, Machine, Pace
+from ryelock.consensus.types import ConsensusError, ConsensusSettings, StateMachine
 
 __all__ = [
     "Consensus",
     "ConsensusError",
+    "ConsensusSettings",
     "Entry",
-    "Image",
-    "Machine",
-    "Pace",
+    "Snapshot",
+    "StateMachine",
     "Voters",
     "majority_of",
 ]
--- a/packages/consensus/ryelock/consensus/applying.py
+++ b/packages/consensus/ryelock/consensus/applying.py
@@ -3,15 +3,15 @@
 from expression import Error, Ok
 
 from ryelock.consensus.entries import (
-    NOTE,
-    WORD,
+    COMMAND,
+    INTERNAL,
     Entry,
-    Image,
+    Snapshot,
 )
 from ryelock.consensus.state import MemberState
 from ryelock.consensus.types import ConsensusError
 from ryelock.events import (
-    IMAGE_WRITTEN,
+    SNAPSHOT_WRITTEN,
     VOTERS_CHANGED,
 )
 
@@ -40,14 +40,14 @@
         """Where the disk took no more, an image may make room."""
         if not self.compaction.due(self.journal):
             return False
-        self.write_image()
+        self.write_snapshot()
         return self.replicated_log.append(entries)
 
     def advance(self, commit: int) -> None:
         """Entries up to an index are agreed; apply a batch of them, the owner the others."""
-        if commit <= self.commit:
+        if commit <= self.commit_index:
             return
-        self.commit = commit
+        self.commit_index = commit
         self.apply_committed()
 
     def apply_committed(self) -> None:
@@ -56,34 +56,34 @@
         The owner goes on after it has served its queue, so that a long catch-up holds up no
         heartbeat. At least one entry is applied.
         """
-        if self.applied == self.commit:
+        if self.applied_index == self.commit_index:
             return
         until = self.scheduler.now() + APPLY_SECONDS
-        last = min(self.commit, self.applied + APPLY_ENTRIES)
-        while self.applied < last:
-            self.apply_entry(self.entry_at(self.applied + 1))
+        last = min(self.commit_index, self.applied_index + APPLY_ENTRIES)
+        while self.applied_index < last:
+            self.apply_entry(self.entry_at(self.applied_index + 1))
             if self.scheduler.now() >= until:
                 break
         if self.role == "leader" and self.settled_at < self.elected_at and self.settled:
             self.settled_at = self.scheduler.now()
         self.tell_applied()
         if self.compaction.due(self.journal):
-            self.write_image()
+            self.write_snapshot()
 
     def apply_entry(self, entry: Entry) -> None:
         """Apply the next entry and answer who proposed it."""
         result: object = None
-        if entry.kind in (WORD, NOTE):
-            result = self.machine.apply(entry.index, entry.data)
+        if entry.kind in (COMMAND, INTERNAL):
+            result = self.state_machine.apply(entry.index, entry.data)
             entry.repeated = isinstance(result, dict) and result.get("again") is True
-        self.applied = entry.index
-        if entry.kind == WORD:
-            self.applied_word = entry.index
+        self.applied_index = entry.index
+        if entry.kind == COMMAND:
+            self.applied_command_index = entry.index
         waiting = self.waiting.pop(entry.index, None)
         if waiting is None:
             return
         epoch, box = waiting
-        if epoch == entry.epoch:
+        if epoch == entry.term:
             box.put(Ok(result))
         else:
             box.put(Error(ConsensusError("another word took its place", True)))
@@ -92,16 +92,16 @@
         for tell in self.applied_news:
             tell()
 
-    def write_image(self) -> None:
-        image = Image(
-            self.applied,
-            self.epoch_at(self.applied),
-            self.replicated_log.voters_at(self.applied),
-            self.machine.image(),
-            self.applied_word,
+    def write_snapshot(self) -> None:
+        snapshot = Snapshot(
+            self.applied_index,
+            self.term_at(self.applied_index),
+            self.replicated_log.voters_at(self.applied_index),
+            self.state_machine.snapshot(),
+            self.applied_command_index,
         )
-        if not self.replicated_log.compact(image):
+        if not self.replicated_log.compact(snapshot):
             self.compaction.failed(self.journal)
         else:
             self.compaction.done()
-            self.log.write(IMAGE_WRITTEN, index=image.index)
+            self.log.write(SNAPSHOT_WRITTEN, index=snapshot.index)
--- a/packages/consensus/ryelock/consensus/compaction.py
+++ b/packages/consensus/ryelock/consensus/compaction.py
@@ -11,7 +11,7 @@
 """A journal up to this size is not compacted for its bytes, where the disk has room."""
 JOURNAL_BYTES_LEAST = 65_536
 """A journal is never compacted for its bytes below this size, however small the disk."""
-IMAGES_PER_JOURNAL = 2
+SNAPSHOTS_PER_JOURNAL = 2
 """The journal grows to so many times its image, so that writing images costs half of appending."""
 DISK_SHARE = 0.5
 """The part of the disk that image and journal may fill; the rest may hold a damaged journal."""
@@ -19,12 +19,12 @@
 """After a failure the journal grows by this part of its limit before the next image."""
 
 
-def journal_bytes_most(image_bytes: int, disk_bytes: int) -> int:
+def journal_bytes_most(snapshot_bytes: int, disk_bytes: int) -> int:
     """How large the journal behind an image may grow; `disk_bytes` 0 means: not known."""
-    wanted = max(JOURNAL_BYTES, IMAGES_PER_JOURNAL * image_bytes)
+    wanted = max(JOURNAL_BYTES, SNAPSHOTS_PER_JOURNAL * snapshot_bytes)
     if not disk_bytes:
         return wanted
-    room = int(disk_bytes * DISK_SHARE) - 2 * image_bytes
+    room = int(disk_bytes * DISK_SHARE) - 2 * snapshot_bytes
     return max(JOURNAL_BYTES_LEAST, min(wanted, room))
 
 
@@ -44,11 +44,11 @@
 
         On a disk that took no more an image is due as soon as it makes the journal smaller.
         """
-        most = journal_bytes_most(journal.image_bytes, self.disk_bytes)
+        most = journal_bytes_most(journal.snapshot_bytes, self.disk_bytes)
         wanted = (
             journal.written > self.records_most
             or journal.replay_bytes > most
-            or (journal.full and journal.replay_bytes > journal.image_bytes)
+            or (journal.full and journal.replay_bytes > journal.snapshot_bytes)
         )
         waited = (
             journal.replay_bytes >= self.not_before_bytes
@@ -58,7 +58,7 @@
 
     def failed(self, journal: Journal) -> None:
         """An image could not be written."""
-        most = journal_bytes_most(journal.image_bytes, self.disk_bytes)
+        most = journal_bytes_most(journal.snapshot_bytes, self.disk_bytes)
         self.not_before_bytes = journal.replay_bytes + int(most * BACKOFF_SHARE)
         self.not_before_records = journal.written + max(1, int(self.records_most * BACKOFF_SHARE))
 
--- a/packages/consensus/ryelock/consensus/elections.py
+++ b/packages/consensus/ryelock/consensus/elections.py
@@ -25,27 +25,27 @@
         epoch = whole(message["epoch"])
         trial = message["trial"] is True
         last = (whole(message["last_epoch"]), whole(message["last_index"]))
-        answer: Message = {"disk": self.disk, "epoch": self.epoch, "granted": False}
+        answer: Message = {"disk": self.disk, "epoch": self.term, "granted": False}
         if message["to"] != self.disk:
             return {**answer, "stranger": True}
         now = self.scheduler.now()
         handed = message.get("handed") is True
-        if now < self.promised or (self.knows_leader() and not handed and epoch >= self.epoch):
+        if now < self.promised or (self.knows_leader() and not handed and epoch >= self.term):
             return answer
-        mine = (self.epoch_at(self.last_index), self.last_index)
-        if last < mine or epoch < self.epoch:
+        mine = (self.term_at(self.last_index), self.last_index)
+        if last < mine or epoch < self.term:
             return answer
         candidate = str(message["disk"])
         if trial:
-            return {**answer, "granted": epoch > self.epoch}
-        if epoch == self.epoch and self.voted not in ("", candidate):
+            return {**answer, "granted": epoch > self.term}
+        if epoch == self.term and self.voted not in ("", candidate):
             return answer
         if self.role == "leader":
             self.drop_leading("another election")
         if not self.save_vote(epoch, candidate):
             return answer
         self.put_off_election()
-        return {**answer, "epoch": self.epoch, "granted": True}
+        return {**answer, "epoch": self.term, "granted": True}
 
     def on_promise(self, message: Message) -> Message:
         """Join no leader for so long; granted only where no leader can be had."""
@@ -55,8 +55,8 @@
             self.disk in self.voters
             and not self.knows_leader()
             and isinstance(seconds, float)
-            and 0 < seconds <= self.pace.promise
-            and now - self.last_round_failed < 3 * self.pace.election
+            and 0 < seconds <= self.settings.promise_seconds
+            and now - self.last_round_failed < 3 * self.settings.election_timeout
         )
         if granted and not self.promise_noted:
             granted = self.replicated_log.save_promise(True)
@@ -66,13 +66,13 @@
             "granted": granted,
             "disk": self.disk,
             "voters": sorted(self.voters),
-            "last": self.last_word(),
+            "last": self.last_command_index(),
             "configuration": list(self.replicated_log.configuration_place()),
         }
 
-    def on_takeover(self, message: Message) -> Message:
+    def on_leadership_transfer(self, message: Message) -> Message:
         """The leader names this node its successor."""
-        if whole(message["epoch"]) != self.epoch or not self.may_stand:
+        if whole(message["epoch"]) != self.term or not self.may_stand:
             return {"ok": False}
         self.tries += 1
         self.scheduler.create_task(self.campaign(self.tries, False), name="consensus election")
@@ -89,12 +89,14 @@
         for disk, address in voters.items():
             if disk != self.disk:
                 self.scheduler.create_task(
-                    self.ask_vote(address, {"kind": "council.who"}, 0.3 * self.pace.election, box),
+                    self.ask_vote(
+                        address, {"kind": "council.who"}, 0.3 * self.settings.election_timeout, box
+                    ),
                     name="consensus reach",
                 )
         answers = 1
         for _ in range(len(voters) - 1):
-            found = await box.get(0.4 * self.pace.election)
+            found = await box.get(0.4 * self.settings.election_timeout)
             answers += found is not None and found[1]
         reached = answers >= majority_of(len(voters))
         self.last_round_failed = -1e9 if reached else self.scheduler.now()
@@ -102,7 +104,7 @@
     async def campaign(self, ticket: int, trial: bool) -> None:
         """Ask for votes; first for a trial, which disturbs nobody."""
         if trial:
-            won, reached = await self.gather_votes(self.epoch + 1, True, False)
+            won, reached = await self.gather_votes(self.term + 1, True, False)
             if ticket != self.tries or self.role == "leader":
                 return
             self.last_round_failed = -1e9 if reached else self.scheduler.now()
@@ -112,13 +114,13 @@
                 return
         if self.role == "leader":
             return
-        epoch = self.epoch + 1
+        epoch = self.term + 1
         if not self.save_vote(epoch, self.disk):
             return
         self.role = "candidate"
         self.put_off_election()
         won, _ = await self.gather_votes(epoch, False, not trial)
-        if ticket != self.tries or self.epoch != epoch or self.role != "candidate":
+        if ticket != self.tries or self.term != epoch or self.role != "candidate":
             return
         if won and self.scheduler.now() >= self.promised:
             self.commands.put(Command(lambda: self.lead(epoch)))
@@ -131,7 +133,7 @@
         if not self.may_stand:
             return False, False
         box: Queue[tuple[bool, bool]] = Queue(self.scheduler)
-        seconds = self.pace.election * 0.8
+        seconds = self.settings.election_timeout * 0.8
         for disk, address in voters.items():
             if disk != self.disk:
                 message: Message = {
@@ -142,7 +144,7 @@
                     "trial": trial,
                     "handed": handed,
                     "last_index": self.last_index,
-                    "last_epoch": self.epoch_at(self.last_index),
+                    "last_epoch": self.term_at(self.last_index),
                 }
                 self.scheduler.create_task(
                     self.ask_vote(address, message, seconds, box), name="consensus vote"
@@ -162,11 +164,11 @@
     async def ask_vote(
         self, address: str, message: Message, seconds: float, box: Queue[tuple[bool, bool]]
     ) -> None:
-        found = await self.lines.ask(address, message, seconds)
+        found = await self.rpc_clients.call(address, message, seconds)
         if found.is_error():
             box.put((False, False))
             return
         epoch = found.ok.get("epoch")
-        if isinstance(epoch, int) and epoch > self.epoch:
+        if isinstance(epoch, int) and epoch > self.term:
             self.commands.put(Command(lambda: self.see_epoch(epoch)))
         box.put((found.ok.get("granted") is True, found.ok.get("stranger") is not True))
--- a/packages/consensus/ryelock/consensus/entries.py
+++ b/packages/consensus/ryelock/consensus/entries.py
@@ -4,8 +4,8 @@
 
 Voters = dict[str, str]
 
-WORD = "word"
-NOTE = "note"
+COMMAND = "word"
+INTERNAL = "note"
 VOTERS = "voters"
 NOTHING = "nothing"
 
@@ -22,17 +22,17 @@
     words and would apply it a second time.
     """
 
-    __slots__ = ("data", "epoch", "index", "kind", "repeated")
+    __slots__ = ("data", "index", "kind", "repeated", "term")
 
-    def __init__(self, index: int, epoch: int, kind: str, data: bytes) -> None:
+    def __init__(self, index: int, term: int, kind: str, data: bytes) -> None:
         self.index = index
-        self.epoch = epoch
+        self.term = term
         self.kind = kind
         self.data = data
         self.repeated = False
 
     def plain(self) -> list[object]:
-        return [self.index, self.epoch, self.kind, self.data]
+        return [self.index, self.term, self.kind, self.data]
 
 
 def entry_of(plain: object) -> Entry:
@@ -50,28 +50,30 @@
     return {str(disk): str(address) for disk, address in found.items()}
 
 
-class Image:
+class Snapshot:
     """All that the entries up to an index came to; `word` is the last of them that was a word."""
 
-    __slots__ = ("epoch", "index", "machine", "voters", "word")
+    __slots__ = ("command_index", "index", "state", "term", "voters")
 
-    def __init__(self, index: int, epoch: int, voters: Voters, machine: bytes, word: int) -> None:
+    def __init__(
+        self, index: int, term: int, voters: Voters, state: bytes, command_index: int
+    ) -> None:
         self.index = index
-        self.epoch = epoch
+        self.term = term
         self.voters = voters
-        self.machine = machine
-        self.word = word
+        self.state = state
+        self.command_index = command_index
 
     def encode(self) -> bytes:
-        return cbor2.dumps([self.index, self.epoch, self.voters, self.machine, self.word])
+        return cbor2.dumps([self.index, self.term, self.voters, self.state, self.command_index])
 
 
-def image_of(data: bytes) -> Image:
+def decode_snapshot(data: bytes) -> Snapshot:
     match cbor2.loads(data):
         case [int(index), int(epoch), dict(voters), bytes(machine), int(word)]:
-            return Image(index, epoch, voters, machine, word)
+            return Snapshot(index, epoch, voters, machine, word)
         case [int(index), int(epoch), dict(voters), bytes(machine)]:
-            return Image(index, epoch, voters, machine, index)
+            return Snapshot(index, epoch, voters, machine, index)
         case _:
             raise ValueError("not an image")
 
@@ -91,12 +93,14 @@
 class Stored:
     """What a journal gave back, replayed: a later entry at an index replaces the tail."""
 
-    __slots__ = ("entries", "epoch", "image", "promised", "voted")
+    __slots__ = ("entries", "epoch", "promised", "snapshot", "voted")
 
-    def __init__(self, image: bytes | None, records: list[bytes]) -> None:
-        self.image = image_of(image) if image is not None else Image(0, 0, {}, b"", 0)
+    def __init__(self, snapshot: bytes | None, records: list[bytes]) -> None:
+        self.snapshot = (
+            decode_snapshot(snapshot) if snapshot is not None else Snapshot(0, 0, {}, b"", 0)
+        )
         self.entries: list[Entry] = []
-        self.epoch = self.image.epoch
+        self.epoch = self.snapshot.term
         self.voted = ""
         self.promised = False
         for record in records:
@@ -112,7 +116,7 @@
                     raise ValueError("unknown record")
 
     def place(self, entry: Entry) -> None:
-        position = entry.index - self.image.index - 1
+        position = entry.index - self.snapshot.index - 1
         if position < 0:
             return
         if position > len(self.entries):
--- a/packages/consensus/ryelock/consensus/following.py
+++ b/packages/consensus/ryelock/consensus/following.py
@@ -1,7 +1,7 @@
 """A follower's part: heartbeats, entries and images from the leader."""
 
 from ryelock.consensus.entries import (
-    Image,
+    Snapshot,
     entry_of,
 )
 from ryelock.consensus.messages import listed, whole
@@ -12,7 +12,7 @@
 )
 from ryelock.events import (
     FOLLOWING,
-    IMAGE_TAKEN,
+    SNAPSHOT_TAKEN,
 )
 from ryelock.rpc import Message
 
@@ -26,7 +26,7 @@
         """How far this log reaches, and whether a leader of that epoch may be followed now."""
         answer: Message = {
             "disk": self.disk,
-            "epoch": self.epoch,
+            "epoch": self.term,
             "ok": False,
             "last": self.last_index,
         }
@@ -34,10 +34,10 @@
             return {**answer, "stranger": True}, False
         if self.scheduler.now() < self.promised:
             return {**answer, "promised": True}, False
-        return answer, epoch >= self.epoch
+        return answer, epoch >= self.term
 
     def follow(self, epoch: int, leader: str, address: str) -> bool:
-        if epoch > self.epoch and not self.save_vote(epoch, ""):
+        if epoch > self.term and not self.save_vote(epoch, ""):
             return False
         if self.role == "leader":
             self.drop_leading("another leads")
@@ -52,19 +52,19 @@
         self.put_off_election()
         return True
 
-    def on_beat(self, message: Message) -> Message:
+    def on_heartbeat(self, message: Message) -> Message:
         epoch = whole(message["epoch"])
         answer, follows = self.answer_to_leader(message, epoch)
         if not follows:
             return answer
         if not self.follow(epoch, str(message["disk"]), str(message["address"])):
             return answer
-        answer["epoch"] = self.epoch
+        answer["epoch"] = self.term
         previous = whole(message["previous"])
         if previous > self.last_index:
             return {**answer, "last": self.last_index}
-        if previous < self.base.index:
-            return {**answer, "last": self.base.index, "agreed": True}
+        if previous < self.snapshot.index:
+            return {**answer, "last": self.snapshot.index, "agreed": True}
         if not self.replicated_log.holds(previous, whole(message["previous_epoch"])):
             return {**answer, **self.conflict_at(previous)}
         entries = [entry_of(plain) for plain in listed(message["entries"])]
@@ -80,10 +80,10 @@
 
     def conflict_at(self, index: int) -> Message:
         """What a leader needs to pass by all entries of the epoch that differs at an index."""
-        first = self.replicated_log.first_of_epoch_at(index)
-        return {"last": first - 1, "conflict": self.epoch_at(index)}
+        first = self.replicated_log.first_index_of_term_at(index)
+        return {"last": first - 1, "conflict": self.term_at(index)}
 
-    def on_image(self, message: Message) -> Message:
+    def on_snapshot(self, message: Message) -> Message:
         epoch = whole(message["epoch"])
         answer, follows = self.answer_to_leader(message, epoch)
         if not follows:
@@ -92,28 +92,28 @@
         leader = str(message["disk"])
         if not self.follow(epoch, leader, str(message["address"])):
             return answer
-        answer["epoch"] = self.epoch
-        if piece.index <= self.commit:
+        answer["epoch"] = self.term
+        if piece.index <= self.commit_index:
             self.incoming = None
-            return {**answer, "ok": True, "last": self.commit}
+            return {**answer, "ok": True, "last": self.commit_index}
         if self.incoming is None or not self.incoming.belongs(leader, piece):
             self.incoming = IncomingImage(leader, piece)
         self.incoming.take(piece)
         if not self.incoming.whole:
             return {**answer, "received": len(self.incoming.buffer)}
-        image, self.incoming = self.incoming.image(), None
-        if not self.install(image, leader):
+        snapshot, self.incoming = self.incoming.snapshot(), None
+        if not self.install(snapshot, leader):
             return {**answer, "received": 0}
-        return {**answer, "ok": True, "last": image.index}
+        return {**answer, "ok": True, "last": snapshot.index}
 
-    def install(self, image: Image, source: str) -> bool:
+    def install(self, snapshot: Snapshot, source: str) -> bool:
         """Take a whole image that reaches beyond what is known to be agreed."""
-        if not self.replicated_log.install(image):
+        if not self.replicated_log.install(snapshot):
             return False
-        self.commit = self.applied = image.index
-        self.applied_word = image.word
+        self.commit_index = self.applied_index = snapshot.index
+        self.applied_command_index = snapshot.command_index
         self.find_voters()
-        self.machine.restore(image.machine)
-        self.log.write(IMAGE_TAKEN, index=image.index, source=source)
+        self.state_machine.restore(snapshot.state)
+        self.log.write(SNAPSHOT_TAKEN, index=snapshot.index, source=source)
         self.tell_applied()
         return True
--- a/packages/consensus/ryelock/consensus/joining.py
+++ b/packages/consensus/ryelock/consensus/joining.py
@@ -29,12 +29,12 @@
         return {
             "disk": self.disk,
             "empty": self.empty,
-            "epoch": self.epoch,
+            "epoch": self.term,
             "leader": self.leader if known else "",
             "leader_address": self.leader_address if known else "",
             "voters": self.voters,
             "name": self.name,
-            "applied": self.applied,
+            "applied": self.applied_index,
         }
 
     def on_join(self, message: Message) -> Message:
@@ -82,7 +82,7 @@
         return answers
 
     async def ask_who(self, address: str, box: Queue[tuple[str, Message]]) -> None:
-        found = await self.lines.ask(address, {"kind": "council.who"}, WHO_SECONDS)
+        found = await self.rpc_clients.call(address, {"kind": "council.who"}, WHO_SECONDS)
         box.put((address, found.ok if found.is_ok() else {}))
 
     def may_found_with(self, answers: dict[str, Message]) -> bool:
@@ -92,7 +92,7 @@
         disks = {str(answer.get("disk")) for answer in with_disk}
         return (
             self.empty
-            and self.pace.may_found
+            and self.settings.may_found
             and self.address in self.seeds
             and all(answer.get("empty") is True for answer in with_disk)
             and len(disks) == len(with_disk)
@@ -110,7 +110,7 @@
             "disk": self.disk,
             "address": self.address,
         }
-        await self.lines.ask(leader, message, WHO_SECONDS)
+        await self.rpc_clients.call(leader, message, WHO_SECONDS)
 
     def found(self, voters: Voters) -> None:
         """Write the founding word; the same on all three seeds, whoever is first."""
--- a/packages/consensus/ryelock/consensus/log.py
+++ b/packages/consensus/ryelock/consensus/log.py
@@ -9,10 +9,10 @@
 from bisect import bisect_left, bisect_right
 
 from ryelock.consensus.entries import (
+    COMMAND,
     VOTERS,
-    WORD,
     Entry,
-    Image,
+    Snapshot,
     Stored,
     Voters,
     entry_record,
@@ -29,7 +29,7 @@
 
 def epoch_of(entry: Entry) -> int:
     """The key by which a log's entries are in order."""
-    return entry.epoch
+    return entry.term
 
 
 def last_of(entries: list[Entry], most: int) -> list[Entry]:
@@ -53,27 +53,27 @@
 
     __slots__ = (
         "entries",
-        "epoch",
-        "image",
         "journal",
         "promise_noted",
         "restored",
         "retained",
         "retained_most",
+        "snapshot",
+        "term",
         "voted",
     )
 
     def __init__(self, journal: Journal, retained_most: int = RETAINED_BYTES) -> None:
-        stored = Stored(journal.image, journal.records)
+        stored = Stored(journal.snapshot, journal.records)
         self.journal = journal
-        self.restored = journal.image is not None or bool(journal.records)
-        journal.image = None
+        self.restored = journal.snapshot is not None or bool(journal.records)
+        journal.snapshot = None
         journal.records = []
-        self.image = stored.image
+        self.snapshot = stored.snapshot
         self.entries = stored.entries
         self.retained: list[Entry] = []
         self.retained_most = retained_most
-        self.epoch = stored.epoch
+        self.term = stored.epoch
         self.voted = stored.voted
         self.promise_noted = stored.promised
 
@@ -81,84 +81,84 @@
 
     @property
     def last_index(self) -> int:
-        return self.image.index + len(self.entries)
+        return self.snapshot.index + len(self.entries)
 
     @property
     def empty(self) -> bool:
         """Whether nothing was ever written to this disk."""
-        return not self.restored and not self.entries and self.epoch == 0
+        return not self.restored and not self.entries and self.term == 0
 
-    def epoch_at(self, index: int) -> int:
+    def term_at(self, index: int) -> int:
         """The epoch of the entry at an index that is retained, the image's or behind it."""
-        if index == self.image.index:
-            return self.image.epoch
-        return self.entry_at(index).epoch
+        if index == self.snapshot.index:
+            return self.snapshot.term
+        return self.entry_at(index).term
 
     def entry_at(self, index: int) -> Entry:
         """The entry at an index that is retained or behind the image."""
-        place = index - self.image.index - 1
+        place = index - self.snapshot.index - 1
         return self.entries[place] if place >= 0 else self.retained[place]
 
     @property
     def retained_from(self) -> int:
         """The first index that is retained; the one behind the image where none is."""
-        return self.image.index + 1 - len(self.retained)
+        return self.snapshot.index + 1 - len(self.retained)
 
     def reaches_back(self, index: int) -> bool:
         """Whether the entry at an index is known, or is the last that the image replaced."""
-        return index >= min(self.retained_from, self.image.index)
+        return index >= min(self.retained_from, self.snapshot.index)
 
     def entries_from(self, index: int) -> list[Entry]:
         """All entries from an index on; the index lies behind the image."""
-        return self.entries[index - self.image.index - 1 :]
+        return self.entries[index - self.snapshot.index - 1 :]
 
     def holds(self, index: int, epoch: int) -> bool:
         """Whether the log has an entry of that epoch at that index, or its image ends there."""
-        return self.image.index <= index <= self.last_index and self.epoch_at(index) == epoch
+        return self.snapshot.index <= index <= self.last_index and self.term_at(index) == epoch
 
-    def first_of_epoch_at(self, index: int) -> int:
+    def first_index_of_term_at(self, index: int) -> int:
         """The first index behind the image whose entry has the epoch of the one at an index."""
-        epoch = self.epoch_at(index)
-        return self.image.index + 1 + bisect_left(self.entries, epoch, key=epoch_of)
+        epoch = self.term_at(index)
+        return self.snapshot.index + 1 + bisect_left(self.entries, epoch, key=epoch_of)
 
-    def last_of_epochs_until(self, epoch: int) -> int:
+    def last_index_of_terms_until(self, epoch: int) -> int:
         """The last index whose entry's epoch is not above one; the image's end if there is none."""
-        return self.image.index + bisect_right(self.entries, epoch, key=epoch_of)
+        return self.snapshot.index + bisect_right(self.entries, epoch, key=epoch_of)
 
     def voters_at(self, index: int) -> Voters:
         """The voters as the entries up to an index name them, agreed or not."""
-        for entry in reversed(self.entries[: index - self.image.index]):
+        for entry in reversed(self.entries[: index - self.snapshot.index]):
             if entry.kind == VOTERS:
                 return voters_of(entry.data)
-        return self.image.voters
+        return self.snapshot.voters
 
     def configuration_place(self) -> tuple[int, int]:
         """Epoch and index up to which this log certainly names the newest voters it knows."""
         for entry in reversed(self.entries):
             if entry.kind == VOTERS:
-                return entry.epoch, entry.index
-        return self.image.epoch, self.image.index
+                return entry.term, entry.index
+        return self.snapshot.term, self.snapshot.index
 
-    def words_between(self, index: int, last: int) -> list[tuple[int, bytes]]:
+    def commands_between(self, index: int, last: int) -> list[tuple[int, bytes]]:
         """The words behind an index, up to and with the last, that a replica has to apply.
 
         Both indexes lie within the log, and all up to the last were applied here.
         """
-        between = self.entries[max(0, index - self.image.index) : last - self.image.index]
-        if index < self.image.index:
-            between = self.retained[index - self.image.index :] + between
+        between = self.entries[max(0, index - self.snapshot.index) : last - self.snapshot.index]
+        if index < self.snapshot.index:
+            between = self.retained[index - self.snapshot.index :] + between
         return [
             (entry.index, entry.data)
             for entry in between
-            if entry.kind == WORD and not entry.repeated
+            if entry.kind == COMMAND and not entry.repeated
         ]
 
-    def last_word(self) -> int:
+    def last_command_index(self) -> int:
         """The index of the last word, agreed or not."""
         for entry in reversed(self.entries):
-            if entry.kind == WORD:
+            if entry.kind == COMMAND:
                 return entry.index
-        return self.image.word
+        return self.snapshot.command_index
 
     # Changing.
 
@@ -166,7 +166,7 @@
         """Enter an epoch, with the vote given in it."""
         if self.journal.write([vote_record(epoch, voted)]).is_error():
             return False
-        self.epoch = epoch
+        self.term = epoch
         self.voted = voted
         return True
 
@@ -181,7 +181,7 @@
         """Write the first epoch and entry of an empty log in one."""
         if self.journal.write([vote_record(epoch, ""), entry_record(entry)]).is_error():
             return False
-        self.epoch = epoch
+        self.term = epoch
         self.entries = [entry]
         return True
 
@@ -190,45 +190,47 @@
         lacking = list(entries)
         while lacking and lacking[0].index <= self.last_index:
             first = lacking[0]
-            if first.index > self.image.index and self.epoch_at(first.index) != first.epoch:
+            if first.index > self.snapshot.index and self.term_at(first.index) != first.term:
                 break
             lacking.pop(0)
         if not lacking:
             return True
         if self.journal.write([entry_record(entry) for entry in lacking]).is_error():
             return False
-        del self.entries[lacking[0].index - self.image.index - 1 :]
+        del self.entries[lacking[0].index - self.snapshot.index - 1 :]
         self.entries += lacking
         return True
 
-    def compact(self, image: Image) -> bool:
+    def compact(self, snapshot: Snapshot) -> bool:
         """Put an image of this log's own entries in their place; the last of them are retained."""
-        replaced = self.retained + self.entries[: image.index - self.image.index]
-        if not self.replace_start(image, self.entries_from(image.index + 1)):
+        replaced = self.retained + self.entries[: snapshot.index - self.snapshot.index]
+        if not self.replace_start(snapshot, self.entries_from(snapshot.index + 1)):
             return False
         self.retained = last_of(replaced, self.retained_most)
         return True
 
-    def install(self, image: Image) -> bool:
+    def install(self, snapshot: Snapshot) -> bool:
         """Take a leader's image, which reaches farther than what this member has applied.
 
         Where the entry at its end has its epoch the logs agree up to there, and the entries behind
         it stay: they were acknowledged, and a leader may count on them.
         """
-        agrees = self.holds(image.index, image.epoch)
-        if not self.replace_start(image, self.entries_from(image.index + 1) if agrees else []):
+        agrees = self.holds(snapshot.index, snapshot.term)
+        if not self.replace_start(
+            snapshot, self.entries_from(snapshot.index + 1) if agrees else []
+        ):
             return False
         self.retained = []
         return True
 
-    def replace_start(self, image: Image, kept: list[Entry]) -> bool:
+    def replace_start(self, snapshot: Snapshot, kept: list[Entry]) -> bool:
         records = [
-            vote_record(self.epoch, self.voted),
+            vote_record(self.term, self.voted),
             promise_record(self.promise_noted),
             *(entry_record(entry) for entry in kept),
         ]
-        if self.journal.write_image(image.encode(), records).is_error():
+        if self.journal.write_snapshot(snapshot.encode(), records).is_error():
             return False
-        self.image = image
+        self.snapshot = snapshot
         self.entries = kept
         return True
--- a/packages/consensus/ryelock/consensus/membership.py
+++ b/packages/consensus/ryelock/consensus/membership.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spare:
+class Standby:
     """A disk that holds the log and is no voter."""
 
     disk: str
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Membership:
+class VoterSet:
     """What the leader knows of voters and spares.
 
     `lost` and `leaving` name disks, `spares` come best first, `crowded` counts the other voters
@@ -40,7 +40,7 @@
     own: str
     lost: frozenset[str] = frozenset()
     leaving: frozenset[str] = frozenset()
-    spares: tuple[Spare, ...] = ()
+    standbys: tuple[Standby, ...] = ()
     crowded: Mapping[str, int] = field(default_factory=dict)
 
     @property
@@ -59,7 +59,7 @@
     def wanted(self) -> int:
         """The number of voters to aim at with the disks that stay."""
         away = {*self.lost_voters, *self.leaving_voters}
-        staying = len(self.voters) - len(away) + len(self.spares)
+        staying = len(self.voters) - len(away) + len(self.standbys)
         return VOTERS_MOST if staying >= VOTERS_MOST else VOTERS_FEW
 
     @property
@@ -67,34 +67,34 @@
         return len(self.voters) % 2 == 0
 
 
-def next_voters(membership: Membership) -> Voters | None:
+def next_voters(membership: VoterSet) -> Voters | None:
     """The voters after the next step, one more or one fewer; None where nothing is to be done."""
     if membership.lost_voters:
         return replace_lost(membership)
     if membership.leaving_voters:
         return replace_leaving(membership)
     count = len(membership.voters)
-    if membership.spares and count < membership.wanted:
+    if membership.standbys and count < membership.wanted:
         return with_spare(membership)
     if membership.is_even and count > membership.wanted:
         return without(membership, most_crowded(membership))
     return None
 
 
-def replace_lost(membership: Membership) -> Voters | None:
+def replace_lost(membership: VoterSet) -> Voters | None:
     """Remove a lost voter, or add a spare first where only two voters are left."""
     count = len(membership.voters)
     lost = membership.lost_voters
     if count <= 2:
-        return with_spare(membership) if membership.spares else None
+        return with_spare(membership) if membership.standbys else None
     if count - len(lost) < majority_of(count - 1):
         return None
-    if membership.spares or membership.is_even or len(lost) > 1:
+    if membership.standbys or membership.is_even or len(lost) > 1:
         return without(membership, lost[0])
     return None
 
 
-def replace_leaving(membership: Membership) -> Voters | None:
+def replace_leaving(membership: VoterSet) -> Voters | None:
     """Add a spare for a voter that is leaving, then remove that voter.
 
     An odd number of voters bears one loss more than the even number below it, so a voter is
@@ -103,21 +103,21 @@
     count = len(membership.voters)
     if membership.is_even and count > 2:
         return without(membership, membership.leaving_voters[0])
-    if membership.spares:
+    if membership.standbys:
         return with_spare(membership)
     return None
 
 
-def with_spare(membership: Membership) -> Voters:
-    spare = membership.spares[0]
+def with_spare(membership: VoterSet) -> Voters:
+    spare = membership.standbys[0]
     return {**membership.voters, spare.disk: spare.address}
 
 
-def without(membership: Membership, disk: str) -> Voters:
+def without(membership: VoterSet, disk: str) -> Voters:
     return {other: address for other, address in membership.voters.items() if other != disk}
 
 
-def most_crowded(membership: Membership) -> str:
+def most_crowded(membership: VoterSet) -> str:
     """The voter in the zone with the most other voters, but never the leader itself."""
     others = [disk for disk in membership.voters if disk != membership.own]
     return max(others, key=lambda disk: (membership.crowded.get(disk, 0), disk))
--- a/packages/consensus/ryelock/consensus/node.py
+++ b/packages/consensus/ryelock/consensus/node.py
@@ -40,8 +40,10 @@
     async def work(self) -> None:
         """The owner: every change of this seat happens here, in turn."""
         while True:
-            behind = self.applied < self.commit
-            command = await self.commands.get(0.0 if behind else self.pace.beat / 2)
+            behind = self.applied_index < self.commit_index
+            command = await self.commands.get(
+                0.0 if behind else self.settings.heartbeat_seconds / 2
+            )
             proposals: list[Proposal] = []
             while command is not None:
                 if isinstance(command, Proposal):
@@ -56,15 +58,18 @@
                 self.take_proposals(proposals)
             self.apply_committed()
             self.look_at_clock()
-            if self.applied < self.commit:
+            if self.applied_index < self.commit_index:
                 await self.scheduler.sleep(APPLY_PAUSE_SECONDS)
 
     def look_at_clock(self) -> None:
         now = self.scheduler.now()
         if self.role == "leader":
             self.led_at = now
-            if now - max(self.held_since(), self.elected_at) > self.pace.election * 1.5:
-                self.log.write(LEADERLESS, epoch=self.epoch)
+            if (
+                now - max(self.majority_contact_at(), self.elected_at)
+                > self.settings.election_timeout * 1.5
+            ):
+                self.log.write(LEADERLESS, epoch=self.term)
                 self.drop_leading("lost its majority")
             elif self.settled and not self.changing_voters and self.disk not in self.voters:
                 self.pass_leading_on("no voter any more")
@@ -72,7 +77,7 @@
         self.tell_isolation(now)
         if not self.may_stand:
             return
-        pace = self.pace.election
+        pace = self.settings.election_timeout
         if now - self.leader_heard > 0.5 * pace and now - self.reach_at > 0.6 * pace:
             self.reach_at = now
             self.scheduler.create_task(self.reach(), name="consensus reach")
@@ -87,21 +92,21 @@
     def tell_isolation(self, now: float) -> None:
         """Write once that no leader is heard, and once that one is again."""
         heard = max(self.leader_heard, self.led_at)
-        isolated = now - heard > ISOLATED_TIMEOUTS * self.pace.election
+        isolated = now - heard > ISOLATED_TIMEOUTS * self.settings.election_timeout
         if isolated != self.isolated:
             self.isolated = isolated
-            self.log.write(ISOLATED if isolated else FOLLOWS_AGAIN, epoch=self.epoch)
+            self.log.write(ISOLATED if isolated else FOLLOWS_AGAIN, epoch=self.term)
 
     def answer(self, message: Message, reply: Reply) -> bool:
         """Take an ask into the queue; False when it is not for the consensus."""
         handlers: dict[str, Callable[[Message], Message]] = {
             "council.who": self.on_who,
-            "council.beat": self.on_beat,
+            "council.beat": self.on_heartbeat,
             "council.vote": self.on_vote,
-            "council.image": self.on_image,
+            "council.image": self.on_snapshot,
             "council.join": self.on_join,
             "council.promise": self.on_promise,
-            "council.takeover": self.on_takeover,
+            "council.takeover": self.on_leadership_transfer,
         }
         handler = handlers.get(str(message.get("kind")))
         if handler is None:
--- a/packages/consensus/ryelock/consensus/proposals.py
+++ b/packages/consensus/ryelock/consensus/proposals.py
@@ -5,9 +5,9 @@
 
 from ryelock.consensus.elections import Elections
 from ryelock.consensus.entries import (
-    NOTE,
+    COMMAND,
+    INTERNAL,
     VOTERS,
-    WORD,
     Entry,
     Voters,
     voters_of,
@@ -28,11 +28,11 @@
 
     async def propose(self, data: bytes) -> Outcome:
         """Agree on a word; the result is what applying it came to."""
-        return await self.submit(WORD, data, 10.0)
+        return await self.submit(COMMAND, data, 10.0)
 
-    async def note(self, data: bytes) -> Outcome:
+    async def propose_internal(self, data: bytes) -> Outcome:
         """Agree on what only the control nodes keep; `words_since` passes it by."""
-        return await self.submit(NOTE, data, 10.0)
+        return await self.submit(INTERNAL, data, 10.0)
 
     async def submit(self, kind: str, data: bytes, seconds: float) -> Outcome:
         box: Queue[Outcome] = Queue(self.scheduler)
@@ -57,7 +57,7 @@
                     proposal.box.put(Error(ConsensusError(fault, True)))
                     continue
             index = self.last_index + 1 + len(entries)
-            entries.append(Entry(index, self.epoch, proposal.kind, proposal.data))
+            entries.append(Entry(index, self.term, proposal.kind, proposal.data))
             taken.append(proposal)
         if not self.store(entries):
             for proposal in taken:
@@ -67,7 +67,7 @@
             self.pass_leading_on("its disk failed")
             return
         for entry, proposal in zip(entries, taken, strict=True):
-            self.waiting[entry.index] = (entry.epoch, proposal.box)
+            self.waiting[entry.index] = (entry.term, proposal.box)
         self.follow_voters()
         for peer in self.peers.values():
             peer.news.put(True)
@@ -95,16 +95,20 @@
                     self.drop_peer(disk)
         return outcome
 
-    async def confirm(self, seconds: float) -> bool:
+    async def confirm_leadership(self, seconds: float) -> bool:
         """Whether this node led at a moment after the ask, by a majority's word.
 
         Its state then has every entry that was agreed when it was asked: a read of it is
         linearizable.
         """
         asked = self.scheduler.now()
-        agreed = self.commit
+        agreed = self.commit_index
         while self.role == "leader" and self.scheduler.now() < asked + seconds:
-            if self.settled and self.applied >= agreed and self.held_since() >= asked:
+            if (
+                self.settled
+                and self.applied_index >= agreed
+                and self.majority_contact_at() >= asked
+            ):
                 return True
             for peer in self.peers.values():
                 if not len(peer.news):
@@ -112,16 +116,16 @@
             await self.scheduler.sleep(0.005)
         return False
 
-    async def hand_over(self, successor: str) -> bool:
+    async def transfer_leadership(self, successor: str) -> bool:
         """Name a successor that has the whole log, and let it be elected."""
         peer = self.peers.get(successor)
         if self.role != "leader" or peer is None or successor not in self.voters:
             return False
         until = self.scheduler.now() + 1.0
-        while peer.match < self.last_index and self.scheduler.now() < until:
+        while peer.match_index < self.last_index and self.scheduler.now() < until:
             await self.scheduler.sleep(0.01)
-        message: Message = {"kind": "council.takeover", "epoch": self.epoch}
-        found = await self.lines.ask(peer.address, message, 0.5)
+        message: Message = {"kind": "council.takeover", "epoch": self.term}
+        found = await self.rpc_clients.call(peer.address, message, 0.5)
         if found.is_error() or found.ok.get("ok") is not True:
             return False
         while self.role == "leader" and self.scheduler.now() < until + 1.0:
--- a/packages/consensus/ryelock/consensus/replication.py
+++ b/packages/consensus/ryelock/consensus/replication.py
@@ -16,16 +16,16 @@
 )
 from ryelock.consensus.log import ENTRY_OVERHEAD_BYTES
 from ryelock.consensus.transfer import (
-    IMAGE_PIECE_BYTES,
+    SNAPSHOT_PIECE_BYTES,
     OutgoingImage,
 )
 from ryelock.consensus.types import BATCH_BYTES, BATCH_BYTES_LEAST, Command, ConsensusError, Peer
 from ryelock.events import (
     LEADING,
 )
-from ryelock.rpc import Message, WireError
+from ryelock.rpc import Message, RpcError
 
-IMAGE_PIECE_SECONDS = 2.0
+SNAPSHOT_PIECE_SECONDS = 2.0
 """How long a leader waits for the answer to one piece of an image."""
 WHO_SECONDS = 0.5
 
@@ -36,7 +36,7 @@
     __slots__ = ()
 
     def lead(self, epoch: int) -> None:
-        if self.epoch != epoch or self.role != "candidate":
+        if self.term != epoch or self.role != "candidate":
             return
         self.role = "leader"
         self.leader = self.disk
@@ -72,7 +72,7 @@
 
     def see_epoch(self, epoch: int) -> None:
         """A higher epoch was seen: this node leads no more."""
-        if epoch > self.epoch:
+        if epoch > self.term:
             if self.role == "leader":
                 self.drop_leading("a higher epoch")
             self.role = "follower"
@@ -82,16 +82,18 @@
         """The voter with the longest log among those heard lately; empty where there is none."""
         now = self.scheduler.now()
         found = [
-            (peer.match, disk)
+            (peer.match_index, disk)
             for disk, peer in self.peers.items()
-            if disk in self.voters and disk not in besides and now - peer.heard < self.pace.election
+            if disk in self.voters
+            and disk not in besides
+            and now - peer.heard < self.settings.election_timeout
         ]
         return max(found)[1] if found else ""
 
     def pass_leading_on(self, reason: str) -> None:
         """Lead no longer, and ask the voter with the longest log to stand at once."""
         successor = self.peers.get(self.best_successor())
-        epoch = self.epoch
+        epoch = self.term
         self.drop_leading(reason)
         if successor is not None:
             self.scheduler.create_task(
@@ -100,13 +102,13 @@
 
     async def name_successor(self, address: str, epoch: int) -> None:
         message: Message = {"kind": "council.takeover", "epoch": epoch}
-        await self.lines.ask(address, message, WHO_SECONDS)
+        await self.rpc_clients.call(address, message, WHO_SECONDS)
 
     def add_peer(self, disk: str, address: str) -> None:
         peer = Peer(disk, address, self.last_index + 1, self.scheduler)
         self.peers[disk] = peer
         peer.running = self.scheduler.create_task(
-            self.carry(peer, self.epoch), name=f"consensus to {address}"
+            self.carry(peer, self.term), name=f"consensus to {address}"
         )
 
     def follow_voters(self) -> None:
@@ -128,11 +130,13 @@
 
     async def carry(self, peer: Peer, epoch: int) -> None:
         """One peer's task: beat, carry entries or an image, hand what comes back to the owner."""
-        while self.role == "leader" and self.epoch == epoch:
+        while self.role == "leader" and self.term == epoch:
             sent = self.scheduler.now()
             message = self.next_message(peer)
-            seconds = self.pace.election if peer.outgoing is None else IMAGE_PIECE_SECONDS
-            found = await self.lines.ask(peer.address, message, seconds)
+            seconds = (
+                self.settings.election_timeout if peer.outgoing is None else SNAPSHOT_PIECE_SECONDS
+            )
+            found = await self.rpc_clients.call(peer.address, message, seconds)
             self.commands.put(
                 Command(
                     lambda found=found, sent=sent: (  # type: ignore[misc]
@@ -141,7 +145,7 @@
                 )
             )
             peer.news.items.clear()
-            await peer.news.get(self.pace.beat)
+            await peer.news.get(self.settings.heartbeat_seconds)
 
     def message_to(self, peer: Peer, kind: str) -> Message:
         return {
@@ -149,7 +153,7 @@
             "to": peer.disk,
             "disk": self.disk,
             "address": self.address,
-            "epoch": self.epoch,
+            "epoch": self.term,
         }
 
     def next_message(self, peer: Peer) -> Message:
@@ -157,21 +161,21 @@
 
         An image that has begun to cross is finished, also when a newer one was written since.
         """
-        if peer.outgoing is None and not self.replicated_log.reaches_back(peer.next - 1):
-            peer.outgoing = OutgoingImage(self.base)
+        if peer.outgoing is None and not self.replicated_log.reaches_back(peer.next_index - 1):
+            peer.outgoing = OutgoingImage(self.snapshot)
         if peer.outgoing is None:
-            return self.beat_message(peer)
-        piece = peer.outgoing.next_piece(min(IMAGE_PIECE_BYTES, peer.batch_bytes))
+            return self.heartbeat_message(peer)
+        piece = peer.outgoing.next_piece(min(SNAPSHOT_PIECE_BYTES, peer.batch_bytes))
         return {**self.message_to(peer, "council.image"), "piece": piece.plain()}
 
-    def beat_message(self, peer: Peer) -> Message:
+    def heartbeat_message(self, peer: Peer) -> Message:
         """A heartbeat with as many entries as the peer takes in time."""
         return {
             **self.message_to(peer, "council.beat"),
-            "previous": peer.next - 1,
-            "previous_epoch": self.epoch_at(peer.next - 1),
-            "entries": self.batch(peer.next, peer.batch_bytes),
-            "commit": self.commit,
+            "previous": peer.next_index - 1,
+            "previous_epoch": self.term_at(peer.next_index - 1),
+            "entries": self.batch(peer.next_index, peer.batch_bytes),
+            "commit": self.commit_index,
             "said": self.say(),
         }
 
@@ -188,9 +192,9 @@
         return found
 
     def heard_peer(
-        self, peer: Peer, epoch: int, sent: float, found: Result[Message, WireError]
+        self, peer: Peer, epoch: int, sent: float, found: Result[Message, RpcError]
     ) -> None:
-        if self.role != "leader" or self.epoch != epoch:
+        if self.role != "leader" or self.term != epoch:
             return
         if found.is_error():
             peer.batch_bytes = max(BATCH_BYTES_LEAST, peer.batch_bytes // 2)
@@ -216,21 +220,21 @@
                 self.heard_received(peer, answer, sent)
                 return
             following = self.next_for(peer, answer, last)
-            if following != peer.next:
-                peer.next = following
+            if following != peer.next_index:
+                peer.next_index = following
                 peer.news.put(True)
             return
         peer.heard = max(peer.heard, sent)
         peer.outgoing = None
         peer.stored = max(peer.stored, sent)
         peer.batch_bytes = min(BATCH_BYTES, peer.batch_bytes + peer.batch_bytes // 8)
-        peer.match = max(peer.match, last)
-        peer.next = peer.match + 1
+        peer.match_index = max(peer.match_index, last)
+        peer.next_index = peer.match_index + 1
         said = answer.get("said")
         if isinstance(said, dict):
             self.hear(peer.disk, said, sent)
         self.count_commit()
-        if peer.next <= self.last_index:
+        if peer.next_index <= self.last_index:
             peer.news.put(True)
 
     def heard_received(self, peer: Peer, answer: Message, sent: float) -> None:
@@ -239,7 +243,7 @@
         if peer.outgoing is None or not isinstance(received, int):
             return
         goes_on = received > peer.outgoing.received
-        peer.outgoing.received = max(0, min(received, len(peer.outgoing.image.machine)))
+        peer.outgoing.received = max(0, min(received, len(peer.outgoing.snapshot.state)))
         if goes_on:
             peer.stored = max(peer.stored, sent)
             peer.batch_bytes = min(BATCH_BYTES, peer.batch_bytes + peer.batch_bytes // 8)
@@ -254,14 +258,14 @@
         in question, the two agree at most up to its last entry that is not of a later one.
         """
         if answer.get("failed") is True:
-            return peer.next
+            return peer.next_index
         if answer.get("agreed") is True:
-            return max(peer.next, min(last, self.last_index) + 1)
+            return max(peer.next_index, min(last, self.last_index) + 1)
         conflict = answer.get("conflict")
         if isinstance(conflict, int):
-            reaches = self.replicated_log.last_of_epochs_until(conflict)
-            last = reaches if reaches < peer.next - 1 else last
-        return max(1, min(peer.next - 1, last + 1))
+            reaches = self.replicated_log.last_index_of_terms_until(conflict)
+            last = reaches if reaches < peer.next_index - 1 else last
+        return max(1, min(peer.next_index - 1, last + 1))
 
     def release(self, disk: str) -> None:
         """A disk may end at any moment: nothing is agreed by its word for a while."""
@@ -269,11 +273,13 @@
 
     def count_commit(self) -> None:
         released = self.released_disks()
-        matches = sorted(0 if disk in released else self.match_of(disk) for disk in self.voters)
+        matches = sorted(
+            0 if disk in released else self.match_index_of(disk) for disk in self.voters
+        )
         if not matches:
             return
         reached = matches[len(matches) - self.majority]
-        if reached > self.commit and self.epoch_at(reached) == self.epoch:
+        if reached > self.commit_index and self.term_at(reached) == self.term:
             self.advance(reached)
             for peer in self.peers.values():
                 peer.news.put(True)
--- a/packages/consensus/ryelock/consensus/state.py
+++ b/packages/consensus/ryelock/consensus/state.py
@@ -13,7 +13,7 @@
 from ryelock.consensus.entries import (
     VOTERS,
     Entry,
-    Image,
+    Snapshot,
     Voters,
     majority_of,
 )
@@ -21,12 +21,21 @@
 from ryelock.consensus.transfer import (
     IncomingImage,
 )
-from ryelock.consensus.types import Command, Hears, Machine, Outcome, Pace, Peer, Proposal, Said
+from ryelock.consensus.types import (
+    Command,
+    ConsensusSettings,
+    Hears,
+    Outcome,
+    Peer,
+    Proposal,
+    Said,
+    StateMachine,
+)
 from ryelock.events import (
     Log,
 )
 from ryelock.journal import Journal
-from ryelock.rpc import Lines
+from ryelock.rpc import RpcClients
 from ryelock.runtime import Queue, Scheduler, Task
 
 RELEASED_SECONDS = 3.0
@@ -38,11 +47,11 @@
 
     __slots__ = (
         "address",
-        "applied",
+        "applied_command_index",
+        "applied_index",
         "applied_news",
-        "applied_word",
         "commands",
-        "commit",
+        "commit_index",
         "compaction",
         "disk",
         "disk_failed_at",
@@ -58,11 +67,8 @@
         "learners",
         "leaving",
         "led_at",
-        "lines",
         "log",
-        "machine",
         "name",
-        "pace",
         "peers",
         "promised",
         "random",
@@ -70,10 +76,13 @@
         "released",
         "replicated_log",
         "role",
+        "rpc_clients",
         "say",
         "scheduler",
         "seeds",
+        "settings",
         "settled_at",
+        "state_machine",
         "tasks",
         "tries",
         "voters",
@@ -83,29 +92,29 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        lines: Lines,
+        rpc_clients: RpcClients,
         log: Log,
         journal: Journal,
-        machine: Machine,
+        state_machine: StateMachine,
         name: str,
         disk: str,
         address: str,
         seeds: tuple[str, ...],
-        pace: Pace,
+        settings: ConsensusSettings,
         random: Random,
     ) -> None:
         self.scheduler = scheduler
-        self.lines = lines
+        self.rpc_clients = rpc_clients
         self.log = log
-        self.replicated_log = ReplicatedLog(journal, pace.retained_bytes)
+        self.replicated_log = ReplicatedLog(journal, settings.retained_bytes)
         self.incoming: IncomingImage | None = None
-        self.compaction = Compaction(pace.image_records, pace.disk_bytes)
-        self.machine = machine
+        self.compaction = Compaction(settings.snapshot_records, settings.disk_bytes)
+        self.state_machine = state_machine
         self.name = name
         self.disk = disk
         self.address = address
         self.seeds = seeds
-        self.pace = pace
+        self.settings = settings
         self.random = random
         self.commands: Queue[Command | Proposal] = Queue(scheduler)
         self.applied_news: list[Callable[[], None]] = []
@@ -130,14 +139,16 @@
         self.tasks: list[Task] = []
         self.say: Said = dict
         self.hear: Hears = lambda _disk, _message, _since: None
-        self.commit = self.base.index
-        self.applied = self.base.index
-        self.applied_word = self.base.word
+        self.commit_index = self.snapshot.index
+        self.applied_index = self.snapshot.index
+        self.applied_command_index = self.snapshot.command_index
         self.voters: Voters = {}
         self.find_voters()
-        if self.base.index:
-            machine.restore(self.base.machine)
-        self.promised = scheduler.now() + pace.promise * 1.1 if self.promise_noted else -1e9
+        if self.snapshot.index:
+            state_machine.restore(self.snapshot.state)
+        self.promised = (
+            scheduler.now() + settings.promise_seconds * 1.1 if self.promise_noted else -1e9
+        )
         self.put_off_election()
 
     @property
@@ -145,17 +156,17 @@
         return self.replicated_log.journal
 
     @property
-    def base(self) -> Image:
+    def snapshot(self) -> Snapshot:
         """The image that the entries follow."""
-        return self.replicated_log.image
+        return self.replicated_log.snapshot
 
     @property
     def entries(self) -> list[Entry]:
         return self.replicated_log.entries
 
     @property
-    def epoch(self) -> int:
-        return self.replicated_log.epoch
+    def term(self) -> int:
+        return self.replicated_log.term
 
     @property
     def voted(self) -> str:
@@ -169,8 +180,8 @@
     def last_index(self) -> int:
         return self.replicated_log.last_index
 
-    def epoch_at(self, index: int) -> int:
-        return self.replicated_log.epoch_at(index)
+    def term_at(self, index: int) -> int:
+        return self.replicated_log.term_at(index)
 
     def entry_at(self, index: int) -> Entry:
         return self.replicated_log.entry_at(index)
@@ -186,15 +197,15 @@
     def empty(self) -> bool:
         return self.replicated_log.empty
 
-    def words_since(self, index: int) -> list[tuple[int, bytes]] | None:
+    def commands_since(self, index: int) -> list[tuple[int, bytes]] | None:
         """Applied words behind an index, or None where only an image can tell."""
-        if index + 1 < self.replicated_log.retained_from or index > self.applied:
+        if index + 1 < self.replicated_log.retained_from or index > self.applied_index:
             return None
-        return self.replicated_log.words_between(index, self.applied)
+        return self.replicated_log.commands_between(index, self.applied_index)
 
-    def last_word(self) -> int:
+    def last_command_index(self) -> int:
         """The index of the log's last word, applied or not; notes are passed by."""
-        return self.replicated_log.last_word()
+        return self.replicated_log.last_command_index()
 
     def save_vote(self, epoch: int, voted: str) -> bool:
         saved = self.replicated_log.save_vote(epoch, voted)
@@ -204,7 +215,8 @@
 
     def knows_leader(self) -> bool:
         return (
-            self.role == "leader" or self.scheduler.now() - self.leader_heard < self.pace.election
+            self.role == "leader"
+            or self.scheduler.now() - self.leader_heard < self.settings.election_timeout
         )
 
     @property
@@ -216,7 +228,7 @@
         """
         if self.disk in self.voters:
             return True
-        return self.disk in self.replicated_log.voters_at(self.commit)
+        return self.disk in self.replicated_log.voters_at(self.commit_index)
 
     def put_off_election(self) -> None:
         """Wait for a while of chance; less in a life in which no leader was heard of yet.
@@ -224,12 +236,12 @@
         After a restart of all nobody leads, and a trial round disturbs nobody who does.
         """
         if self.leader_heard < -1e8:
-            spread = self.pace.election * (0.1 + 0.5 * self.random.random())
+            spread = self.settings.election_timeout * (0.1 + 0.5 * self.random.random())
         else:
-            spread = self.pace.election * (1 + 0.7 * self.random.random())
+            spread = self.settings.election_timeout * (1 + 0.7 * self.random.random())
         self.election_at = self.scheduler.now() + spread
 
-    def held_since(self) -> float:
+    def majority_contact_at(self) -> float:
         """When the newest beat was sent that a majority has answered."""
         now = self.scheduler.now()
         heard = sorted(
@@ -241,20 +253,20 @@
     @property
     def settled(self) -> bool:
         """Leads, and has applied an entry of its own epoch, so all that was agreed before it."""
-        return self.role == "leader" and self.epoch_at(self.applied) == self.epoch
+        return self.role == "leader" and self.term_at(self.applied_index) == self.term
 
     @property
     def changing_voters(self) -> bool:
         """Whether a change of voters is in the log and not agreed yet."""
-        behind = self.entries[self.commit - self.base.index :]
+        behind = self.entries[self.commit_index - self.snapshot.index :]
         return any(entry.kind == VOTERS for entry in behind)
 
-    def match_of(self, disk: str) -> int:
+    def match_index_of(self, disk: str) -> int:
         """The last index that a disk is known to hold, as its leader knows it."""
         if disk == self.disk:
             return self.last_index
         peer = self.peers.get(disk)
-        return peer.match if peer is not None else 0
+        return peer.match_index if peer is not None else 0
 
     def released_disks(self) -> set[str]:
         """Disks that were told lately that they may end."""
--- a/packages/consensus/ryelock/consensus/status.py
+++ b/packages/consensus/ryelock/consensus/status.py
@@ -9,7 +9,7 @@
 """A leader or peer that was last heard longer ago than this was never heard in this life."""
 
 
-class MemberState(StrEnum):
+class MemberRole(StrEnum):
     """What a member does at the moment."""
 
     LEADER = "leader"
@@ -33,7 +33,7 @@
 class MemberStatus:
     """One member: its state, seconds since it heard its leader (None: never), entries to apply."""
 
-    state: MemberState
+    state: MemberRole
     leader_heard_seconds: float | None
     behind: int
 
@@ -71,18 +71,18 @@
 
 def member_status(consensus: Consensus) -> MemberStatus:
     """Return the state of this member."""
-    behind = consensus.commit - consensus.applied
+    behind = consensus.commit_index - consensus.applied_index
     heard = seconds_since(consensus, consensus.leader_heard)
     if consensus.leaving:
-        state = MemberState.LEAVING
+        state = MemberRole.LEAVING
     elif consensus.role == "leader":
-        state = MemberState.LEADER
+        state = MemberRole.LEADER
     elif not consensus.knows_leader():
-        state = MemberState.ISOLATED
+        state = MemberRole.ISOLATED
     elif consensus.disk in consensus.voters:
-        state = MemberState.FOLLOWER
+        state = MemberRole.FOLLOWER
     else:
-        state = MemberState.LEARNER
+        state = MemberRole.LEARNER
     return MemberStatus(state, heard, behind)
 
 
@@ -105,7 +105,7 @@
     consensus: Consensus, disk: str, address: str, lost: frozenset[str], leaving: frozenset[str]
 ) -> ReplicaStatus:
     """Return one disk as its leader sees it."""
-    behind = max(0, consensus.commit - consensus.match_of(disk))
+    behind = max(0, consensus.commit_index - consensus.match_index_of(disk))
     peer = consensus.peers.get(disk)
     heard = 0.0 if disk == consensus.disk else None
     if peer is not None:
--- a/packages/consensus/ryelock/consensus/types.py
+++ b/packages/consensus/ryelock/consensus/types.py
@@ -26,47 +26,47 @@
         self.certain = certain
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """The state that words change; must come to the same on every node."""
 
     def apply(self, index: int, data: bytes) -> object:
         """The outcome; a map in which `again` is True says that nothing was changed by it."""
         ...
 
-    def image(self) -> bytes: ...
+    def snapshot(self) -> bytes: ...
     def restore(self, data: bytes) -> None: ...
 
 
-class Pace:
+class ConsensusSettings:
     """Intervals of heartbeats, elections and replacement, and when snapshots are written."""
 
     __slots__ = (
-        "beat",
         "disk_bytes",
-        "election",
-        "image_records",
+        "election_timeout",
+        "heartbeat_seconds",
         "may_found",
-        "promise",
-        "replace",
+        "promise_seconds",
+        "replace_seconds",
         "retained_bytes",
+        "snapshot_records",
     )
 
     def __init__(
         self,
-        beat: float = 0.15,
-        election: float = 0.7,
-        promise: float = 1.5,
-        replace: float = 8.0,
-        image_records: int = 4000,
+        heartbeat_seconds: float = 0.15,
+        election_timeout: float = 0.7,
+        promise_seconds: float = 1.5,
+        replace_seconds: float = 8.0,
+        snapshot_records: int = 4000,
         may_found: bool = True,
         disk_bytes: int = 0,
         retained_bytes: int = RETAINED_BYTES,
     ) -> None:
-        self.beat = beat
-        self.election = election
-        self.promise = promise
-        self.replace = replace
-        self.image_records = image_records
+        self.heartbeat_seconds = heartbeat_seconds
+        self.election_timeout = election_timeout
+        self.promise_seconds = promise_seconds
+        self.replace_seconds = replace_seconds
+        self.snapshot_records = snapshot_records
         self.may_found = may_found
         self.disk_bytes = disk_bytes
         self.retained_bytes = retained_bytes
@@ -90,9 +90,9 @@
         "disk",
         "gone",
         "heard",
-        "match",
+        "match_index",
         "news",
-        "next",
+        "next_index",
         "outgoing",
         "running",
         "stored",
@@ -101,8 +101,8 @@
     def __init__(self, disk: str, address: str, following: int, scheduler: Scheduler) -> None:
         self.disk = disk
         self.address = address
-        self.next = following
-        self.match = 0
+        self.next_index = following
+        self.match_index = 0
         self.batch_bytes = BATCH_BYTES
         self.outgoing: OutgoingImage | None = None
         self.heard = -1e9
--- a/packages/control_api/ryelock/control_api/__init__.py
+++ b/packages/control_api/ryelock/control_api/__init__.py
@@ -9,9 +9,9 @@
 from urllib.parse import parse_qs, urlsplit
 
 from ryelock.events import Log
-from ryelock.http import Exchange, Fields, HttpServer, Limits
-from ryelock.http.reader import Cut, Late
-from ryelock.rpc import Lines, Message
+from ryelock.http import Fields, HttpExchange, HttpServer, Limits
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.rpc import Message, RpcClients
 from ryelock.runtime import Network, Scheduler, TaskCoroutine
 
 ASK_SECONDS = 6.0
@@ -62,7 +62,7 @@
         scheduler: Scheduler,
         network: Network,
         log: Log,
-        lines: Lines,
+        lines: RpcClients,
         address: str,
         leader: Leader,
         others: Others,
@@ -82,15 +82,15 @@
             network,
             log,
             address,
-            Limits(body_bytes=33_554_432, order_seconds=30.0),
+            Limits(body_bytes=33_554_432, request_seconds=30.0),
             self.serve,
         )
 
-    async def serve(self, exchange: Exchange) -> None:
+    async def serve(self, exchange: HttpExchange) -> None:
         """One operator's order, from its bytes to its answer."""
         try:
-            body = await exchange.whole_body()
-        except (Cut, Late):
+            body = await exchange.read_body()
+        except (IncompleteMessageError, ReadTimeoutError):
             return
         method = exchange.head.method.decode("latin-1")
         parts = urlsplit(exchange.head.target.decode("latin-1"))
@@ -146,7 +146,7 @@
 
     async def ask_leader(self, leader: str, message: Message) -> Message:
         """One ask: an answer, or that it certainly was not taken there, or that nobody knows."""
-        found = await self.lines.ask(leader, message, ASK_SECONDS)
+        found = await self.lines.call(leader, message, ASK_SECONDS)
         if found.is_ok():
             return found.ok
         asks_only = message["what"] in ("read", "plan", "verdicts", "members")
@@ -155,9 +155,9 @@
         return {"status": "elsewhere"}
 
 
-async def answer(exchange: Exchange, status: int, plain: object) -> None:
+async def answer(exchange: HttpExchange, status: int, plain: object) -> None:
     fields: Fields = [(b"Content-Type", b"application/json"), (b"Cache-Control", b"no-store")]
     if status == 503:
         fields.append((b"Retry-After", b"1"))
     body = json.dumps(plain, ensure_ascii=False, default=str).encode() + b"\n"
-    await exchange.answer(status, fields, body)
+    await exchange.respond(status, fields, body)
--- a/packages/control_client/ryelock/control_client/__init__.py
+++ b/packages/control_client/ryelock/control_client/__init__.py
@@ -10,7 +10,7 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.http import call
+from ryelock.http import fetch
 from ryelock.runtime import Network, Scheduler
 
 DONE, DECLINED, NOT_TAKEN, UNKNOWN, UNREACHED = 0, 1, 3, 4, 5
@@ -49,7 +49,7 @@
 ) -> Result[Reply, OperatorError]:
     """One order to one control address: the HTTP status and the JSON answered."""
     body = b"" if given is None else json.dumps(given).encode()
-    found = await call(
+    found = await fetch(
         scheduler,
         network,
         address,
--- a/packages/control_plane/ryelock/control_plane/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -7,13 +7,21 @@
 
 from collections.abc import Callable
 
-from ryelock.health import History, Judged, Rules, Weights, gone_watches, judge, row_of
-from ryelock.membership import Roster
-from ryelock.replicated_state import Register, derived_name
+from ryelock.health import (
+    Evaluation,
+    History,
+    Rules,
+    Weights,
+    decode_probe_result,
+    evaluate,
+    gone_watches,
+)
+from ryelock.membership import Membership
+from ryelock.replicated_state import ReplicatedState, derived_name
 from ryelock.rpc import Message
 from ryelock.runtime import Scheduler, TaskCoroutine
-from ryelock.settings import Env
-from ryelock.singleton import Duty
+from ryelock.settings import Settings
+from ryelock.singleton import SingletonRole
 
 REWRITE_SECONDS = 30.0
 Decide = Callable[[Message], TaskCoroutine[bool]]
@@ -23,56 +31,61 @@
     __slots__ = (
         "clock",
         "decide",
-        "env",
         "epoch",
         "history",
+        "membership",
         "name",
-        "register",
-        "roster",
+        "replicated_state",
         "rules",
         "scheduler",
+        "settings",
         "weights",
         "written",
         "written_at",
     )
 
     def __init__(
-        self, env: Env, scheduler: Scheduler, register: Register, roster: Roster, decide: Decide
+        self,
+        settings: Settings,
+        scheduler: Scheduler,
+        replicated_state: ReplicatedState,
+        membership: Membership,
+        decide: Decide,
     ) -> None:
-        self.env = env
-        self.name = env.name
+        self.settings = settings
+        self.name = settings.name
         self.scheduler = scheduler
-        self.register = register
-        self.roster = roster
+        self.replicated_state = replicated_state
+        self.membership = membership
         self.decide = decide
         self.clock: Callable[[], list[object]] = list
         self.rules = Rules(
-            env.verdict_rows,
-            env.verdict_quorum,
-            env.stale_seconds,
-            env.down_weight,
-            env.stale_weight,
+            settings.verdict_rows,
+            settings.verdict_quorum,
+            settings.stale_seconds,
+            settings.down_weight,
+            settings.stale_weight,
         )
         self.epoch = -1
-        self.history = History(env.verdict_span)
-        self.weights = Weights(env.weight_span)
+        self.history = History(settings.verdict_span)
+        self.weights = Weights(settings.weight_span)
         self.written: tuple[object, ...] = ()
         self.written_at = -1e9
 
-    def duty(self) -> Duty | None:
-        found = self.register.duties.get("aggregator")
-        return found if found is not None and found.holder == self.name else None
+    def duty(self) -> SingletonRole | None:
+        found = self.replicated_state.singletons.get("aggregator")
+        return found if found is not None and found.owner == self.name else None
 
     def take_rows(self, message: Message) -> Message:
         """Rows from a prober; declined by whoever does not hold the duty of that epoch."""
         duty = self.duty()
         rows = message.get("rows")
-        if duty is None or message.get("epoch") != duty.epoch or not isinstance(rows, list):
+        if duty is None or message.get("epoch") != duty.fencing_token or not isinstance(rows, list):
             return {"ok": False}
         self.begin(duty)
         now = self.scheduler.now()
         try:
-            found = [row_of(plain, now) for plain in rows]
+            found = [decode_probe_result(plain, now) for plain in rows]
         except ValueError as error:
             return {"ok": False, "fault": str(error)}
         for row in found:
@@ -80,22 +93,22 @@
                 self.history.add(row)
         return {"ok": True}
 
-    def begin(self, duty: Duty) -> None:
-        if duty.epoch != self.epoch:
-            self.epoch = duty.epoch
-            self.history = History(self.env.verdict_span)
+    def begin(self, duty: SingletonRole) -> None:
+        if duty.fencing_token != self.epoch:
+            self.epoch = duty.fencing_token
+            self.history = History(self.settings.verdict_span)
             self.written = ()
 
     async def work(self) -> None:
         while True:
-            await self.scheduler.sleep(self.env.verdict_seconds)
-            self.weights.sample(list(self.roster.members().values()), self.scheduler.now())
+            await self.scheduler.sleep(self.settings.verdict_seconds)
+            self.weights.sample(list(self.membership.members().values()), self.scheduler.now())
             duty = self.duty()
             if duty is None:
                 continue
             self.begin(duty)
             clock = self.clock()
-            judged = self.judge()
+            judged = self.evaluate()
             now = self.scheduler.now()
             words = (
                 judged.network,
@@ -111,12 +124,12 @@
                 continue
             message: Message = {
                 "kind": "decision",
-                "holder": duty.holder,
-                "epoch": duty.epoch,
+                "holder": duty.owner,
+                "epoch": duty.fencing_token,
                 "clock": clock,
                 "verdict": {
                     **judged.plain(),
-                    "version": self.register.version,
+                    "version": self.replicated_state.version,
                     "days": self.history.summary(),
                 },
             }
@@ -124,19 +137,19 @@
                 self.written = words
                 self.written_at = now
 
-    def judge(self) -> Judged:
+    def evaluate(self) -> Evaluation:
         now = self.scheduler.now()
         self.history.forget_old(now)
-        watches = self.register.watches
-        made = {name: watches[name] for name in map(derived_name, self.register.derived)}
+        watches = self.replicated_state.watches
+        made = {name: watches[name] for name in map(derived_name, self.replicated_state.derived)}
         gone = gone_watches(made, self.history, self.rules, now)
         watches = {name: watch for name, watch in watches.items() if name not in gone}
         zones: dict[str, list[str]] = {}
-        edges = {**self.roster.lost(), **self.roster.members()}
+        edges = {**self.membership.lost(), **self.membership.members()}
         for name, session in edges.items():
             if session.role == "edge":
                 zones.setdefault(session.zone, []).append(name)
         weights, assumed = self.weights.weights(sorted(zones))
-        judged = judge(zones, watches, weights, assumed, self.history, self.rules, now)
+        judged = evaluate(zones, watches, weights, assumed, self.history, self.rules, now)
         judged.gone = gone
         return judged
--- a/packages/control_plane/ryelock/control_plane/keeper.py
+++ b/packages/control_plane/ryelock/control_plane/keeper.py
@@ -1,33 +1,33 @@
 """What the leader tends: lost duties, voters that are gone for good, watches that nobody wrote."""
 
 from ryelock.consensus import Consensus
-from ryelock.control_plane.voters import VoterKeeper
+from ryelock.control_plane.voters import VoterManager
 from ryelock.events import DUTY_GIVEN, WATCH_DERIVED, WATCH_ENDED, Log
 from ryelock.health import watch_mark
-from ryelock.membership import Roster
+from ryelock.membership import Membership
 from ryelock.replicated_state import (
-    Register,
+    ReplicatedState,
     Watch,
     derivable_routes,
     derived_name,
     derived_watches,
-    encode_word,
+    encode_command,
     places_of,
 )
 from ryelock.runtime import Scheduler
-from ryelock.singleton import Duty, next_duty
+from ryelock.singleton import SingletonRole, next_assignment
 
 
-class Keeper:
+class RoleAssigner:
     __slots__ = (
         "consensus",
         "derives",
         "duties",
         "log",
         "lost",
+        "membership",
         "objects",
-        "register",
-        "roster",
+        "replicated_state",
         "scheduler",
         "voters",
     )
@@ -37,8 +37,8 @@
         scheduler: Scheduler,
         log: Log,
         consensus: Consensus,
-        register: Register,
-        roster: Roster,
+        replicated_state: ReplicatedState,
+        membership: Membership,
         duties: tuple[str, ...],
         objects: dict[str, tuple[str, str]] | None = None,
         derives: bool = False,
@@ -50,9 +50,9 @@
         self.scheduler = scheduler
         self.log = log
         self.consensus = consensus
-        self.register = register
-        self.roster = roster
-        self.voters = VoterKeeper(scheduler, consensus, roster)
+        self.replicated_state = replicated_state
+        self.membership = membership
+        self.voters = VoterManager(scheduler, consensus, membership)
 
     async def work(self) -> None:
         while True:
@@ -65,23 +65,25 @@
     async def tend_duties(self) -> None:
         cores = {
             name: session
-            for name, session in self.roster.members().items()
+            for name, session in self.membership.members().items()
             if session.role == "core"
         }
         leaving = [name for name, session in cores.items() if not session.ready]
         for name in self.duties:
-            wanted = next_duty(self.register.duties.get(name), name, cores, leaving)
+            wanted = next_assignment(
+                self.replicated_state.singletons.get(name), name, cores, leaving
+            )
             if wanted is not None:
                 await self.give(wanted)
 
-    async def give(self, duty: Duty) -> None:
-        outcome = await self.consensus.propose(encode_word("duty", **duty.plain()))
+    async def give(self, duty: SingletonRole) -> None:
+        outcome = await self.consensus.propose(encode_command("duty", **duty.plain()))
         if outcome.is_ok():
             self.log.write(
                 DUTY_GIVEN,
                 duty=duty.name,
-                holder=duty.holder,
-                epoch=duty.epoch,
+                holder=duty.owner,
+                epoch=duty.fencing_token,
                 successor=duty.successor,
             )
 
@@ -91,8 +93,8 @@
         Of what the edges told since the last round: the first route by name that may have one,
         and no object that was just found gone.
         """
-        register, gone = self.register, self.register.verdict.get("gone")
-        before = register.derived
+        replicated_state, gone = self.replicated_state, self.replicated_state.verdict.get("gone")
+        before = replicated_state.derived
         places = places_of(before)
         for name, watch in before.items():
             lost = isinstance(gone, dict) and gone.get(derived_name(name)) == watch_mark(watch)
@@ -101,18 +103,18 @@
                 del places[name]
         told = sorted(self.objects.items())
         self.objects.clear()
-        kept = derived_watches(register.configuration, places)
+        kept = derived_watches(replicated_state.configuration, places)
         for name, place in told if self.derives else []:
             if self.lost.get(name) != place and name in derivable_routes(
-                register.configuration, kept
+                replicated_state.configuration, kept
             ):
                 places[name] = list(place)
-                kept = derived_watches(register.configuration, places)
+                kept = derived_watches(replicated_state.configuration, places)
                 places = places_of(kept)
         if kept != before:
-            outcome = await self.consensus.propose(encode_word("derived", places=places))
+            outcome = await self.consensus.propose(encode_command("derived", places=places))
             if outcome.is_ok():
-                self.tell_watches(before, register.derived)
+                self.tell_watches(before, replicated_state.derived)
 
     def tell_watches(self, before: dict[str, Watch], after: dict[str, Watch]) -> None:
         for name in sorted({*before, *after}):
--- a/packages/control_plane/ryelock/control_plane/leading.py
+++ b/packages/control_plane/ryelock/control_plane/leading.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ryelock.consensus import Consensus
-from ryelock.control_plane.renewals import Renewals
+from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.events import (
     CHANGE_DECLINED,
     CHANGE_TAKEN,
@@ -16,8 +16,14 @@
     VERDICT_WRITTEN,
     Log,
 )
-from ryelock.membership import Roster
-from ryelock.replicated_state import Register, encode_word, merge_change, places_of, plan_of
+from ryelock.membership import Membership
+from ryelock.replicated_state import (
+    ReplicatedState,
+    encode_command,
+    merge_change,
+    places_of,
+    plan_of,
+)
 from ryelock.rpc import Message
 from ryelock.runtime import Scheduler
 
@@ -27,23 +33,31 @@
 UNCONFIRMED = "no majority confirmed this leader"
 
 
-class Leading:
-    __slots__ = ("consensus", "log", "register", "renewals", "replicas", "roster", "scheduler")
+class OperatorRequests:
+    __slots__ = (
+        "consensus",
+        "log",
+        "membership",
+        "renewals",
+        "replicas",
+        "replicated_state",
+        "scheduler",
+    )
 
     def __init__(
         self,
         scheduler: Scheduler,
         log: Log,
         consensus: Consensus,
-        register: Register,
-        roster: Roster,
-        renewals: Renewals,
+        replicated_state: ReplicatedState,
+        membership: Membership,
+        renewals: LeaseRenewals,
     ) -> None:
         self.scheduler = scheduler
         self.log = log
         self.consensus = consensus
-        self.register = register
-        self.roster = roster
+        self.replicated_state = replicated_state
+        self.membership = membership
         self.renewals = renewals
         self.replicas: Callable[[], list[Message]] = list
 
@@ -59,13 +73,13 @@
             return await self.take("purge", given, {"scopes": scopes})
         if what in ("drain", "recover"):
             return await self.drain(what == "drain", given)
-        if not await self.consensus.confirm(CONFIRM_SECONDS):
+        if not await self.consensus.confirm_leadership(CONFIRM_SECONDS):
             return {"status": "not-taken", "reason": UNCONFIRMED}
         if what == "read":
             return {
-                "version": self.register.version,
-                "index": self.register.index,
-                "configuration": self.register.configuration.plain(),
+                "version": self.replicated_state.version,
+                "index": self.replicated_state.index,
+                "configuration": self.replicated_state.configuration.plain(),
             }
         if what == "plan":
             return self.plan(given)
@@ -77,22 +91,22 @@
                 "voters": self.consensus.voters,
                 "replicas": self.replicas(),
                 "leader": self.consensus.name,
-                "epoch": self.consensus.epoch,
+                "epoch": self.consensus.term,
             }
         return {"status": "malformed", "fault": "unknown order"}
 
     def plan(self, given: object) -> Message:
         """What a change would do to the version that stands, without doing it."""
         change = dict(given) if isinstance(given, dict) else {"patch": given}
-        version = self.register.version
+        version = self.replicated_state.version
         change.setdefault("id", "plan")
         change.setdefault("base", version)
         if change["base"] != version:
             return {"status": "conflict", "version": version}
-        found = merge_change(self.register.configuration, change)
+        found = merge_change(self.replicated_state.configuration, change)
         if found.is_error():
             return {"status": "invalid", "faults": found.error, "version": version}
-        return {"base": version, "plan": plan_of(self.register.configuration, found.ok)}
+        return {"base": version, "plan": plan_of(self.replicated_state.configuration, found.ok)}
 
     async def take(self, kind: str, given: object, fields: Message) -> Message:
         """A word with an id, agreed on and carried to every edge."""
@@ -103,7 +117,7 @@
                 "faults": [{"path": "id", "fault": f"not a name of 1 to {ID_MOST} characters"}],
             }
         try:
-            data = encode_word(kind, id=identity, wall=self.scheduler.clock.wall(), **fields)
+            data = encode_command(kind, id=identity, wall=self.scheduler.clock.wall(), **fields)
         except (ValueError, TypeError, RecursionError, OverflowError):
             return {"status": "malformed", "fault": "not readable"}
         outcome = await self.consensus.propose(data)
@@ -128,10 +142,10 @@
     async def claim(self, message: Message) -> Message:
         """A key is claimed by an order, or given back: noted on a majority of disks."""
         try:
-            data = encode_word(str(message["kind"]), key=message["key"], order=message["order"])
+            data = encode_command(str(message["kind"]), key=message["key"], order=message["order"])
         except (KeyError, ValueError, TypeError):
             return {"status": "malformed"}
-        outcome = await self.consensus.note(data)
+        outcome = await self.consensus.propose_internal(data)
         if outcome.is_error():
             return {"status": "elsewhere" if outcome.error.certain else "unknown"}
         return outcome.ok if isinstance(outcome.ok, dict) else {"status": "malformed"}
@@ -148,7 +162,7 @@
         forced = given.get("force") is True
         if reason and not forced:
             # A refusal is final: it may rest only on state that is certainly the newest.
-            if not await self.consensus.confirm(CONFIRM_SECONDS):
+            if not await self.consensus.confirm_leadership(CONFIRM_SECONDS):
                 return {"status": "not-taken", "reason": UNCONFIRMED}
             reason = self.against_drain(target) if on else self.against_recover(target)
         if reason and not forced:
@@ -165,7 +179,7 @@
         )
 
     def zone_verdicts(self) -> dict[str, str]:
-        zones = self.register.verdict.get("zones")
+        zones = self.replicated_state.verdict.get("zones")
         if not isinstance(zones, dict):
             return {}
         return {str(zone): str(found.get("verdict")) for zone, found in zones.items()}
@@ -173,8 +187,8 @@
     def serving_edges(self) -> dict[str, list[str]]:
         """Edges that are members and not drained, by zone."""
         found: dict[str, list[str]] = {}
-        for name, session in sorted(self.roster.members().items()):
-            drains = self.register.drains
+        for name, session in sorted(self.membership.members().items()):
+            drains = self.replicated_state.drains
             if (
                 session.role == "edge"
                 and name not in drains
@@ -189,10 +203,10 @@
         verdicts = self.zone_verdicts()
         if target.startswith("zone:"):
             zone = target[5:]
-            if zone not in {session.zone for session in self.roster.members().values()}:
+            if zone not in {session.zone for session in self.membership.members().values()}:
                 return f"there is no zone {zone}"
         else:
-            session = self.roster.members().get(target)
+            session = self.membership.members().get(target)
             if session is None or session.role != "edge":
                 return f"there is no edge {target}"
             zone = session.zone
@@ -209,7 +223,7 @@
         )
 
     def against_recover(self, target: str) -> str:
-        if target not in self.register.drains:
+        if target not in self.replicated_state.drains:
             return f"{target} is not drained"
         zone = target[5:] if target.startswith("zone:") else ""
         if zone and self.zone_verdicts().get(zone) == "down":
@@ -224,7 +238,7 @@
             self.log.write(VERDICT_LATE, holder=message.get("holder"), epoch=message.get("epoch"))
             return {"status": "late"}
         verdict = message.get("verdict")
-        data = encode_word(
+        data = encode_command(
             "decision",
             holder=message.get("holder"),
             epoch=message.get("epoch"),
@@ -260,25 +274,25 @@
 
     def shown_members(self) -> dict[str, object]:
         found: dict[str, object] = {}
-        for name, session in sorted(self.roster.members().items()):
+        for name, session in sorted(self.membership.members().items()):
             found[name] = session.plain()
-        for name, session in sorted(self.roster.lost().items()):
+        for name, session in sorted(self.membership.lost().items()):
             found[name] = {**session.plain(), "gone": True, "ready": False}
         return found
 
     def record(self) -> Message:
         """Verdicts next to membership: the one record of what was decided."""
-        register = self.register
+        replicated_state = self.replicated_state
         return {
-            "index": register.index,
-            "version": register.version,
-            "verdict": register.verdict,
-            "drains": register.drains,
-            "derived": places_of(register.derived),
-            "duties": {name: duty.plain() for name, duty in register.duties.items()},
-            "decisions": register.decisions[-100:],
+            "index": replicated_state.index,
+            "version": replicated_state.version,
+            "verdict": replicated_state.verdict,
+            "drains": replicated_state.drains,
+            "derived": places_of(replicated_state.derived),
+            "duties": {name: duty.plain() for name, duty in replicated_state.singletons.items()},
+            "decisions": replicated_state.decisions[-100:],
             "members": self.shown_members(),
             "voters": self.consensus.voters,
             "leader": self.consensus.name,
-            "epoch": self.consensus.epoch,
+            "epoch": self.consensus.term,
         }
--- a/packages/control_plane/ryelock/control_plane/metrics.py
+++ b/packages/control_plane/ryelock/control_plane/metrics.py
@@ -1,25 +1,29 @@
 """The figures that a control node tells: whether it leads, and how it divides the rates."""
 
 from ryelock.consensus import Consensus
-from ryelock.control_plane.renewals import Renewals
+from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.metrics import Labels, Metrics
-from ryelock.replicated_state import Register
+from ryelock.replicated_state import ReplicatedState
 
 
 class ControlMetrics:
     """Gauges of a control node; those of the rates are the leader's view."""
 
-    __slots__ = ("all", "consensus", "register", "renewals")
+    __slots__ = ("all", "consensus", "renewals", "replicated_state")
 
-    def __init__(self, consensus: Consensus, register: Register, renewals: Renewals) -> None:
+    def __init__(
+        self, consensus: Consensus, replicated_state: ReplicatedState, renewals: LeaseRenewals
+    ) -> None:
         """Create the figures of a node; they are read when somebody asks."""
         self.consensus = consensus
-        self.register = register
+        self.replicated_state = replicated_state
         self.renewals = renewals
         self.all = Metrics()
         self.all.gauge("leads", "1 where this node leads.", self.leads)
-        self.all.gauge("epoch", "The epoch of consensus.", lambda: {(): consensus.epoch})
-        self.all.gauge("version", "Version of the configuration.", lambda: {(): register.version})
+        self.all.gauge("epoch", "The epoch of consensus.", lambda: {(): consensus.term})
+        self.all.gauge(
+            "version", "Version of the configuration.", lambda: {(): replicated_state.version}
+        )
         self.all.gauge("edges", "Edges that are members.", lambda: {(): len(renewals.edges())})
         self.all.gauge("rate", "Requests a second a service may get.", self.rates, "service")
         self.all.gauge("rate_given", "Sum of the shares given.", self.given, "service")
@@ -31,7 +35,7 @@
 
     def rates(self) -> dict[Labels, float]:
         """Return the rate of each service that has one, in requests per second."""
-        services = self.register.configuration.services
+        services = self.replicated_state.configuration.services
         return {(name,): service.rate for name, service in services.items() if service.limited}
 
     def given(self) -> dict[Labels, float]:
--- a/packages/control_plane/ryelock/control_plane/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -11,23 +11,22 @@
 from expression import Error, Result
 
 from ryelock.events import LISTING_DECLINED, LISTING_MISSED, Log
-from ryelock.http import call
-from ryelock.membership import Listing, Server, listing_of
-from ryelock.membership.servers import ListingError, servers_from
+from ryelock.http import fetch
+from ryelock.membership import Server, ServerList, decode_server_list
+from ryelock.membership.servers import ServerListError, servers_from
 from ryelock.runtime import Network, Scheduler, TaskCoroutine
-from ryelock.settings import Env
+from ryelock.settings import Settings
 
 Plain = dict[str, object]
 DUTY = "reader"
 MISSED_SECONDS = 2.5
-Listed = Result[list[Server], ListingError]
+Listed = Result[list[Server], ServerListError]
 Read = Callable[[], TaskCoroutine[Listed]]
 
 
 class PlatformReader:
     __slots__ = (
         "digest",
-        "env",
         "heard",
         "listing",
         "log",
@@ -37,18 +36,19 @@
         "on_news",
         "read_listing",
         "scheduler",
+        "settings",
         "source",
     )
 
     def __init__(
-        self, env: Env, scheduler: Scheduler, network: Network, log: Log, source: str
+        self, settings: Settings, scheduler: Scheduler, network: Network, log: Log, source: str
     ) -> None:
-        self.env = env
+        self.settings = settings
         self.scheduler = scheduler
         self.network = network
         self.log = log
         self.source = source
-        self.listing: Listing | None = None
+        self.listing: ServerList | None = None
         self.digest = b""
         self.heard = b""
         self.missed = False
@@ -63,14 +63,14 @@
             silent = held is None or self.scheduler.now() - held.since > MISSED_SECONDS
             if self.on_duty() or silent:
                 await self.read()
-            await self.scheduler.sleep(self.env.listing_seconds)
+            await self.scheduler.sleep(self.settings.listing_seconds)
 
     async def read_own(self) -> Listed:
         """The listing in this project's own form, see docs/platform.md."""
-        found = await call(
+        found = await fetch(
             self.scheduler,
             self.network,
-            self.env.platform_address,
+            self.settings.platform_address,
             b"GET",
             b"/servers",
             [],
@@ -79,11 +79,11 @@
         )
         if found.is_error() or found.ok[0].status != 200:
             return Error(
-                ListingError(
+                ServerListError(
                     "no answer" if found.is_error() else f"status {found.ok[0].status}", True
                 )
             )
-        return listing_of(found.ok[1])
+        return decode_server_list(found.ok[1])
 
     async def read(self) -> None:
         asked = self.scheduler.now()
@@ -95,9 +95,9 @@
                 self.log.write(LISTING_DECLINED, fault=str(listed.error))
             return
         self.missed = False
-        self.take(Listing(self.source, 0, listed.ok, 0.0, asked, self.scheduler.now()))
+        self.take(ServerList(self.source, 0, listed.ok, 0.0, asked, self.scheduler.now()))
 
-    def take(self, fresh: Listing) -> None:
+    def take(self, fresh: ServerList) -> None:
         """Follow a reading, this node's own or another's, if it is certainly the later one."""
         held = self.listing
         if held is not None and not fresh.follows(held):
@@ -115,9 +115,9 @@
             self.missed = True
             self.log.write(LISTING_MISSED, reason=reason)
 
-    def believed(self, now: float) -> Listing | None:
+    def believed(self, now: float) -> ServerList | None:
         held = self.listing
-        return held if held is not None and now - held.since <= self.env.listing_term else None
+        return held if held is not None and now - held.since <= self.settings.listing_term else None
 
     # Between control nodes.
 
@@ -148,7 +148,7 @@
             found = self.listing.servers
         else:
             return
-        self.take(Listing(self.source, 0, found, 0.0, since - age, self.scheduler.now() - fresh))
+        self.take(ServerList(self.source, 0, found, 0.0, since - age, self.scheduler.now() - fresh))
 
     # To edges.
 
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -2,26 +2,26 @@
 
 from random import Random
 
-from ryelock.consensus import Consensus, Pace
+from ryelock.consensus import Consensus, ConsensusSettings
 from ryelock.consensus.status import member_status
 from ryelock.control_api import OPERATOR, ControlApi
 from ryelock.control_plane.aggregator import Aggregator
-from ryelock.control_plane.keeper import Keeper
-from ryelock.control_plane.leading import Leading
+from ryelock.control_plane.keeper import RoleAssigner
+from ryelock.control_plane.leading import OperatorRequests
 from ryelock.control_plane.metrics import ControlMetrics
 from ryelock.control_plane.platform import DUTY as READER
 from ryelock.control_plane.platform import PlatformReader
-from ryelock.control_plane.renewals import Renewals
+from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.control_plane.voters import LEAVE
 from ryelock.events import DUTY_FENCED, LEAVING, STARTED, STOPPED, STOPPING, Log
 from ryelock.journal import Journal
-from ryelock.membership import Roster, Session
+from ryelock.membership import Membership, Session
 from ryelock.metrics import show_metrics
-from ryelock.replicated_state import Register
-from ryelock.rpc import Lines, Message, MessageServer, Reply
+from ryelock.replicated_state import ReplicatedState
+from ryelock.rpc import Message, Reply, RpcClients, RpcServer
 from ryelock.runtime import Network, Scheduler, Task
-from ryelock.settings import Env
-from ryelock.singleton import Duty
+from ryelock.settings import Settings
+from ryelock.singleton import SingletonRole
 
 LEAVE_SECONDS_MOST = 4.0
 """A stopping node waits for its place to be taken for so long at most."""
@@ -36,27 +36,27 @@
         "aggregator",
         "consensus",
         "control_api",
-        "env",
         "heard_clock",
         "keeper",
         "leading",
         "lines",
         "listener",
         "log",
+        "membership",
         "network",
         "platform",
-        "register",
         "renewals",
-        "roster",
+        "replicated_state",
         "running",
         "scheduler",
         "session",
+        "settings",
         "stopping",
     )
 
     def __init__(
         self,
-        env: Env,
+        settings: Settings,
         scheduler: Scheduler,
         network: Network,
         log: Log,
@@ -64,70 +64,76 @@
         disk: str,
         journal: Journal,
     ) -> None:
-        self.env = env
+        self.settings = settings
         self.scheduler = scheduler
         self.network = network
         self.log = log
         self.stopping = False
-        self.lines = Lines(scheduler, network, log)
-        self.register = Register()
+        self.lines = RpcClients(scheduler, network, log)
+        self.replicated_state = ReplicatedState()
         incarnation = f"{random.getrandbits(48):012x}"
-        source = f"{env.name}/{incarnation}"
-        self.roster = Roster(scheduler, source, max(3.0, 2 * env.term_seconds), env.gone_seconds)
-        self.listener = MessageServer(scheduler, network, log, env.wire_address, self.on_ask)
-        pace = Pace(
-            env.beat_seconds,
-            env.election_seconds,
-            env.term_seconds,
-            env.replace_seconds,
-            env.image_records,
-            env.may_found,
-            env.disk_bytes,
+        source = f"{settings.name}/{incarnation}"
+        self.membership = Membership(
+            scheduler, source, max(3.0, 2 * settings.term_seconds), settings.gone_seconds
+        )
+        self.listener = RpcServer(scheduler, network, log, settings.wire_address, self.on_ask)
+        pace = ConsensusSettings(
+            settings.beat_seconds,
+            settings.election_seconds,
+            settings.term_seconds,
+            settings.replace_seconds,
+            settings.image_records,
+            settings.may_found,
+            settings.disk_bytes,
         )
         self.consensus = Consensus(
             scheduler,
             self.lines,
             log,
             journal,
-            self.register,
-            env.name,
+            self.replicated_state,
+            settings.name,
             disk,
             self.listener.address,
-            env.seeds,
+            settings.seeds,
             pace,
             random,
         )
-        self.platform = PlatformReader(env, scheduler, network, log, f"servers@{source}")
-        if env.reader_duty:
+        self.platform = PlatformReader(settings, scheduler, network, log, f"servers@{source}")
+        if settings.reader_duty:
             self.platform.on_duty = self.reads
-        self.renewals = Renewals(
-            env,
+        self.renewals = LeaseRenewals(
+            settings,
             scheduler,
             log,
             self.consensus,
-            self.register,
-            self.roster,
+            self.replicated_state,
+            self.membership,
             self.platform,
             f"members@{source}",
         )
-        self.leading = Leading(
-            scheduler, log, self.consensus, self.register, self.roster, self.renewals
+        self.leading = OperatorRequests(
+            scheduler, log, self.consensus, self.replicated_state, self.membership, self.renewals
+        )
+        figures = ControlMetrics(self.consensus, self.replicated_state, self.renewals).all
+        show_metrics(
+            scheduler, network, log, figures, settings.metrics_address, settings.metrics_log_seconds
         )
-        figures = ControlMetrics(self.consensus, self.register, self.renewals).all
-        show_metrics(scheduler, network, log, figures, env.metrics_address, env.metrics_log_seconds)
-        duties = ("aggregator", READER) if env.reader_duty else ("aggregator",)
-        self.keeper = Keeper(
+        duties = ("aggregator", READER) if settings.reader_duty else ("aggregator",)
+        self.keeper = RoleAssigner(
             scheduler,
             log,
             self.consensus,
-            self.register,
-            self.roster,
+            self.replicated_state,
+            self.membership,
             duties,
             self.renewals.objects,
-            env.derive_watches,
+            settings.derive_watches,
         )
         self.leading.replicas = self.keeper.voters.replicas
-        self.aggregator = Aggregator(env, scheduler, self.register, self.roster, self.decide)
+        self.aggregator = Aggregator(
+            settings, scheduler, self.replicated_state, self.membership, self.decide
+        )
         self.consensus.say = self.say
         self.consensus.hear = self.on_said
         self.consensus.applied_news.append(self.renewals.tell)
@@ -137,7 +143,7 @@
             network,
             log,
             self.lines,
-            env.control_address,
+            settings.control_address,
             self.leader,
             self.others,
             self.leading.serve,
@@ -147,10 +153,10 @@
         self.heard_clock: list[object] = []
         self.aggregator.clock = lambda: self.heard_clock
         self.session = Session()
-        self.session.name = env.name
+        self.session.name = settings.name
         self.session.role = "core"
-        self.session.zone = env.zone
-        self.session.machine = env.machine
+        self.session.zone = settings.zone
+        self.session.machine = settings.machine
         self.session.wire = self.listener.address
         self.session.control = self.control_api.listener.address
         self.session.incarnation = incarnation
@@ -161,7 +167,7 @@
         self.log.write(
             STARTED,
             role="core",
-            zone=self.env.zone,
+            zone=self.settings.zone,
             wire=self.session.wire,
             control=self.session.control,
             disk=self.session.disk,
@@ -174,17 +180,17 @@
             create_task(self.aggregator.work(), name="aggregator"),
             create_task(self.tend(), name="tends"),
         ]
-        if self.env.platform_address:
+        if self.settings.platform_address:
             self.running.append(create_task(self.platform.work(), name="platform"))
 
-    def follow(self, env: Env) -> None:
+    def follow(self, settings: Settings) -> None:
         """Settings that changed: the seeds; all others stand for the life of the process."""
-        self.consensus.seeds = env.seeds
+        self.consensus.seeds = settings.seeds
 
     def reads(self) -> bool:
         """Whether this node holds the duty of reading the platform's list."""
-        duty = self.register.duties.get(READER)
-        return duty is not None and duty.holder == self.env.name
+        duty = self.replicated_state.singletons.get(READER)
+        return duty is not None and duty.owner == self.settings.name
 
     def leader(self) -> str:
         if self.consensus.role == "leader":
@@ -235,7 +241,7 @@
         if not leader or leader == "here":
             reply({"ok": False, "leader": ""})
             return
-        found = await self.lines.ask(leader, {**message, "passed": True}, 0.5)
+        found = await self.lines.call(leader, {**message, "passed": True}, 0.5)
         reply(found.ok if found.is_ok() else {"ok": False, "leader": ""})
 
     def with_listing(self, message: Message, reply: Reply) -> Reply:
@@ -264,7 +270,7 @@
         if leader == "here":
             reply(await self.leading.claim(message))
         elif leader and message.get("passed") is not True:
-            found = await self.lines.ask(leader, {**message, "passed": True}, 1.0)
+            found = await self.lines.call(leader, {**message, "passed": True}, 1.0)
             reply(found.ok if found.is_ok() else {"status": "unknown"})
         else:
             reply({"status": "elsewhere"})
@@ -282,7 +288,7 @@
         if leader == "here":
             found = await self.leading.decide(message)
         elif leader:
-            answer = await self.lines.ask(leader, message, 3.0)
+            answer = await self.lines.call(leader, message, 3.0)
             if answer.is_error():
                 return False
             found = answer.ok
@@ -294,13 +300,17 @@
 
     def say(self) -> Message:
         """To other control nodes: sessions, and the platform's servers as read here."""
-        return {**self.roster.say(), "listing": self.platform.say(), "clock": self.scheduler.now()}
+        return {
+            **self.membership.say(),
+            "listing": self.platform.say(),
+            "clock": self.scheduler.now(),
+        }
 
     def on_said(self, disk: str, said: Message, since: float | None) -> None:
         try:
             self.heard_clock = [disk, said.get("clock")]
             self.platform.hear(said.get("listing"), since)
-            self.roster.hear(said)
+            self.membership.hear(said)
         except ValueError:
             return
 
@@ -308,11 +318,11 @@
         """This node's own session, and sessions that ended."""
         while True:
             self.session.ready = not self.stopping
-            self.session.applied = self.consensus.applied
+            self.session.applied = self.consensus.applied_index
             fresh = Session()
             for slot in Session.__slots__:
                 setattr(fresh, slot, getattr(self.session, slot))
-            self.roster.renew(fresh)
+            self.membership.renew(fresh)
             self.renewals.lapse()
             await self.scheduler.sleep(0.25)
 
@@ -320,14 +330,14 @@
         known = self.consensus.knows_leader()
         reason = "stopping" if self.stopping else "" if known else "no leader is known"
         return {
-            "name": self.env.name,
+            "name": self.settings.name,
             "role": "core",
-            "zone": self.env.zone,
+            "zone": self.settings.zone,
             "ready": not reason,
             "reason": reason,
-            "version": self.register.version,
-            "index": self.consensus.applied,
-            "epoch": self.consensus.epoch,
+            "version": self.replicated_state.version,
+            "index": self.consensus.applied_index,
+            "epoch": self.consensus.term,
             "leads": self.consensus.role == "leader",
             "voter": self.consensus.disk in self.consensus.voters,
             "leader": self.consensus.leader_address,
@@ -339,13 +349,13 @@
 
     async def stop(self) -> None:
         """Hand over duties by name and the voter's place by agreement, then end."""
-        until = self.scheduler.now() + min(self.env.stop_seconds, LEAVE_SECONDS_MOST)
+        until = self.scheduler.now() + min(self.settings.stop_seconds, LEAVE_SECONDS_MOST)
         self.stopping = True
         self.log.write(STOPPING)
         self.session.ready = False
         await self.hand_over_duties()
         await self.leave_consensus(until)
-        self.control_api.listener.stop_taking()
+        self.control_api.listener.stop_accepting()
         await self.control_api.listener.finish(max(FINISH_SECONDS, until - self.scheduler.now()))
         for running in self.running:
             running.cancel()
@@ -375,9 +385,9 @@
                 successor = self.consensus.best_successor(self.keeper.voters.leaving)
                 if not successor:
                     return False
-                await self.consensus.hand_over(successor)
+                await self.consensus.transfer_leadership(successor)
             elif leader:
-                found = await self.lines.ask(leader, message, LEAVE_ASK_SECONDS)
+                found = await self.lines.call(leader, message, LEAVE_ASK_SECONDS)
                 if found.is_ok() and self.is_released(found.ok):
                     return True
             await self.scheduler.sleep(LEAVE_PAUSE_SECONDS)
@@ -388,17 +398,23 @@
 
         One of an older epoch does not: this node may have stored entries for a newer leader.
         """
-        epoch = answer.get("epoch", self.consensus.epoch)
-        return answer.get("may_end") is True and epoch == self.consensus.epoch
+        epoch = answer.get("epoch", self.consensus.term)
+        return answer.get("may_end") is True and epoch == self.consensus.term
 
     async def hand_over_duties(self) -> None:
         """The holder names its successor; the leader has it agreed."""
         until = self.scheduler.now() + 1.5
         while self.scheduler.now() < until:
-            held = [duty for duty in self.register.duties.values() if duty.holder == self.env.name]
+            held = [
+                duty
+                for duty in self.replicated_state.singletons.values()
+                if duty.owner == self.settings.name
+            ]
             if not held or not any(duty.successor for duty in held):
                 return
             for duty in held:
                 if self.consensus.role == "leader" and duty.successor:
-                    await self.keeper.give(Duty(duty.name, duty.successor, duty.epoch + 1, ""))
+                    await self.keeper.give(
+                        SingletonRole(duty.name, duty.successor, duty.fencing_token + 1, "")
+                    )
             await self.scheduler.sleep(0.1)
--- a/packages/control_plane/ryelock/control_plane/renewals.py
+++ b/packages/control_plane/ryelock/control_plane/renewals.py
@@ -11,12 +11,12 @@
 from ryelock.consensus import Consensus
 from ryelock.control_plane.platform import PlatformReader
 from ryelock.events import SESSION_ENDED, SESSION_STANDS, Log
-from ryelock.membership import Roster, Session, session_of
-from ryelock.rate_limit import Divider, is_narrow
-from ryelock.replicated_state import DERIVED_MOST, Register, vector_of
+from ryelock.membership import Membership, Session, session_of
+from ryelock.rate_limit import QuotaAllocator, is_narrow
+from ryelock.replicated_state import DERIVED_MOST, ReplicatedState, vector_of
 from ryelock.rpc import Message, Reply
 from ryelock.runtime import Queue, Scheduler
-from ryelock.settings import Env
+from ryelock.settings import Settings
 
 CLOCK_MARGIN = 1.05
 FAILED_KEPT = 1000
@@ -30,7 +30,7 @@
 Node = tuple[str, str]
 
 
-class Terms:
+class EdgeLeases:
     """Terms given by this leader, by node: the place they were given with and their end."""
 
     __slots__ = ("given", "reached")
@@ -62,26 +62,26 @@
         return found
 
 
-class Renewals:
+class LeaseRenewals:
     __slots__ = (
         "consensus",
         "divider",
-        "env",
         "epoch",
         "failed",
         "failed_version",
         "known",
         "known_lost",
-        "last_edge_image",
-        "last_edge_image_index",
+        "last_edge_snapshot",
+        "last_edge_snapshot_index",
         "log",
         "member_changes",
         "members_version",
+        "membership",
         "objects",
         "platform",
-        "register",
-        "roster",
+        "replicated_state",
         "scheduler",
+        "settings",
         "source",
         "terms",
         "waiting",
@@ -89,25 +89,25 @@
 
     def __init__(
         self,
-        env: Env,
+        settings: Settings,
         scheduler: Scheduler,
         log: Log,
         consensus: Consensus,
-        register: Register,
-        roster: Roster,
+        replicated_state: ReplicatedState,
+        membership: Membership,
         platform: PlatformReader,
         source: str,
     ) -> None:
-        self.env = env
+        self.settings = settings
         self.scheduler = scheduler
         self.log = log
         self.consensus = consensus
-        self.register = register
-        self.roster = roster
+        self.replicated_state = replicated_state
+        self.membership = membership
         self.platform = platform
         self.source = source
-        self.divider = Divider()
-        self.terms = Terms()
+        self.divider = QuotaAllocator()
+        self.terms = EdgeLeases()
         self.epoch = 0
         self.members_version = 0
         self.known: dict[str, tuple[object, ...]] = {}
@@ -116,13 +116,13 @@
         self.waiting: dict[int, Queue[bool]] = {}
         self.failed: deque[tuple[int, str, bytes]] = deque(maxlen=FAILED_KEPT)
         self.failed_version = 0
-        self.last_edge_image = b""
-        self.last_edge_image_index = 0
+        self.last_edge_snapshot = b""
+        self.last_edge_snapshot_index = 0
         self.objects: dict[str, tuple[str, str]] = {}
 
     @property
     def term_length(self) -> float:
-        return self.env.term_seconds * CLOCK_MARGIN
+        return self.settings.term_seconds * CLOCK_MARGIN
 
     def tell(self) -> None:
         """There is news: answer those who wait for it."""
@@ -131,10 +131,10 @@
 
     def lead(self) -> None:
         """A new epoch of this node's leading: no account of terms is carried over."""
-        if self.epoch != self.consensus.epoch:
-            self.epoch = self.consensus.epoch
-            self.divider = Divider()
-            self.terms = Terms()
+        if self.epoch != self.consensus.term:
+            self.epoch = self.consensus.term
+            self.divider = QuotaAllocator()
+            self.terms = EdgeLeases()
 
     def note_members(self) -> int:
         """The version of the members as they are now; what changed with it is kept for a while.
@@ -144,9 +144,9 @@
         """
         found: dict[str, tuple[object, ...]] = {
             name: (session.incarnation, session.zone, session.order, session.wire, session.ready)
-            for name, session in self.roster.members().items()
+            for name, session in self.membership.members().items()
         }
-        lost = set(self.roster.lost())
+        lost = set(self.membership.lost())
         if found != self.known or lost != self.known_lost:
             changed = {
                 name for name in {*found, *self.known} if found.get(name) != self.known.get(name)
@@ -158,11 +158,11 @@
 
     def members_since(self, version: int | None) -> Message:
         """Members for a node: what changed since its version, or all of them."""
-        members = self.roster.members()
+        members = self.membership.members()
         found: Message = {
             "source": self.source,
             "version": self.members_version,
-            "gone": [lost.plain() for lost in self.roster.lost().values()],
+            "gone": [lost.plain() for lost in self.membership.lost().values()],
         }
         changes = [
             names
@@ -200,7 +200,7 @@
             reply({"ok": False, "fault": f"malformed: {error!r}"})
             return
         node = (session.name, session.incarnation)
-        before = self.roster.sessions.get(session.name)
+        before = self.membership.sessions.get(session.name)
         if (
             before is not None
             and before.incarnation == session.incarnation
@@ -209,19 +209,21 @@
             reply({"ok": False, "fault": "an older ask"})
             return
         session.sequence = sequence
-        if self.roster.renew(session):
+        if self.membership.renew(session):
             self.log.write(
                 SESSION_STANDS, member=session.name, zone=session.zone, role=session.role
             )
         self.terms.reach(node, vector.get("register", 0))
         self.objects.update(
-            (route, place) for route, place in objects.items() if route in self.register.derivable
+            (route, place)
+            for route, place in objects.items()
+            if route in self.replicated_state.derivable
         )
         for caller in failed:
             self.failed_version += 1
             self.failed.append((self.failed_version, session.name, caller))
         self.divider.report(session.name, demand)
-        for name in self.register.configuration.services:
+        for name in self.replicated_state.configuration.services:
             self.divider.want(name, session.name, wanted.get(name, 0), self.scheduler.now())
         until = self.scheduler.now() + min(HOLD_MOST, max(0.0, hold))
         box: Queue[bool] = Queue(self.scheduler)
@@ -234,13 +236,15 @@
                 await box.get(min(soon, until - self.scheduler.now()))
         finally:
             del self.waiting[id(box)]
-        if not self.consensus.settled or self.epoch != self.consensus.epoch:
+        if not self.consensus.settled or self.epoch != self.consensus.term:
             reply({"ok": False, "leader": self.consensus.leader_address})
             return
         reply(self.renewal(session, node, vector, holding, wanted))
 
     def edges(self) -> list[str]:
-        return sorted(name for name, other in self.roster.sessions.items() if other.role == "edge")
+        return sorted(
+            name for name, other in self.membership.sessions.items() if other.role == "edge"
+        )
 
     def fresh(self, now: float) -> bool:
         """Whether all that a leader before this one gave has ended.
@@ -252,8 +256,8 @@
 
     @property
     def account_length(self) -> float:
-        if self.env.serve_lapsed:
-            return min(self.term_length, self.env.settle_seconds)
+        if self.settings.serve_lapsed:
+            return min(self.term_length, self.settings.settle_seconds)
         return self.term_length
 
     def soon(self, wanted: dict[str, int]) -> float:
@@ -261,7 +265,7 @@
         now = self.scheduler.now()
         if not any(wanted.values()) or not self.fresh(now):
             return 1e9
-        services, edges = self.register.configuration.services, len(self.edges())
+        services, edges = self.replicated_state.configuration.services, len(self.edges())
         return min(
             (
                 self.divider.soon(name, services[name].rate, now)
@@ -275,7 +279,7 @@
 
     def without_share(self, holding: dict[str, float], asked: float) -> float:
         """Seconds until an edge that holds nothing of a limited service is answered."""
-        services, edges = self.register.configuration.services, len(self.edges())
+        services, edges = self.replicated_state.configuration.services, len(self.edges())
         if all(
             held > 0
             or name not in services
@@ -289,7 +293,7 @@
     def has_news(self, vector: dict[str, int]) -> bool:
         listing = self.platform.believed(self.scheduler.now())
         return (
-            vector.get("register", 0) < self.consensus.applied_word
+            vector.get("register", 0) < self.consensus.applied_command_index
             or self.source not in vector
             or (listing is not None and vector.get(self.platform.source) != listing.version)
         )
@@ -303,13 +307,13 @@
         wanted: dict[str, int],
     ) -> Message:
         now = self.scheduler.now()
-        age = max(0.0, now - self.consensus.held_since())
-        sure = age < 0.9 * self.consensus.pace.election
+        age = max(0.0, now - self.consensus.majority_contact_at())
+        sure = age < 0.9 * self.consensus.settings.election_timeout
         if not sure:
             return unconfirmed_renewal(vector, age)
         answer: Message = {"ok": True, "age": age, "term": True, **self.words(vector)}
         if session.role == "edge":
-            self.terms.give(node, self.consensus.applied, now + self.term_length, now)
+            self.terms.give(node, self.consensus.applied_index, now + self.term_length, now)
             edges = self.edges()
             answer["shares"], answer["grants"] = self.shares(session, edges, holding, wanted, now)
             answer["edges"] = max(1, len(edges))
@@ -334,27 +338,33 @@
     def words(self, vector: dict[str, int]) -> Message:
         """What brings an edge level with this node: words, or an image where that is smaller."""
         since = vector.get("register", 0)
-        words = self.consensus.words_since(since) if since else None
-        if words is None or self.image_is_smaller(words):
-            return {"image": self.edge_image(), "index": self.consensus.applied}
-        return {"words": [[index, data] for index, data in words], "index": self.consensus.applied}
+        words = self.consensus.commands_since(since) if since else None
+        if words is None or self.snapshot_is_smaller(words):
+            return {"image": self.edge_snapshot(), "index": self.consensus.applied_index}
+        return {
+            "words": [[index, data] for index, data in words],
+            "index": self.consensus.applied_index,
+        }
 
-    def image_is_smaller(self, words: list[tuple[int, bytes]]) -> bool:
+    def snapshot_is_smaller(self, words: list[tuple[int, bytes]]) -> bool:
         """Compared with the last image that was made, which may be a little older."""
         size = sum(len(data) + WORD_OVERHEAD_BYTES for _, data in words)
         if size <= WORDS_BYTES_SMALL:
             return False
-        return size > len(self.last_edge_image or self.edge_image())
+        return size > len(self.last_edge_snapshot or self.edge_snapshot())
 
-    def edge_image(self) -> bytes:
+    def edge_snapshot(self) -> bytes:
         """The register's image for edges, made once for all that ask between two words.
 
         Notes, which edges are not told of, leave it as it is.
         """
-        if self.last_edge_image_index != self.consensus.applied_word or not self.last_edge_image:
-            self.last_edge_image = self.register.image_for_edges()
-            self.last_edge_image_index = self.consensus.applied_word
-        return self.last_edge_image
+        if (
+            self.last_edge_snapshot_index != self.consensus.applied_command_index
+            or not self.last_edge_snapshot
+        ):
+            self.last_edge_snapshot = self.replicated_state.edge_snapshot()
+            self.last_edge_snapshot_index = self.consensus.applied_command_index
+        return self.last_edge_snapshot
 
     def shares(
         self,
@@ -369,7 +379,7 @@
         ends = now + self.term_length
         shares: dict[str, float] = {}
         grants: dict[str, object] = {}
-        for name, service in self.register.configuration.services.items():
+        for name, service in self.replicated_state.configuration.services.items():
             if not service.limited:
                 continue
             held = holding.get(name, 0.0)
@@ -388,13 +398,13 @@
                     now,
                     ends,
                     fresh,
-                    self.env.serve_lapsed,
+                    self.settings.serve_lapsed,
                 )
         return shares, grants
 
     def leave(self, message: Message, reply: Reply) -> None:
         name, incarnation = str(message.get("name")), str(message.get("incarnation"))
-        left = self.roster.leave(name, incarnation)
+        left = self.membership.leave(name, incarnation)
         if left:
             self.divider.release(name)
             self.terms.given.pop((name, incarnation), None)
@@ -402,7 +412,7 @@
         reply({"ok": left})
 
     def lapse(self) -> None:
-        for session in self.roster.lapse():
+        for session in self.membership.expire():
             self.divider.forget(session.name)
             self.log.write(SESSION_ENDED, member=session.name, zone=session.zone, role=session.role)
         self.note_members()
@@ -415,12 +425,12 @@
         term instead: what it gave has ended by then, and what its successor gives has the word.
         """
         started = self.scheduler.now()
-        epoch = self.consensus.epoch
+        epoch = self.consensus.term
         while self.scheduler.now() < started + self.account_length:
             now = self.scheduler.now()
             if (
                 self.consensus.role == "leader"
-                and self.consensus.epoch == epoch
+                and self.consensus.term == epoch
                 and now >= self.consensus.settled_at + self.account_length
                 and not self.terms.behind(index, now)
             ):
--- a/packages/control_plane/ryelock/control_plane/voters.py
+++ b/packages/control_plane/ryelock/control_plane/voters.py
@@ -9,10 +9,10 @@
 
 from ryelock.consensus import Consensus, majority_of
 from ryelock.consensus.entries import Voters
-from ryelock.consensus.membership import Membership, Spare, next_voters
+from ryelock.consensus.membership import Standby, VoterSet, next_voters
 from ryelock.consensus.status import replica_statuses
 from ryelock.events import VOTER_LOST
-from ryelock.membership import Roster
+from ryelock.membership import Membership
 from ryelock.rpc import Message
 from ryelock.runtime import Scheduler
 
@@ -29,15 +29,15 @@
 TEND_SECONDS = 0.2
 
 
-class VoterKeeper:
+class VoterManager:
     """Adds and removes voters, one step after the other."""
 
-    __slots__ = ("consensus", "leaving", "roster", "scheduler")
+    __slots__ = ("consensus", "leaving", "membership", "scheduler")
 
-    def __init__(self, scheduler: Scheduler, consensus: Consensus, roster: Roster) -> None:
+    def __init__(self, scheduler: Scheduler, consensus: Consensus, membership: Membership) -> None:
         self.scheduler = scheduler
         self.consensus = consensus
-        self.roster = roster
+        self.membership = membership
         self.leaving: dict[str, float] = {}
 
     async def work(self) -> None:
@@ -52,34 +52,36 @@
         for _ in range(STEPS_MOST):
             if not self.consensus.settled:
                 return
-            membership = self.membership()
-            voters = next_voters(membership)
+            voter_set = self.voter_set()
+            voters = next_voters(voter_set)
             if voters is None:
                 return
-            self.tell_lost(membership, voters)
+            self.tell_lost(voter_set, voters)
             outcome = await self.consensus.change_voters(voters)
             if outcome.is_error():
                 return
 
-    def tell_lost(self, membership: Membership, voters: Voters) -> None:
-        for disk in membership.lost_voters:
+    def tell_lost(self, voter_set: VoterSet, voters: Voters) -> None:
+        for disk in voter_set.lost_voters:
             if disk not in voters:
-                address = membership.voters[disk]
+                address = voter_set.voters[disk]
                 self.consensus.log.write(VOTER_LOST, disk=disk, address=address)
 
     def replicas(self) -> list[Message]:
         """Return every disk as this leader sees it, for operators."""
-        membership = self.membership()
-        statuses = replica_statuses(self.consensus, membership.lost, membership.leaving)
+        voter_set = self.voter_set()
+        statuses = replica_statuses(self.consensus, voter_set.lost, voter_set.leaving)
         return [status.plain() for status in statuses]
 
-    def membership(self) -> Membership:
+    def voter_set(self) -> VoterSet:
         """Voters and spares as this leader sees them."""
         consensus = self.consensus
         self.forget_old()
-        recent = self.scheduler.now() - consensus.elected_at <= consensus.pace.beat * 4
+        recent = (
+            self.scheduler.now() - consensus.elected_at <= consensus.settings.heartbeat_seconds * 4
+        )
         lost = [] if recent else [disk for disk in consensus.voters if self.is_lost(disk)]
-        return Membership(
+        return VoterSet(
             dict(consensus.voters),
             consensus.disk,
             frozenset(lost),
@@ -98,15 +100,15 @@
             if disk not in self.consensus.voters and now - seen > JOINED_SECONDS:
                 self.consensus.drop_learner(disk)
 
-    def waiting(self) -> list[Spare]:
+    def waiting(self) -> list[Standby]:
         """Disks that joined lately, are no voters and are not leaving."""
         return [
-            Spare(disk, address)
+            Standby(disk, address)
             for disk, (address, _) in self.consensus.learners.items()
             if disk not in self.consensus.voters and disk not in self.leaving
         ]
 
-    def spares(self) -> list[Spare]:
+    def spares(self) -> list[Standby]:
         """Those of them that are level with the log, the ones in the emptiest zones first."""
         level = [spare for spare in self.waiting() if self.is_level(spare.disk)]
         crowded = self.crowded({spare.disk: spare.address for spare in level})
@@ -117,16 +119,16 @@
         peer = consensus.peers.get(disk)
         return (
             peer is not None
-            and peer.match + LEVEL_ENTRIES >= consensus.commit
-            and peer.match >= consensus.base.index
-            and self.scheduler.now() - peer.heard < consensus.pace.election
+            and peer.match_index + LEVEL_ENTRIES >= consensus.commit_index
+            and peer.match_index >= consensus.snapshot.index
+            and self.scheduler.now() - peer.heard < consensus.settings.election_timeout
         )
 
     def crowded(self, disks: Voters) -> dict[str, int]:
         """How many voters stand in the zone of each disk already; one look at the members."""
         if not disks:
             return {}
-        zones = {session.wire: session.zone for session in self.roster.members().values()}
+        zones = {session.wire: session.zone for session in self.membership.members().values()}
         voting = Counter(zones.get(address) for address in self.consensus.voters.values())
         return {disk: voting[zones.get(address, "")] for disk, address in disks.items()}
 
@@ -137,7 +139,7 @@
         if disk == consensus.disk or peer is None:
             return False
         since = max(peer.stored, consensus.elected_at)
-        return peer.gone or self.scheduler.now() - since > consensus.pace.replace
+        return peer.gone or self.scheduler.now() - since > consensus.settings.replace_seconds
 
     # Leaving.
 
@@ -150,7 +152,7 @@
         may_end = self.may_end(disk)
         if may_end:
             self.consensus.release(disk)
-        return {"ok": True, "may_end": may_end, "epoch": self.consensus.epoch}
+        return {"ok": True, "may_end": may_end, "epoch": self.consensus.term}
 
     def may_end(self, disk: str) -> bool:
         """Whether nothing rests on a disk, or no spare could take its place anyway."""
@@ -169,6 +171,6 @@
         holding = [
             other
             for other in consensus.voters
-            if other != disk and consensus.match_of(other) >= consensus.commit
+            if other != disk and consensus.match_index_of(other) >= consensus.commit_index
         ]
         return len(holding) >= majority_of(len(consensus.voters))
--- a/packages/edge/ryelock/edge/context.py
+++ b/packages/edge/ryelock/edge/context.py
@@ -2,39 +2,39 @@
 
 from random import Random
 
-from ryelock.cache import Store
-from ryelock.edge.gate import Gate
-from ryelock.edge.member import Member
+from ryelock.cache import CacheStore
+from ryelock.edge.gate import AdmissionQueue
+from ryelock.edge.member import EdgeSession
 from ryelock.edge.metrics import EdgeMetrics
-from ryelock.edge.orders import Failed, Keys, Orders
+from ryelock.edge.orders import Failed, Keys, RecentRequests
 from ryelock.edge.peers import Peers
 from ryelock.edge.plan import Plan
 from ryelock.edge.servers import Servers, ServerState
 from ryelock.events import Log
 from ryelock.http import (
-    Answer,
-    AnswerHead,
-    Dialect,
+    ProtocolProfile,
     Reader,
+    Response,
+    ResponseHead,
 )
-from ryelock.runtime import Link, Network, Scheduler
-from ryelock.settings import Env
+from ryelock.runtime import Connection, Network, Scheduler
+from ryelock.settings import Settings
 
 REPEAT_SECONDS = 30.0
 
 
-class UpstreamAnswer:
+class UpstreamResponse:
     """A server's answer: its head, what was read of its body, and the rest to come."""
 
-    __slots__ = ("answer", "first", "head", "link", "reader", "sent", "server", "whole")
+    __slots__ = ("answer", "connection", "first", "head", "reader", "sent", "server", "whole")
 
     def __init__(
         self,
-        head: AnswerHead,
+        head: ResponseHead,
         first: bytes,
         whole: bool,
-        answer: Answer,
-        link: Link,
+        answer: Response,
+        connection: Connection,
         reader: Reader,
         server: ServerState,
         sent: float,
@@ -43,7 +43,7 @@
         self.first = first
         self.whole = whole
         self.answer = answer
-        self.link = link
+        self.connection = connection
         self.reader = reader
         self.server = server
         self.sent = sent
@@ -54,7 +54,6 @@
 
     __slots__ = (
         "dialect",
-        "env",
         "failed",
         "gates",
         "keys",
@@ -64,43 +63,48 @@
         "metrics",
         "name",
         "network",
-        "orders",
         "peers",
         "plan",
         "random",
+        "recent_requests",
         "scheduler",
         "sequence",
         "served",
         "servers",
+        "settings",
         "store",
     )
 
     def __init__(
         self,
-        env: Env,
+        settings: Settings,
         scheduler: Scheduler,
         network: Network,
         log: Log,
-        member: Member,
+        member: EdgeSession,
         random: Random,
-        dialect: Dialect,
+        dialect: ProtocolProfile,
     ) -> None:
-        self.env = env
+        self.settings = settings
         self.dialect = dialect
-        self.name = env.name
+        self.name = settings.name
         self.scheduler = scheduler
         self.network = network
         self.log = log
         self.member = member
         self.random = random
-        self.plan = Plan(0, member.register.configuration)
-        self.servers = Servers(scheduler, log, env, random)
-        self.store = Store(env.cache_bytes, dialect.labels)
-        self.gates: dict[str, Gate] = {}
+        self.plan = Plan(0, member.replicated_state.configuration)
+        self.servers = Servers(scheduler, log, settings, random)
+        self.store = CacheStore(settings.cache_bytes, dialect.labels)
+        self.gates: dict[str, AdmissionQueue] = {}
         self.metrics = EdgeMetrics(self.gates, scheduler)
-        self.orders = Orders(env.explain_orders)
+        self.recent_requests = RecentRequests(settings.explain_orders)
         self.keys = Keys()
-        self.peers = Peers(scheduler, env.name, env.zone, env.regions) if env.share_copies else None
+        self.peers = (
+            Peers(scheduler, settings.name, settings.zone, settings.regions)
+            if settings.share_copies
+            else None
+        )
         self.failed = Failed(REPEAT_SECONDS)
         self.sequence = 0
         self.served = 0
--- a/packages/edge/ryelock/edge/failures.py
+++ b/packages/edge/ryelock/edge/failures.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-from ryelock.http import CallError
+from ryelock.http import ClientError
 
 
 class FailureKind(StrEnum):
@@ -61,7 +61,7 @@
         self.room_in = room_in
 
 
-class Withdrawn(CallError):
+class Withdrawn(ClientError):
     """An attempt that was given up here, for a reason that tells nothing of the server."""
 
     def __init__(self, kind: FailureKind, reason: str, sent: bool = False) -> None:
--- a/packages/edge/ryelock/edge/foresee.py
+++ b/packages/edge/ryelock/edge/foresee.py
@@ -2,7 +2,7 @@
 
 from ryelock.cache import may_use
 from ryelock.edge.dispatch import Dispatch
-from ryelock.edge.orders import Order
+from ryelock.edge.orders import Request
 from ryelock.edge.plan import path_of
 
 
@@ -12,19 +12,21 @@
     __slots__ = ()
 
     def foresee(self, method: str, target: str, host: str) -> dict[str, object]:
-        order = Order("", method, target, host, self.scheduler.now(), self.scheduler.clock.wall())
-        order.path = path_of(target)
-        order.verdict = self.member.verdicts()
-        route = self.find_route(order)
-        found = {**order.plain(), "serving": self.member.serving}
+        request = Request(
+            "", method, target, host, self.scheduler.now(), self.scheduler.clock.wall()
+        )
+        request.path = path_of(target)
+        request.verdict = self.member.verdicts()
+        route = self.find_route(request)
+        found = {**request.plain(), "serving": self.member.serving}
         if route is None:
             return {**found, "status": 404, "reason": "no route"}
         now = self.scheduler.now()
-        copy = self.store.find((order.route_name, host, target), [])
+        copy = self.store.find((request.route_name, host, target), [])
         usable = copy is not None and may_use(copy, route, [], now)
-        gate = self.gates.get(order.service)
+        gate = self.gates.get(request.service)
         weighed: list[dict[str, object]] = []
-        state = self.servers.pick(order.service, set(), order.verdict, weighed)
+        state = self.servers.pick(request.service, set(), request.verdict, weighed)
         if state is not None and state.trying:
             state.trying = False
         return {
@@ -40,7 +42,7 @@
             if gate is None
             else {
                 "share": round(gate.bucket.holding(now), 3),
-                "flight": gate.flight,
+                "flight": gate.in_flight,
                 "waiting": gate.waiting,
                 "repeats_left": round(gate.budget.room, 2),
             },
--- a/packages/edge/ryelock/edge/gate.py
+++ b/packages/edge/ryelock/edge/gate.py
@@ -13,8 +13,8 @@
 from ryelock.replicated_state import Service
 from ryelock.runtime import Queue, Scheduler, Task
 
-PATIENCE = 1.0
-NARROW_PATIENCE = 3.0
+QUEUE_TIMEOUT = 1.0
+NARROW_QUEUE_TIMEOUT = 3.0
 BACK_MOST = 10.0
 
 
@@ -26,7 +26,7 @@
         self.over = False
 
 
-class Gate:
+class AdmissionQueue:
     __slots__ = (
         "arrivals",
         "asking",
@@ -34,10 +34,10 @@
         "budget",
         "demand",
         "demand_at",
-        "flight",
+        "in_flight",
         "news",
         "queues",
-        "route_flight",
+        "route_in_flight",
         "running",
         "scheduler",
         "service",
@@ -51,8 +51,8 @@
         now = scheduler.now()
         self.bucket = TokenBucket(now, service.burst_seconds, service.limited)
         self.budget = RetryBudget(service.repeat_share, 1.0)
-        self.flight = 0
-        self.route_flight: dict[str, int] = {}
+        self.in_flight = 0
+        self.route_in_flight: dict[str, int] = {}
         self.queues: dict[str, deque[Waiting]] = {}
         self.turn: deque[str] = deque()
         self.waiting = 0
@@ -61,7 +61,7 @@
         self.arrivals = 0
         self.demand = 0.0
         self.demand_at = now
-        self.running: Task = scheduler.create_task(self.pump(), name=f"gate of {name}")
+        self.running: Task = scheduler.create_task(self.admit_waiting(), name=f"gate of {name}")
 
     def resize(self, service: Service, edges: int) -> None:
         self.service = service
@@ -88,19 +88,21 @@
         """Orders that wait for room by the rate."""
         return self.waiting + self.asking
 
-    def patience(self) -> float:
+    def queue_timeout(self) -> float:
         """How long an order may wait for room: longer where room comes seldom."""
-        return max(PATIENCE, min(NARROW_PATIENCE, 1.5 / self.service.rate))
+        return max(QUEUE_TIMEOUT, min(NARROW_QUEUE_TIMEOUT, 1.5 / self.service.rate))
 
-    def most_flight(self, share: float) -> int:
+    def most_in_flight(self, share: float) -> int:
         return max(1, math.ceil(self.service.flight * share))
 
     def has_room(self, route: str, share: float) -> bool:
-        return self.flight < self.service.flight and self.route_flight.get(
+        return self.in_flight < self.service.flight and self.route_in_flight.get(
             route, 0
-        ) < self.most_flight(share)
+        ) < self.most_in_flight(share)
 
-    async def enter(self, route: str, share: float, patience: float, first: bool) -> float | None:
+    async def acquire(
+        self, route: str, share: float, queue_timeout: float, first: bool
+    ) -> float | None:
         """Wait to be let through: None when let through, else seconds until there is room.
 
         Those seconds are an estimate, and infinite while this edge holds no share of the rate.
@@ -115,9 +117,9 @@
         queue = self.queues.setdefault(route, deque())
         ahead = self.waiting
         wait = self.bucket.wait_for(now, ahead)
-        patience = min(patience, self.patience())
+        queue_timeout = min(queue_timeout, self.queue_timeout())
         if not first and (
-            wait > patience
+            wait > queue_timeout
             or ahead >= self.service.queue
             or len(queue) >= max(1, math.ceil(self.service.queue * share))
         ):
@@ -135,10 +137,10 @@
         self.waiting += 1
         self.news.put(True)
         try:
-            allowed = await waiting.box.get(patience)
+            allowed = await waiting.box.get(queue_timeout)
         except GeneratorExit:
             if waiting.box.items:
-                self.leave(route)
+                self.release(route)
             raise
         finally:
             waiting.over = True
@@ -146,9 +148,9 @@
             return self.bucket.wait_for(self.scheduler.now(), self.waiting)
         return None
 
-    async def again(self, patience: float) -> bool:
+    async def again(self, queue_timeout: float) -> bool:
         """Room for one redispatch, by the budget of repeats and, perhaps soon, by rate."""
-        until = self.scheduler.now() + min(patience, self.patience())
+        until = self.scheduler.now() + min(queue_timeout, self.queue_timeout())
         if not self.budget.repeat():
             return False
         self.asking += 1
@@ -164,20 +166,20 @@
         return True
 
     def let_through(self, route: str) -> None:
-        self.flight += 1
-        self.route_flight[route] = self.route_flight.get(route, 0) + 1
+        self.in_flight += 1
+        self.route_in_flight[route] = self.route_in_flight.get(route, 0) + 1
 
-    def leave(self, route: str) -> None:
-        self.flight -= 1
-        left = self.route_flight.get(route, 1) - 1
+    def release(self, route: str) -> None:
+        self.in_flight -= 1
+        left = self.route_in_flight.get(route, 1) - 1
         if left:
-            self.route_flight[route] = left
+            self.route_in_flight[route] = left
         else:
-            self.route_flight.pop(route, None)
+            self.route_in_flight.pop(route, None)
         if self.waiting:
             self.news.put(True)
 
-    async def pump(self) -> None:
+    async def admit_waiting(self) -> None:
         """Let waiting orders through as room comes, route by route."""
         while True:
             self.drop_gone()
@@ -186,7 +188,7 @@
                 await self.news.get()
                 continue
             now = self.scheduler.now()
-            if self.flight >= self.service.flight:
+            if self.in_flight >= self.service.flight:
                 await self.news.get(0.05)
                 continue
             wait = self.bucket.wait_for(now, 0)
--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Callable
 
-from ryelock.edge.promises import Promise, are_enough, promise_of
+from ryelock.edge.promises import QuorumLeaseVote, are_enough, decode_vote
 from ryelock.events import TERM_HELD, TERM_LAPSED, TERM_PROMISED, Log
-from ryelock.membership import Listing, Session, session_of
+from ryelock.membership import ServerList, Session, session_of
 from ryelock.membership.servers import servers_from
-from ryelock.replicated_state import Register
-from ryelock.rpc import Lines, Message
+from ryelock.replicated_state import ReplicatedState
+from ryelock.rpc import Message, RpcClients
 from ryelock.runtime import Queue, Scheduler, Task
 
 HOLD_SECONDS = 0.15
@@ -31,7 +31,7 @@
 Grants = Callable[[dict[str, tuple[int, float, float]], float], None]
 
 
-class Member:
+class EdgeSession:
     """What this node knows of the control plane, and its right to serve."""
 
     __slots__ = (
@@ -61,7 +61,7 @@
         "objects",
         "pending",
         "promised_shares",
-        "register",
+        "replicated_state",
         "running",
         "scheduler",
         "seeds",
@@ -79,9 +79,9 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        lines: Lines,
+        lines: RpcClients,
         log: Log,
-        register: Register,
+        replicated_state: ReplicatedState,
         session: Session,
         seeds: tuple[str, ...],
         term_seconds: float,
@@ -92,7 +92,7 @@
         self.scheduler = scheduler
         self.lines = lines
         self.log = log
-        self.register = register
+        self.replicated_state = replicated_state
         self.session = session
         self.seeds = seeds
         self.term_seconds = term_seconds
@@ -110,13 +110,13 @@
         self.members: dict[str, Session] = {}
         self.gone: dict[str, Session] = {}
         self.members_version: tuple[str, int] = ("", -1)
-        self.listing: Listing | None = None
-        self.pending: Listing | None = None
+        self.listing: ServerList | None = None
+        self.pending: ServerList | None = None
         self.edges = 1
         self.sequence = 0
         self.leaving = False
         self.changed: Callable[[], None] = lambda: None
-        self.listing_news: Callable[[Listing], None] = lambda _listing: None
+        self.listing_news: Callable[[ServerList], None] = lambda _listing: None
         self.demand: Demand = dict
         self.holding: Demand = dict
         self.promised_shares: Demand = dict
@@ -140,7 +140,7 @@
     def serving(self) -> bool:
         """Whether orders may be served now: under a term or, where that is set, after one."""
         if self.serve_lapsed:
-            return self.register.version > 0
+            return self.replicated_state.version > 0
         return self.scheduler.now() < self.term_until
 
     async def work(self) -> None:
@@ -207,13 +207,13 @@
                 return
 
     async def ask_leader(self, address: str, box: Queue[str]) -> None:
-        found = await self.lines.ask(address, {"kind": "council.who"}, 0.4)
+        found = await self.lines.call(address, {"kind": "council.who"}, 0.4)
         leader = found.ok.get("leader_address") if found.is_ok() else ""
         box.put(leader if isinstance(leader, str) else "")
 
     def asking(self) -> Message:
         self.sequence += 1
-        vector: dict[str, int] = {"register": self.register.index}
+        vector: dict[str, int] = {"register": self.replicated_state.index}
         for known in (self.listing, self.pending):
             if known is not None:
                 vector[known.source] = known.version
@@ -240,7 +240,7 @@
         if self.serve_lapsed:
             hold = max(hold, min(HOLD_MOST, self.edges * HOLD_EACH))
         message = {"kind": "renew", "hold": hold, **self.asking()}
-        found = await self.lines.ask(leader, message, hold + ANSWER_SECONDS)
+        found = await self.lines.call(leader, message, hold + ANSWER_SECONDS)
         if found.is_error() or found.ok.get("ok") is not True:
             return False
         answer = found.ok
@@ -283,21 +283,21 @@
 
     def take_words(self, answer: Message) -> bool:
         """Apply words or an image; False where they do not reach this node's place."""
-        register = self.register
-        image, words, index = answer.get("image"), answer.get("words"), answer.get("index")
-        if isinstance(image, bytes):
-            if isinstance(index, int) and index < register.index:
+        replicated_state = self.replicated_state
+        snapshot, words, index = answer.get("image"), answer.get("words"), answer.get("index")
+        if isinstance(snapshot, bytes):
+            if isinstance(index, int) and index < replicated_state.index:
                 return False
-            register.restore(image)
+            replicated_state.restore(snapshot)
         elif isinstance(words, list):
             for word in words:
                 place, data = word
-                if place > register.index:
-                    register.apply(place, data)
-        if not isinstance(index, int) or index < register.index:
+                if place > replicated_state.index:
+                    replicated_state.apply(place, data)
+        if not isinstance(index, int) or index < replicated_state.index:
             return False
-        moved = image is not None or bool(words)
-        register.index = index
+        moved = snapshot is not None or bool(words)
+        replicated_state.index = index
         if moved:
             self.changed()
         return True
@@ -347,7 +347,7 @@
             None,
         )
         if "servers" in plain:
-            fresh = Listing(source, version, servers_from(plain["servers"]), 0.0)
+            fresh = ServerList(source, version, servers_from(plain["servers"]), 0.0)
         if fresh is None:
             return
         fresh.since, fresh.seen = max(fresh.since, since), max(fresh.seen, seen)
@@ -369,7 +369,7 @@
         if (
             self.session.role != "edge"
             or self.leaving
-            or self.register.index == 0
+            or self.replicated_state.index == 0
             or self.serve_lapsed
         ):
             return
@@ -385,18 +385,18 @@
             self.scheduler.create_task(
                 self.ask_promise(address, message, box), name="promise", urgent=True
             )
-        promises: list[Promise] = []
+        promises: list[QuorumLeaseVote] = []
         soft: Message | None = None
         for _ in addresses:
             found = await box.get(max(0.0, asked + ROUND_SECONDS - self.scheduler.now()))
-            promise = None if found is None else promise_of(found)
+            promise = None if found is None else decode_vote(found)
             if promise is None:
                 continue
             promises.append(promise)
             soft = found
             if are_enough(promises):
                 break
-        behind = any(promise.last > self.register.index for promise in promises)
+        behind = any(promise.last > self.replicated_state.index for promise in promises)
         if behind or not are_enough(promises):
             return
         until = asked + self.term_seconds
@@ -411,20 +411,20 @@
         self.tell_term()
 
     async def ask_promise(self, address: str, message: Message, box: Queue[Message | None]) -> None:
-        found = await self.lines.ask(address, message, 0.4)
+        found = await self.lines.call(address, message, 0.4)
         box.put(found.ok if found.is_ok() else None)
 
-    async def claim(self, key: bytes, order: str, seconds: float) -> str:
+    async def claim(self, key: bytes, request: str, seconds: float) -> str:
         """Claim a key for an order: "claimed", "known" where another order has it, else "".
 
         The same order may ask again: it gets the same answer.
         """
-        message: Message = {"kind": "claim", "key": key, "order": order}
+        message: Message = {"kind": "claim", "key": key, "order": request}
         return await self.tell_core(message, ("claimed", "known"), seconds)
 
-    async def release(self, key: bytes, order: str) -> None:
+    async def release(self, key: bytes, request: str) -> None:
         """Give a key back whose order certainly did not run; tried for a while."""
-        message: Message = {"kind": "release", "key": key, "order": order}
+        message: Message = {"kind": "release", "key": key, "order": request}
         await self.tell_core(message, ("released",), RELEASE_SECONDS)
 
     async def tell_core(self, message: Message, wanted: tuple[str, ...], seconds: float) -> str:
@@ -436,7 +436,7 @@
             address = self.leader or others[turn % len(others)]
             turn += 1
             left = max(0.05, until - self.scheduler.now())
-            found = await self.lines.ask(address, message, min(ANSWER_SECONDS, left))
+            found = await self.lines.call(address, message, min(ANSWER_SECONDS, left))
             status = str(found.ok.get("status")) if found.is_ok() else ""
             if status in wanted:
                 return status
@@ -449,7 +449,7 @@
         self.term_until = -1e9
         self.stop()
         if self.leader:
-            await self.lines.ask(
+            await self.lines.call(
                 self.leader,
                 {
                     "kind": "leave",
@@ -461,7 +461,7 @@
 
     def verdicts(self) -> dict[str, str]:
         """Each zone's word in the present verdict."""
-        zones = self.register.verdict.get("zones")
+        zones = self.replicated_state.verdict.get("zones")
         if not isinstance(zones, dict):
             return {}
         return {str(zone): str(found.get("verdict")) for zone, found in zones.items()}
--- a/packages/edge/ryelock/edge/orders.py
+++ b/packages/edge/ryelock/edge/orders.py
@@ -8,7 +8,7 @@
 FRESH_MOST = 200
 
 
-class Order:
+class Request:
     """One order from its first byte to the end of its answer, and what was decided on it."""
 
     __slots__ = (
@@ -135,18 +135,18 @@
         }
 
 
-class Orders:
+class RecentRequests:
     """The last orders of this edge, bounded."""
 
     __slots__ = ("kept", "most")
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.kept: OrderedDict[str, Order] = OrderedDict()
+        self.kept: OrderedDict[str, Request] = OrderedDict()
 
-    def keep(self, order: Order) -> None:
-        order.body = b""
-        self.kept[order.identity] = order
+    def keep(self, request: Request) -> None:
+        request.body = b""
+        self.kept[request.identity] = request
         while len(self.kept) > self.most:
             self.kept.popitem(last=False)
 
--- a/packages/edge/ryelock/edge/owner.py
+++ b/packages/edge/ryelock/edge/owner.py
@@ -21,27 +21,27 @@
 
 from expression import Result
 
-from ryelock.cache import Copy, copy_of
+from ryelock.cache import StoredResponse, copy_of
 from ryelock.edge.copies import CONDITIONS, refreshed
-from ryelock.edge.orders import Order
+from ryelock.edge.orders import Request
 from ryelock.edge.peers import Peers
 from ryelock.http import (
-    Answer,
-    AnswerHead,
-    CallError,
-    Exchange,
+    ClientError,
     Fields,
+    HttpExchange,
     Reader,
+    Response,
+    ResponseHead,
     end_to_end,
     field,
-    read_answer,
-    send_order,
+    read_response,
+    send_request,
 )
 from ryelock.http.heads import FramingError
-from ryelock.http.reader import Cut, Late
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.membership import Session
 from ryelock.replicated_state import Route
-from ryelock.runtime import Link
+from ryelock.runtime import Connection
 
 if TYPE_CHECKING:
     from ryelock.edge.handler import RequestHandler
@@ -73,7 +73,7 @@
 
     __slots__ = ("body", "head")
 
-    def __init__(self, head: AnswerHead, body: bytes) -> None:
+    def __init__(self, head: ResponseHead, body: bytes) -> None:
         self.head = head
         self.body = body
 
@@ -96,22 +96,22 @@
         self.room_in = room_in
 
 
-Reply = Copy | Relayed | Refusal
+Reply = StoredResponse | Relayed | Refusal
 
 
-class OwnerAsk:
+class OwnerRequest:
     """One order's ask to the owner of its object."""
 
     __slots__ = (
+        "connection",
         "exchange",
         "handler",
         "keep",
         "known",
-        "link",
-        "order",
         "owner",
         "peers",
         "reader",
+        "request",
         "route",
         "sent",
         "until",
@@ -123,16 +123,16 @@
         handler: "RequestHandler",
         peers: Peers,
         owner: Session,
-        exchange: Exchange,
-        order: Order,
+        exchange: HttpExchange,
+        request: Request,
         route: Route,
-        known: Copy | None,
+        known: StoredResponse | None,
     ) -> None:
         self.handler = handler
         self.peers = peers
         self.owner = owner
         self.exchange = exchange
-        self.order = order
+        self.request = request
         self.route = route
         self.known = known
         self.keep = False
@@ -143,13 +143,15 @@
         if route.target_seconds:
             silent = min(most, max(ANSWER_LEAST, TARGET_PART * route.target_seconds))
             working = min(most, max(ANSWER_LEAST, WORKING_PART * route.target_seconds))
-        if order.peer:
+        if request.peer:
             working *= HOME_PART
         self.until = now + silent
         self.working_until = now + working
-        kept = peers.kept_link(owner.order)
-        self.link: Link = kept[0] if kept is not None else handler.network.connect(owner.order)
-        self.reader = kept[1] if kept is not None else Reader(handler.scheduler, self.link)
+        kept = peers.kept_connection(owner.order)
+        self.connection: Connection = (
+            kept[0] if kept is not None else handler.network.connect(owner.order)
+        )
+        self.reader = kept[1] if kept is not None else Reader(handler.scheduler, self.connection)
 
     async def run(self) -> Reply | None:
         """What the owner gives; None where the order is to be fetched from a server here.
@@ -159,7 +161,9 @@
         """
         self.peers.asked[self.owner.name] += 1
         try:
-            if not self.link.opened and not await self.link.open(OPEN_SECONDS):
+            if not self.connection.connected and not await self.connection.wait_connected(
+                OPEN_SECONDS
+            ):
                 self.peers.doubt(self.owner)
                 return None
             found: Reply | None = Refusal(0, 0)
@@ -173,9 +177,9 @@
         finally:
             self.peers.asked[self.owner.name] -= 1
             if self.keep:
-                self.peers.keep_link(self.owner.order, self.link, self.reader)
+                self.peers.keep_connection(self.owner.order, self.connection, self.reader)
             else:
-                self.link.abort()
+                self.connection.abort()
 
     def can_pay_for_silence(self) -> bool:
         """Whether the budget of retries has room for this ask and all others to the owner.
@@ -183,7 +187,7 @@
         A fetch that the owner swallows may have reached a server, so the request that goes to
         another one then is a retry.
         """
-        gate = self.handler.gates.get(self.order.service)
+        gate = self.handler.gates.get(self.request.service)
         return gate is not None and gate.budget.room >= self.peers.asked[self.owner.name]
 
     async def look_up(self) -> Reply | None:
@@ -194,19 +198,19 @@
 
     async def fetch(self) -> Reply | None:
         """The owner's copy, fetched by it; what it may have sent is charged to the order."""
-        servers = max(1, self.order.servers_left - 1)
+        servers = max(1, self.request.servers_left - 1)
         self.send(servers, self.handler.deadline(self.exchange, self.route))
         reply = await self.receive(self.until, patient=True)
         if reply is None:
-            self.order.charge_owner(servers)
+            self.request.charge_owner(servers)
         elif isinstance(reply, Refusal):
-            self.order.charge_owner(servers if reply.servers is None else reply.servers)
+            self.request.charge_owner(servers if reply.servers is None else reply.servers)
         return reply
 
     def send(self, servers: int, until: float) -> None:
         """Ask under the caller's name, since servers repeat no other."""
         handler = self.handler
-        order = self.order
+        request = self.request
         head = self.exchange.head
         dialect = handler.dialect
         dropped = {*CONDITIONS, b"expect", *OWN_FIELDS, dialect.deadline.lower()}
@@ -215,7 +219,7 @@
         ]
         self.sent = handler.scheduler.now()
         if dialect.identity and field(fields, dialect.identity.lower()) is None:
-            fields.append((dialect.identity, order.identity.encode("latin-1")))
+            fields.append((dialect.identity, request.identity.encode("latin-1")))
         if dialect.deadline:
             fields.append((dialect.deadline, b"%d" % max(1, int((until - self.sent) * 1000))))
         if self.known is not None and self.known.etag is not None:
@@ -224,7 +228,7 @@
         said = f"{session.name} {session.mark} {handler.store.purged} {handler.plan.version}"
         fields.append((PEER_FIELD, said.encode()))
         fields.append((SERVERS_FIELD, b"%d" % servers))
-        send_order(self.link, b"GET", head.target, fields, b"")
+        send_request(self.connection, b"GET", head.target, fields, b"")
 
     async def receive(self, until: float, patient: bool = False) -> Reply | None:
         """The owner's reply, or None where it gave no whole one that is this order's."""
@@ -239,29 +243,29 @@
                     self.peers.doubt(self.owner)
                 return None
             answer = found.ok
-            if not self.handler.answers(self.order, answer.head):
+            if not self.handler.answers(self.request, answer.head):
                 return None
             until = max(until, self.working_until)
             body, whole = await self.handler.read_first(answer, until, True)
-        except (Cut, Late, FramingError):
+        except (IncompleteMessageError, ReadTimeoutError, FramingError):
             self.peers.doubt(self.owner)
             return None
-        self.keep = whole and answer.keep
+        self.keep = whole and answer.keep_alive
         return self.read_reply(answer.head, body, whole)
 
-    async def read_head(self, until: float) -> Result[Answer, CallError]:
-        return await read_answer(
-            self.reader, b"GET", self.handler.env.head_bytes, until, self.working_until
+    async def read_head(self, until: float) -> Result[Response, ClientError]:
+        return await read_response(
+            self.reader, b"GET", self.handler.settings.head_bytes, until, self.working_until
         )
 
     def must_wait(self) -> bool:
         """Whether no server may be sent the order from here, so that only the owner is left."""
-        gate = self.handler.gates.get(self.order.service)
-        return not self.link.ended and (
-            self.order.servers_left <= 1 or gate is None or gate.budget.room < 1.0
+        gate = self.handler.gates.get(self.request.service)
+        return not self.connection.closed and (
+            self.request.servers_left <= 1 or gate is None or gate.budget.room < 1.0
         )
 
-    def read_reply(self, head: AnswerHead, body: bytes, whole: bool) -> Reply:
+    def read_reply(self, head: ResponseHead, body: bytes, whole: bool) -> Reply:
         servers = number_of(field(head.fields, SERVERS_FIELD.lower()))
         age = age_of(field(head.fields, AGE_FIELD.lower()))
         fields = [
@@ -269,7 +273,7 @@
             for pair in end_to_end(head.fields)
             if pair[0].lower() not in OWN_FIELDS and pair[0].lower() != b"age"
         ]
-        plain = AnswerHead(head.status, head.reason, 1, fields)
+        plain = ResponseHead(head.status, head.reason, 1, fields)
         if whole and age is not None:
             self.peers.trust(self.owner)
             copy = self.read_copy(plain, body, age)
@@ -280,10 +284,10 @@
             return Relayed(plain, body)
         return Refusal(head.status, servers, age_of(field(head.fields, ROOM_FIELD.lower())))
 
-    def read_copy(self, head: AnswerHead, body: bytes, age: float) -> Copy | None:
+    def read_copy(self, head: ResponseHead, body: bytes, age: float) -> StoredResponse | None:
         now = self.handler.scheduler.now()
         if head.status == 304 and self.known is not None:
-            copy: Copy | None = refreshed(self.known, head, self.sent, now)
+            copy: StoredResponse | None = refreshed(self.known, head, self.sent, now)
         else:
             copy = copy_of(self.exchange.head, self.route, head, head.fields, body, self.sent, now)
         if copy is not None:
--- a/packages/edge/ryelock/edge/peers.py
+++ b/packages/edge/ryelock/edge/peers.py
@@ -28,11 +28,11 @@
 
 from ryelock.http import Reader
 from ryelock.membership import Session
-from ryelock.runtime import Link, Scheduler
+from ryelock.runtime import Connection, Scheduler
 
 DOUBT_SECONDS = 1.0
 DOUBT_MOST = 8.0
-KEPT_LINKS = 8
+KEPT_CONNECTIONS = 8
 IDLE_SECONDS = 4.0
 OWNERS_KEPT = 10_000
 """Owners of so many objects are remembered, which saves a hash for each name."""
@@ -94,7 +94,7 @@
         self.asked: Counter[str] = Counter()
         self.doubted: dict[str, float] = {}
         self.waits: dict[str, float] = {}
-        self.kept: dict[str, list[tuple[Link, Reader, float]]] = {}
+        self.kept: dict[str, list[tuple[Connection, Reader, float]]] = {}
 
     def follow(self, members: dict[str, Session]) -> None:
         """Take the members as they are known now; the same table again costs nothing."""
@@ -118,8 +118,8 @@
             self.owners.clear()
         addresses = {session.order for session in self.sessions.values()}
         for address in [address for address in self.kept if address not in addresses]:
-            for link, _, _ in self.kept.pop(address):
-                link.close()
+            for connection, _, _ in self.kept.pop(address):
+                connection.close()
 
     @property
     def names(self) -> list[str]:
@@ -173,19 +173,29 @@
         """When an edge last answered anything; one that answers others is slow, not gone."""
         return self.answered.get(session.name, -1e18)
 
-    def kept_link(self, address: str) -> tuple[Link, Reader] | None:
+    def kept_connection(self, address: str) -> tuple[Connection, Reader] | None:
         kept = self.kept.get(address, [])
         while kept:
-            link, reader, until = kept.pop()
-            if link.ended or link.inbox.items or reader.buffer or self.scheduler.now() > until:
-                link.close()
+            connection, reader, until = kept.pop()
+            if (
+                connection.closed
+                or connection.received.items
+                or reader.buffer
+                or self.scheduler.now() > until
+            ):
+                connection.close()
                 continue
-            return link, reader
+            return connection, reader
         return None
 
-    def keep_link(self, address: str, link: Link, reader: Reader) -> None:
+    def keep_connection(self, address: str, connection: Connection, reader: Reader) -> None:
         kept = self.kept.setdefault(address, [])
-        if link.ended or reader.buffer or link.inbox.items or len(kept) >= KEPT_LINKS:
-            link.close()
+        if (
+            connection.closed
+            or reader.buffer
+            or connection.received.items
+            or len(kept) >= KEPT_CONNECTIONS
+        ):
+            connection.close()
         else:
-            kept.append((link, reader, self.scheduler.now() + IDLE_SECONDS))
+            kept.append((connection, reader, self.scheduler.now() + IDLE_SECONDS))
