--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -6,22 +6,22 @@
 from random import Random
 
 from ryelock.control_api import ControlApi
-from ryelock.edge.gate import Gate
+from ryelock.edge.gate import AdmissionQueue
 from ryelock.edge.handler import RequestHandler
-from ryelock.edge.member import Member
+from ryelock.edge.member import EdgeSession
 from ryelock.edge.plan import Plan
 from ryelock.edge.targets import ProbeTargets
 from ryelock.events import STARTED, STOPPED, STOPPING, Log
 from ryelock.health import Prober
-from ryelock.http import Dialect, HttpServer, Limits
-from ryelock.membership import Listing, Session
+from ryelock.http import HttpServer, Limits, ProtocolProfile
+from ryelock.membership import ServerList, Session
 from ryelock.metrics import Metrics, show_metrics
 from ryelock.rate_limit import is_narrow, reserve
 from ryelock.rate_limit.quota_allocator import GRANT_SECONDS
-from ryelock.replicated_state import CallerLimits, Register
-from ryelock.rpc import Lines, Message, MessageServer, Reply
+from ryelock.replicated_state import CallerLimits, ReplicatedState
+from ryelock.rpc import Message, Reply, RpcClients, RpcServer
 from ryelock.runtime import Network, Scheduler, Task
-from ryelock.settings import Env
+from ryelock.settings import Settings
 
 LASTING = 1e18
 
@@ -31,7 +31,6 @@
 
     __slots__ = (
         "control_api",
-        "env",
         "handler",
         "lines",
         "listener",
@@ -40,12 +39,13 @@
         "network",
         "probe_targets",
         "prober",
-        "register",
+        "replicated_state",
         "request_server",
         "role",
         "running",
         "scheduler",
         "session",
+        "settings",
         "stopping",
         "told",
         "told_epoch",
@@ -54,54 +54,54 @@
     def __init__(
         self,
         role: str,
-        env: Env,
+        settings: Settings,
         scheduler: Scheduler,
         network: Network,
         log: Log,
         random: Random,
-        dialect: Dialect | None = None,
+        dialect: ProtocolProfile | None = None,
     ) -> None:
         self.role = role
-        self.env = env
+        self.settings = settings
         self.scheduler = scheduler
         self.network = network
         self.log = log
         self.stopping = False
-        self.lines = Lines(scheduler, network, log)
-        self.register = Register()
+        self.lines = RpcClients(scheduler, network, log)
+        self.replicated_state = ReplicatedState()
         self.session = Session()
-        self.session.name = env.name
+        self.session.name = settings.name
         self.session.role = role
-        self.session.zone = env.zone
-        self.session.machine = env.machine
+        self.session.zone = settings.zone
+        self.session.machine = settings.machine
         self.session.incarnation = f"{random.getrandbits(48):012x}"
-        self.session.probes = role == "prober" or (role == "edge" and env.probe)
-        marked = self.session.probes or (role == "edge" and env.share_copies)
+        self.session.probes = role == "prober" or (role == "edge" and settings.probe)
+        marked = self.session.probes or (role == "edge" and settings.share_copies)
         self.session.mark = f"{random.getrandbits(64):016x}" if marked else ""
-        self.member = Member(
+        self.member = EdgeSession(
             scheduler,
             self.lines,
             log,
-            self.register,
+            self.replicated_state,
             self.session,
-            env.seeds,
-            env.term_seconds,
-            env.listing_term,
-            env.hold_seconds,
-            env.serve_lapsed,
+            settings.seeds,
+            settings.term_seconds,
+            settings.listing_term,
+            settings.hold_seconds,
+            settings.serve_lapsed,
         )
         self.member.changed = self.on_change
         self.member.listing_news = self.on_listing
         self.handler: RequestHandler | None = None
         self.request_server: HttpServer | None = None
-        self.listener = MessageServer(scheduler, network, log, env.wire_address, self.on_ask)
+        self.listener = RpcServer(scheduler, network, log, settings.wire_address, self.on_ask)
         self.session.wire = self.listener.address
         self.control_api = ControlApi(
             scheduler,
             network,
             log,
             self.lines,
-            env.control_address,
+            settings.control_address,
             lambda: self.member.leader,
             lambda: self.member.control_nodes,
             None,
@@ -111,7 +111,7 @@
         self.session.control = self.control_api.listener.address
         if role == "edge":
             self.handler = RequestHandler(
-                env, scheduler, network, log, self.member, random, dialect or Dialect()
+                settings, scheduler, network, log, self.member, random, dialect or ProtocolProfile()
             )
             self.member.demand = self.demand
             self.member.holding = self.holding
@@ -123,15 +123,27 @@
             self.member.objects = self.handler.lately_served
             self.member.hear_failed = self.on_failed
             limits = Limits(
-                env.head_bytes, env.body_bytes, env.links_most, env.idle_seconds, env.order_seconds
+                settings.head_bytes,
+                settings.body_bytes,
+                settings.links_most,
+                settings.idle_seconds,
+                settings.order_seconds,
             )
             self.request_server = HttpServer(
-                scheduler, network, log, env.order_address, limits, self.handler.serve, bulk=True
+                scheduler,
+                network,
+                log,
+                settings.order_address,
+                limits,
+                self.handler.serve,
+                bulk=True,
             )
             self.session.order = self.request_server.address
         figures = self.handler.metrics.all if self.handler is not None else Metrics()
-        show_metrics(scheduler, network, log, figures, env.metrics_address, env.metrics_log_seconds)
-        self.probe_targets = ProbeTargets(env, self.register, self.member)
+        show_metrics(
+            scheduler, network, log, figures, settings.metrics_address, settings.metrics_log_seconds
+        )
+        self.probe_targets = ProbeTargets(settings, self.replicated_state, self.member)
         self.prober: Prober | None = None
         self.told = 0
         self.told_epoch = -1
@@ -139,14 +151,14 @@
             self.prober = Prober(
                 scheduler,
                 network,
-                env.name,
+                settings.name,
                 self.session.mark,
-                env.machine,
-                env.zone,
-                env.probe_seconds,
-                env.probe_timeout,
-                env.probe_flight,
-                env.verdict_span,
+                settings.machine,
+                settings.zone,
+                settings.probe_seconds,
+                settings.probe_timeout,
+                settings.probe_flight,
+                settings.verdict_span,
                 self.probe_targets.all,
                 dialect,
             )
@@ -156,7 +168,7 @@
         self.log.write(
             STARTED,
             role=self.role,
-            zone=self.env.zone,
+            zone=self.settings.zone,
             wire=self.session.wire,
             control=self.session.control,
             orders=self.session.order,
@@ -167,9 +179,9 @@
             self.prober.start()
             self.running.append(self.scheduler.create_task(self.tell_rows(), name="tells rows"))
 
-    def follow(self, env: Env) -> None:
+    def follow(self, settings: Settings) -> None:
         """Settings that changed: the seeds; all others stand for the life of the process."""
-        self.member.seeds = env.seeds
+        self.member.seeds = settings.seeds
 
     def on_ask(self, message: Message, reply: Reply) -> None:
         """A desk that is a seed says that it has no disk, and who leads as far as it knows."""
@@ -185,10 +197,10 @@
         handler = self.handler
         if handler is None:
             return
-        configuration = self.register.configuration
-        if handler.plan.version != self.register.version:
+        configuration = self.replicated_state.configuration
+        if handler.plan.version != self.replicated_state.version:
             before = handler.plan
-            handler.plan = Plan(self.register.version, configuration)
+            handler.plan = Plan(self.replicated_state.version, configuration)
             known = dict(zip(before.route_names, before.routes, strict=True))
             moved = {
                 name
@@ -197,7 +209,7 @@
                 or (now.service, now.split, now.cached)
                 != (route.service, route.split, route.cached)
             }
-            for key in [key for key in handler.store.copies if key[0] in moved]:
+            for key in [key for key in handler.store.responses if key[0] in moved]:
                 handler.store.drop(key)
             for key, fill in list(handler.store.fills.items()):
                 if key[0] in moved:
@@ -206,23 +218,23 @@
             for name, service in configuration.services.items():
                 gate = handler.gates.get(name)
                 if gate is None:
-                    gate = handler.gates[name] = Gate(self.scheduler, name, service)
+                    gate = handler.gates[name] = AdmissionQueue(self.scheduler, name, service)
                 gate.resize(service, self.member.edges)
             for name in [name for name in handler.gates if name not in configuration.services]:
                 handler.gates.pop(name).running.cancel()
-        handler.store.take_purges(self.register.purges, self.register.purge_number)
+        handler.store.take_purges(self.replicated_state.purges, self.replicated_state.purge_number)
 
     def limit(self, said: CallerLimits | None) -> None:
         """What callers may send, by the configuration or else by this process's settings."""
         if self.request_server is None:
             return
-        limits, env = self.request_server.limits, self.env
+        limits, settings = self.request_server.limits, self.settings
         said = said or CallerLimits()
-        limits.head_bytes = said.head_bytes or env.head_bytes
-        limits.body_bytes = said.body_bytes or env.body_bytes
-        limits.idle_seconds = said.idle_seconds or env.idle_seconds
+        limits.head_bytes = said.head_bytes or settings.head_bytes
+        limits.body_bytes = said.body_bytes or settings.body_bytes
+        limits.idle_seconds = said.idle_seconds or settings.idle_seconds
 
-    def on_listing(self, listing: Listing) -> None:
+    def on_listing(self, listing: ServerList) -> None:
         if self.handler is not None:
             self.handler.servers.take(listing)
 
@@ -275,7 +287,7 @@
         if self.handler is None:
             return
         now = self.scheduler.now()
-        if self.env.serve_lapsed:
+        if self.settings.serve_lapsed:
             until = LASTING
         for name, share in shares.items():
             gate = self.handler.gates.get(name)
@@ -289,7 +301,7 @@
         while True:
             if self.handler is not None:
                 self.session.served = self.handler.served
-            self.session.applied = self.register.index
+            self.session.applied = self.replicated_state.index
             self.session.ready = self.ready
             await self.scheduler.sleep(0.1)
 
@@ -304,13 +316,15 @@
             return "" if self.member.leader else "no leader is known"
         if not self.member.serving:
             return "no term"
-        if self.env.name in self.register.drains:
+        if self.settings.name in self.replicated_state.drains:
             return "drained"
-        zone = self.env.zone
-        if f"zone:{zone}" in self.register.drains:
+        zone = self.settings.zone
+        if f"zone:{zone}" in self.replicated_state.drains:
             return "its zone is drained"
         verdicts = self.member.verdicts()
-        drained = {target[5:] for target in self.register.drains if target.startswith("zone:")}
+        drained = {
+            target[5:] for target in self.replicated_state.drains if target.startswith("zone:")
+        }
         better = [
             name
             for name, word in verdicts.items()
@@ -327,13 +341,13 @@
     def fitness(self) -> Message:
         reason = self.not_ready_for
         return {
-            "name": self.env.name,
+            "name": self.settings.name,
             "role": self.role,
-            "zone": self.env.zone,
+            "zone": self.settings.zone,
             "ready": not reason,
             "reason": reason,
-            "version": self.register.version,
-            "index": self.register.index,
+            "version": self.replicated_state.version,
+            "index": self.replicated_state.index,
             "served": self.session.served,
             "orders": self.session.order,
             "leader": self.member.leader,
@@ -345,29 +359,33 @@
     async def tell_rows(self) -> None:
         """Rows to the aggregator; to a new one all that are kept."""
         while True:
-            await self.scheduler.sleep(min(0.5, self.env.verdict_seconds / 2))
-            duty = self.register.duties.get("aggregator")
+            await self.scheduler.sleep(min(0.5, self.settings.verdict_seconds / 2))
+            duty = self.replicated_state.singletons.get("aggregator")
             if duty is None or self.prober is None:
                 continue
-            if duty.epoch != self.told_epoch:
-                self.told_epoch = duty.epoch
+            if duty.fencing_token != self.told_epoch:
+                self.told_epoch = duty.fencing_token
                 self.told = 0
-            rows = self.prober.rows_behind(self.told)
-            holder = self.member.members.get(duty.holder)
+            rows = self.prober.results_since(self.told)
+            holder = self.member.members.get(duty.owner)
             if not rows or holder is None:
                 continue
             now = self.scheduler.now()
-            found = await self.lines.ask(
+            found = await self.lines.call(
                 holder.wire,
                 {
                     "kind": "rows",
-                    "epoch": duty.epoch,
-                    "holder": duty.holder,
+                    "epoch": duty.fencing_token,
+                    "holder": duty.owner,
                     "rows": [row.plain(now) for row in rows],
                 },
                 2.0,
             )
-            if found.is_ok() and found.ok.get("ok") is True and duty.epoch == self.told_epoch:
+            if (
+                found.is_ok()
+                and found.ok.get("ok") is True
+                and duty.fencing_token == self.told_epoch
+            ):
                 self.told = rows[-1].sequence
 
     # Explain.
@@ -379,7 +397,7 @@
             return {"fault": "no orders come here"}
         identity = query.get("order")
         if isinstance(identity, str):
-            kept = handler.orders.kept.get(identity)
+            kept = handler.recent_requests.kept.get(identity)
             if kept is None:
                 return {"fault": f"order {identity} is not remembered here"}
             return kept.plain()
@@ -394,13 +412,13 @@
         self.session.ready = False
         self.log.write(STOPPING)
         if self.request_server is not None:
-            linger = self.env.linger_seconds
-            if not self.env.serve_lapsed:
-                linger = min(linger, self.env.stop_seconds / 4)
-            self.request_server.leaving = True
+            linger = self.settings.linger_seconds
+            if not self.settings.serve_lapsed:
+                linger = min(linger, self.settings.stop_seconds / 4)
+            self.request_server.draining = True
             await self.scheduler.sleep(linger)
-            self.request_server.stop_taking()
-            await self.request_server.finish(self.env.stop_seconds)
+            self.request_server.stop_accepting()
+            await self.request_server.finish(self.settings.stop_seconds)
         if self.prober is not None:
             self.prober.stop()
         await self.member.say_goodbye()
--- a/packages/edge/ryelock/edge/promises.py
+++ b/packages/edge/ryelock/edge/promises.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
+class QuorumLeaseVote:
     """One granted promise: `last` is the last word in the voter's log, `configuration` the epoch
     and index up to which its log names the voters."""
 
@@ -24,7 +24,7 @@
     configuration: tuple[int, int]
 
 
-def promise_of(answer: Message) -> Promise | None:
+def decode_vote(answer: Message) -> QuorumLeaseVote | None:
     """A promise from a voter's answer; None where it was not granted or cannot be read."""
     match answer:
         case {
@@ -34,12 +34,12 @@
             "voters": list(voters),
             "configuration": [int(epoch), int(index)],
         }:
-            return Promise(disk, last, frozenset(map(str, voters)), (epoch, index))
+            return QuorumLeaseVote(disk, last, frozenset(map(str, voters)), (epoch, index))
         case _:
             return None
 
 
-def are_enough(promises: Collection[Promise]) -> bool:
+def are_enough(promises: Collection[QuorumLeaseVote]) -> bool:
     """Whether a majority of the newest known voters is among them."""
     if not promises:
         return False
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -1,14 +1,14 @@
 """An order is opened: who sent it, by what route it goes, and how much time it has."""
 
 from ryelock.edge.context import EdgeContext
-from ryelock.edge.orders import Order
+from ryelock.edge.orders import Request
 from ryelock.edge.owner import (
     SERVERS_FIELD,
     number_of,
 )
 from ryelock.edge.plan import has_dots, host_of, path_of
 from ryelock.http import (
-    Exchange,
+    HttpExchange,
     field,
 )
 from ryelock.replicated_state import Route
@@ -22,31 +22,31 @@
 
     __slots__ = ()
 
-    def open_order(self, exchange: Exchange) -> Order:
+    def open_request(self, exchange: HttpExchange) -> Request:
         self.sequence += 1
         head = exchange.head
         said = field(head.fields, self.dialect.identity.lower()) if self.dialect.identity else None
-        order = Order(
+        request = Request(
             said.decode("latin-1")
             if said
             else f"{self.name}-{self.member.session.incarnation}-{self.sequence}",
             head.method.decode("latin-1"),
             head.target.decode("latin-1"),
             host_of(field(head.fields, b"host")),
-            exchange.started,
+            exchange.response_started,
             self.scheduler.clock.wall(),
         )
-        order.path = path_of(order.target)
-        order.named = bool(said)
-        order.probe = self.is_probe(field(head.fields, b"x-ryelock-probe"))
-        order.peer_zone, order.purged, order.known = self.peer_of(
+        request.path = path_of(request.target)
+        request.named = bool(said)
+        request.probe = self.is_probe(field(head.fields, b"x-ryelock-probe"))
+        request.peer_zone, request.purged, request.known = self.peer_of(
             field(head.fields, b"x-ryelock-peer")
         )
-        order.peer = order.peer_zone != ""
-        if order.peer:
-            order.servers_given = number_of(field(head.fields, SERVERS_FIELD.lower()))
-        order.verdict = self.member.verdicts()
-        return order
+        request.peer = request.peer_zone != ""
+        if request.peer:
+            request.servers_given = number_of(field(head.fields, SERVERS_FIELD.lower()))
+        request.verdict = self.member.verdicts()
+        return request
 
     def peer_of(self, said: bytes | None) -> tuple[str, int, int]:
         """The zone of the edge an order comes from, if it is a member; its purges and version.
@@ -69,23 +69,23 @@
         session = self.member.members.get(name)
         return session is not None and session.probes and mark != "" and session.mark == mark
 
-    def find_route(self, order: Order) -> Route | None:
+    def find_route(self, request: Request) -> Route | None:
         """Route, service and class by the version that is now in force."""
         plan = self.plan
-        order.version = plan.version
-        if has_dots(order.path):
+        request.version = plan.version
+        if has_dots(request.path):
             return None
-        order.route = plan.resolve(order.host, order.path)
-        if order.route < 0:
+        request.route = plan.resolve(request.host, request.path)
+        if request.route < 0:
             return None
-        route = order.rule = plan.routes[order.route]
-        order.route_name = plan.route_names[order.route]
-        order.service = self.service_of(route)
-        unsafe = order.method.encode("latin-1") not in SAFE
-        order.klass = "once" if route.once or unsafe else "repeatable"
-        order.servers_left = route.attempts
-        if order.peer and order.servers_given is not None:
-            order.servers_left = min(route.attempts, order.servers_given)
+        route = request.rule = plan.routes[request.route]
+        request.route_name = plan.route_names[request.route]
+        request.service = self.service_of(route)
+        unsafe = request.method.encode("latin-1") not in SAFE
+        request.klass = "once" if route.once or unsafe else "repeatable"
+        request.servers_left = route.attempts
+        if request.peer and request.servers_given is not None:
+            request.servers_left = min(route.attempts, request.servers_given)
         return route
 
     def service_of(self, route: Route) -> str:
@@ -95,25 +95,25 @@
         names = list(route.split)
         return self.random.choices(names, [route.split[name] for name in names])[0]
 
-    def deadline(self, exchange: Exchange, route: Route) -> float:
+    def deadline(self, exchange: HttpExchange, route: Route) -> float:
         until = exchange.deadline
         if route.deadline_seconds:
-            until = min(until, exchange.started + route.deadline_seconds)
+            until = min(until, exchange.response_started + route.deadline_seconds)
         if self.dialect.deadline:
             said = field(exchange.head.fields, self.dialect.deadline.lower()) or b""
             if said.isdigit() and len(said) < 10:
-                until = min(until, exchange.started + int(said) / 1000 - ANSWER_MARGIN)
+                until = min(until, exchange.response_started + int(said) / 1000 - ANSWER_MARGIN)
         return until
 
-    def may_still_go(self, order: Order) -> bool:
+    def may_still_go(self, request: Request) -> bool:
         """Whether the term holds and the version in force still names this service."""
         if not self.member.serving:
             return False
-        if order.version == self.plan.version:
+        if request.version == self.plan.version:
             return True
-        index = self.plan.resolve(order.host, order.path)
+        index = self.plan.resolve(request.host, request.path)
         return (
             index >= 0
-            and self.plan.routes[index].allows(order.service)
-            and (order.klass == "once" or not self.plan.routes[index].once)
+            and self.plan.routes[index].allows(request.service)
+            and (request.klass == "once" or not self.plan.routes[index].once)
         )
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -14,14 +14,14 @@
 
 from ryelock.events import SERVER_ASIDE, SERVER_BACK, Log
 from ryelock.http import Reader
-from ryelock.membership import Listing, Server
-from ryelock.runtime import Link, Scheduler
-from ryelock.settings import Env
+from ryelock.membership import Server, ServerList
+from ryelock.runtime import Connection, Scheduler
+from ryelock.settings import Settings
 
 FAILURES_MOST = 3
 ASIDE_FIRST = 1.0
 ASIDE_MOST = 10.0
-KEPT_LINKS = 32
+KEPT_CONNECTIONS = 32
 FADE_SECONDS = 5.0
 MUCH_SLOWER = 3.0
 OTHER_ZONE = 2.0
@@ -57,10 +57,10 @@
         self.used_at = 0.0
         self.gone = False
         self.full_until = 0.0
-        self.kept: list[tuple[Link, Reader, float]] = []
+        self.kept: list[tuple[Connection, Reader, float]] = []
 
     @property
-    def flight(self) -> int:
+    def in_flight(self) -> int:
         return len(self.sent_at)
 
     def cost(self, now: float) -> float:
@@ -68,30 +68,39 @@
         latency = self.latency * math.pow(0.5, max(0.0, now - self.used_at) / FADE_SECONDS)
         if self.sent_at:
             latency = max(latency, now - self.sent_at[0])
-        return (self.flight + 1) * (latency + 0.002) * (2.0 if self.server.cold else 1.0)
+        return (self.in_flight + 1) * (latency + 0.002) * (2.0 if self.server.cold else 1.0)
 
     def worse_than(self, other: "ServerState", now: float) -> bool:
         """Whether the other is to be picked of the two."""
         mine, theirs = self.cost(now), other.cost(now)
         if max(mine, theirs) > MUCH_SLOWER * min(mine, theirs):
             return mine > theirs
-        return self.flight > other.flight
+        return self.in_flight > other.in_flight
 
 
 class Servers:
-    __slots__ = ("by_service", "env", "listing", "log", "random", "scheduler", "trial_at", "zone")
+    __slots__ = (
+        "by_service",
+        "listing",
+        "log",
+        "random",
+        "scheduler",
+        "settings",
+        "trial_at",
+        "zone",
+    )
 
-    def __init__(self, scheduler: Scheduler, log: Log, env: Env, random: Random) -> None:
+    def __init__(self, scheduler: Scheduler, log: Log, settings: Settings, random: Random) -> None:
         self.scheduler = scheduler
         self.random = random
         self.log = log
-        self.env = env
-        self.zone = env.zone
-        self.listing: Listing | None = None
+        self.settings = settings
+        self.zone = settings.zone
+        self.listing: ServerList | None = None
         self.by_service: dict[str, list[ServerState]] = {}
         self.trial_at: dict[str, float] = {}
 
-    def take(self, listing: Listing) -> None:
+    def take(self, listing: ServerList) -> None:
         """Follow a listing; servers that are not in it any more keep no links."""
         before = {
             state.server.identity: state for states in self.by_service.values() for state in states
@@ -105,19 +114,19 @@
             state.server = server
             self.by_service.setdefault(server.service, []).append(state)
             if server.leaving:
-                self.end_links(state)
+                self.end_connections(state)
         for state in before.values():
             state.gone = True
-            self.end_links(state)
+            self.end_connections(state)
 
-    def end_links(self, state: ServerState) -> None:
-        for link, _, _ in state.kept:
-            link.close()
+    def end_connections(self, state: ServerState) -> None:
+        for connection, _, _ in state.kept:
+            connection.close()
         state.kept = []
 
     def live(self, now: float) -> bool:
         """Whether the listing is still believed; with no end where edges serve after a lapse."""
-        return self.listing is not None and (self.env.serve_lapsed or now < self.listing.until)
+        return self.listing is not None and (self.settings.serve_lapsed or now < self.listing.until)
 
     def is_live(self, state: ServerState, service: str, now: float) -> bool:
         """Whether an order of a service may go to a server at this very moment."""
@@ -135,7 +144,7 @@
         verdicts: dict[str, str],
         weighed: list[dict[str, object]] | None,
         edges: int = 1,
-        links: int = 0,
+        connections: int = 0,
     ) -> ServerState | None:
         """The server for the next dispatch: by zone, then the better of two, fit ones only."""
         now = self.scheduler.now()
@@ -159,21 +168,21 @@
                 if weighed is not None:
                     weighed.append({"server": server.address, "left_out": "set aside"})
                 continue
-            if self.env.spread_region and not self.has_room(state, edges, links, now):
+            if self.settings.spread_region and not self.has_room(state, edges, connections, now):
                 if weighed is not None:
                     weighed.append({"server": server.address, "left_out": "full"})
                 continue
             near = 0 if server.zone == self.zone else 1
             rank = ZONE_RANK.get(verdicts.get(server.zone, "unknown"), 1) if near else 0
             key = (1 if server.identity in used else 0, near, rank)
-            if self.env.spread_region:
+            if self.settings.spread_region:
                 key = (key[0], 0, 1 if rank == ZONE_RANK["down"] else 0)
             if weighed is not None:
                 weighed.append(
                     {
                         "server": server.address,
                         "zone": server.zone,
-                        "flight": state.flight,
+                        "flight": state.in_flight,
                         "latency_ms": round(state.latency * 1000, 1),
                     }
                 )
@@ -183,7 +192,7 @@
                 able.append(state)
         if not able:
             return None
-        best = self.cheapest(able, now) if self.env.spread_region else self.better(able, now)
+        best = self.cheapest(able, now) if self.settings.spread_region else self.better(able, now)
         if best.failures >= FAILURES_MOST:
             best.trying = True
             self.log.write(SERVER_BACK, server=best.server.address)
@@ -200,11 +209,11 @@
         Another zone costs a part more; another region the way there, also where that is not
         known yet, so that far servers take what near ones can't.
         """
-        region = self.env.regions.get(self.zone, self.zone)
+        region = self.settings.regions.get(self.zone, self.zone)
         groups: tuple[list[ServerState], list[ServerState], list[ServerState]] = ([], [], [])
         for state in able:
             zone = state.server.zone
-            far = self.env.regions.get(zone, zone) != region
+            far = self.settings.regions.get(zone, zone) != region
             groups[0 if zone == self.zone else 2 if far else 1].append(state)
         found: list[tuple[float, ServerState]] = []
         for group, factor, way in zip(
@@ -215,7 +224,7 @@
                 found.append((best.cost(now) * factor + way, best))
         return min(found, key=lambda pair: pair[0])[1]
 
-    def has_room(self, state: ServerState, edges: int, links: int, now: float) -> bool:
+    def has_room(self, state: ServerState, edges: int, connections: int, now: float) -> bool:
         """Whether this edge may have one order more in flight at a server.
 
         Each edge has a part of the server's slots and of its links; one that just said it is
@@ -226,9 +235,9 @@
         most = 1 << 30
         if state.server.slots:
             most = max(1, math.ceil(SLOT_PART * state.server.slots / max(1, edges)))
-        if links:
-            most = min(most, max(1, links // max(1, edges)))
-        return state.flight < most
+        if connections:
+            most = min(most, max(1, connections // max(1, edges)))
+        return state.in_flight < most
 
     def declined(self, state: ServerState, status: int, seconds: float) -> None:
         """A server said that it did not run an order: it is full, or another has its address."""
@@ -283,33 +292,33 @@
                 service=state.server.service,
             )
 
-    def kept_link(self, state: ServerState) -> tuple[Link, Reader] | None:
+    def kept_connection(self, state: ServerState) -> tuple[Connection, Reader] | None:
         now = self.scheduler.now()
         while state.kept:
-            link, reader, until = state.kept.pop()
-            if link.ended or link.inbox.items or reader.buffer or now > until:
-                link.close()
+            connection, reader, until = state.kept.pop()
+            if connection.closed or connection.received.items or reader.buffer or now > until:
+                connection.close()
                 continue
-            return link, reader
+            return connection, reader
         return None
 
-    def keep_link(
-        self, state: ServerState, link: Link, reader: Reader, idle: float | None = None
+    def keep_connection(
+        self, state: ServerState, connection: Connection, reader: Reader, idle: float | None = None
     ) -> None:
         """Keep a link for reuse until half of the time that its server keeps it idle is over."""
         if (
             state.gone
             or state.server.leaving
-            or link.ended
+            or connection.closed
             or reader.buffer
-            or link.inbox.items
-            or len(state.kept) >= KEPT_LINKS
+            or connection.received.items
+            or len(state.kept) >= KEPT_CONNECTIONS
         ):
-            link.close()
+            connection.close()
         else:
             most = (
-                self.env.link_idle_seconds
+                self.settings.link_idle_seconds
                 if idle is None
-                else min(self.env.link_idle_seconds, SAFE_IDLE * idle)
+                else min(self.settings.link_idle_seconds, SAFE_IDLE * idle)
             )
-            state.kept.append((link, reader, self.scheduler.now() + most))
+            state.kept.append((connection, reader, self.scheduler.now() + most))
--- a/packages/edge/ryelock/edge/targets.py
+++ b/packages/edge/ryelock/edge/targets.py
@@ -8,11 +8,11 @@
 
 from itertools import islice
 
-from ryelock.edge.member import Member
+from ryelock.edge.member import EdgeSession
 from ryelock.health import Target
 from ryelock.membership import Session
-from ryelock.replicated_state import Register, Watch
-from ryelock.settings import Env
+from ryelock.replicated_state import ReplicatedState, Watch
+from ryelock.settings import Settings
 
 STAND_INS = 2
 """Probers that stand in for a zone with too few of its own."""
@@ -23,12 +23,14 @@
 class ProbeTargets:
     """The targets of one prober."""
 
-    __slots__ = ("env", "member", "register")
+    __slots__ = ("member", "replicated_state", "settings")
 
-    def __init__(self, env: Env, register: Register, member: Member) -> None:
+    def __init__(
+        self, settings: Settings, replicated_state: ReplicatedState, member: EdgeSession
+    ) -> None:
         """Create the view of a prober; it follows the register and the members."""
-        self.env = env
-        self.register = register
+        self.settings = settings
+        self.replicated_state = replicated_state
         self.member = member
 
     def seconds_by_watch(self, watches: list[tuple[str, Watch]], edges: int) -> dict[str, float]:
@@ -37,8 +39,8 @@
 
     def seconds_of(self, watch_name: str, watch: Watch, edges: int) -> float:
         """Return the seconds between two probes of one edge for a watch."""
-        seconds = self.env.probe_seconds
-        configuration = self.register.configuration
+        seconds = self.settings.probe_seconds
+        configuration = self.replicated_state.configuration
         route = configuration.routes.get(watch.route)
         if watch_name in configuration.watches or route is None:
             return seconds
@@ -48,22 +50,22 @@
         made_up = sum(
             other.route in configuration.routes
             and configuration.routes[other.route].service == route.service
-            for other in self.register.derived.values()
+            for other in self.replicated_state.derived.values()
         )
-        probes = edges * max(self.env.probers_chosen, STAND_INS) * max(1, made_up)
+        probes = edges * max(self.settings.probers_chosen, STAND_INS) * max(1, made_up)
         return max(seconds, probes / (MADE_UP_RATE_PART * service.rate))
 
     def all(self) -> list[Target]:
         """Return what this node probes now, and what it compares with."""
         found: list[Target] = []
         edges = {**self.member.gone, **self.member.members}
-        watches = sorted(self.register.watches.items())
-        if self.env.probers_chosen:
+        watches = sorted(self.replicated_state.watches.items())
+        if self.settings.probers_chosen:
             return self.chosen_targets(edges, watches)
         seconds = self.seconds_by_watch(watches, len(edges))
         covered = self.covered_zones({session.zone for session in edges.values()})
         for name, session in sorted(edges.items()):
-            if session.role != "edge" or not session.order or name == self.env.name:
+            if session.role != "edge" or not session.order or name == self.settings.name:
                 continue
             for watch_name, watch in watches:
                 found.append(
@@ -83,15 +85,17 @@
         self, edges: dict[str, Session], watches: list[tuple[str, Watch]]
     ) -> list[Target]:
         """Edges that this node is one of the few probers of; others it only compares with."""
-        most = self.env.probers_chosen
+        most = self.settings.probers_chosen
         probing = Probing(list(self.member.members.values()))
         found = {
             name: session
             for name, session in sorted(edges.items())
-            if session.role == "edge" and session.order and name != self.env.name
+            if session.role == "edge" and session.order and name != self.settings.name
         }
         inside = {
-            name for name, session in found.items() if self.env.name in probing.of(session, most)
+            name
+            for name, session in found.items()
+            if self.settings.name in probing.of(session, most)
         }
         if not inside:
             return []
@@ -108,7 +112,7 @@
             )
             for name, session in found.items()
             for watch_name, watch in watches
-            if name in inside or session.zone != self.env.zone
+            if name in inside or session.zone != self.settings.zone
         ]
 
     def covered_zones(self, zones: set[str]) -> set[str]:
@@ -117,7 +121,7 @@
         For each of those, two probers of other zones stand in: the first by name, on two
         machines, so that every prober comes to the same two.
         """
-        covered = {self.env.zone}
+        covered = {self.settings.zone}
         probing = sorted(
             (session.name, session.machine, session.zone)
             for session in self.member.members.values()
@@ -130,7 +134,7 @@
             for name, machine, other in probing:
                 if other != zone and len(chosen) < STAND_INS:
                     chosen.setdefault(machine, name)
-            if self.env.name in chosen.values():
+            if self.settings.name in chosen.values():
                 covered.add(zone)
         return covered
 
--- a/packages/events/ryelock/events/__init__.py
+++ b/packages/events/ryelock/events/__init__.py
@@ -49,7 +49,7 @@
     "a frame from another process was declined",
     "look whether a program of another version is running",
 )
-ORDER_MALFORMED = Event(1201, INFO, "an order with bad framing was declined", "nothing")
+REQUEST_MALFORMED = Event(1201, INFO, "an order with bad framing was declined", "nothing")
 JOURNAL_TORN = Event(
     1301, WARNING, "a torn tail was cut from the journal", "nothing; it follows a loss of power"
 )
@@ -65,7 +65,7 @@
     "the disk takes no more writes; nothing is acknowledged",
     "make room or replace the machine",
 )
-IMAGE_WRITTEN = Event(1304, INFO, "an image was written", "nothing")
+SNAPSHOT_WRITTEN = Event(1304, INFO, "an image was written", "nothing")
 FOUNDED = Event(1401, INFO, "the three seeds founded a core", "nothing")
 LEADING = Event(1402, INFO, "this node leads", "nothing")
 FOLLOWING = Event(1403, INFO, "this node follows a leader", "nothing")
@@ -76,7 +76,7 @@
     "see whether core machines or their network are down",
 )
 VOTERS_CHANGED = Event(1405, INFO, "the set of voters changed", "nothing")
-IMAGE_TAKEN = Event(1406, INFO, "a node that was behind took an image", "nothing")
+SNAPSHOT_TAKEN = Event(1406, INFO, "a node that was behind took an image", "nothing")
 ISOLATED = Event(
     1407,
     WARNING,
--- a/packages/explain/ryelock/explain/__init__.py
+++ b/packages/explain/ryelock/explain/__init__.py
@@ -15,24 +15,24 @@
 Plain = dict[str, object]
 
 
-def edge_of(order: str) -> str:
+def edge_of(request: str) -> str:
     """The edge's name in an order's id: what stands before the incarnation and the number."""
-    return order.rsplit("-", 2)[0]
+    return request.rsplit("-", 2)[0]
 
 
-async def explain_order(
-    scheduler: Scheduler, network: Network, at: str, order: str
+async def explain_request(
+    scheduler: Scheduler, network: Network, at: str, request: str
 ) -> Result[Plain, OperatorError]:
     """Ask the edge that served a request for its account, through any node `at`."""
     found = await ask(scheduler, network, at, "GET", "/members")
     if found.is_error():
         return Error(found.error)
     members = found.ok.plain.get("members")
-    edge = members.get(edge_of(order)) if isinstance(members, dict) else None
+    edge = members.get(edge_of(request)) if isinstance(members, dict) else None
     if not isinstance(edge, dict):
-        return Error(OperatorError(f"no edge {edge_of(order)!r} is known"))
+        return Error(OperatorError(f"no edge {edge_of(request)!r} is known"))
     answer = await ask(
-        scheduler, network, str(edge["control"]), "GET", with_query("/explain", order=order)
+        scheduler, network, str(edge["control"]), "GET", with_query("/explain", order=request)
     )
     return account_of(answer)
 
--- a/packages/health/ryelock/health/__init__.py
+++ b/packages/health/ryelock/health/__init__.py
@@ -6,26 +6,33 @@
 served into each zone's share of visitors.
 """
 
-from ryelock.health.evaluation import Judged, Rules, Verdict, ZoneVerdict, gone_watches, judge
+from ryelock.health.evaluation import (
+    Evaluation,
+    Rules,
+    Verdict,
+    ZoneVerdict,
+    evaluate,
+    gone_watches,
+)
 from ryelock.health.history import History
-from ryelock.health.probe import Dater, Probe, Row, row_of, watch_mark
+from ryelock.health.probe import Dater, Probe, ProbeResult, decode_probe_result, watch_mark
 from ryelock.health.prober import Prober, Target
 from ryelock.health.weights import Weights
 
 __all__ = [
     "Dater",
+    "Evaluation",
     "History",
-    "Judged",
     "Probe",
+    "ProbeResult",
     "Prober",
-    "Row",
     "Rules",
     "Target",
     "Verdict",
     "Weights",
     "ZoneVerdict",
+    "decode_probe_result",
+    "evaluate",
     "gone_watches",
-    "judge",
-    "row_of",
     "watch_mark",
 ]
--- a/packages/health/ryelock/health/evaluation.py
+++ b/packages/health/ryelock/health/evaluation.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from ryelock.health.history import History
-from ryelock.health.probe import Row, watch_mark
+from ryelock.health.probe import ProbeResult, watch_mark
 from ryelock.replicated_state import Watch
 
 MACHINES_NEEDED = 2
@@ -56,7 +56,7 @@
     error: str
 
 
-def evidence_of(row: Row, now: float) -> Evidence:
+def evidence_of(row: ProbeResult, now: float) -> Evidence:
     """Return a failed row as evidence at monotonic time `now`."""
     seconds_ago = round(now - row.taken, 3)
     return Evidence(row.prober, row.machine, row.sequence, seconds_ago, row.error)
@@ -81,8 +81,8 @@
         self,
         edge: str,
         watch: str,
-        rows: list[Row],
-        failures: list[Row],
+        rows: list[ProbeResult],
+        failures: list[ProbeResult],
         quorum: int,
         stale_seconds: float,
         now: float,
@@ -159,7 +159,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Judged:
+class Evaluation:
     """The outcome for the whole network and each of its zones.
 
     Attributes:
@@ -195,7 +195,7 @@
 
 def blind_probers(history: History, now: float, count: int) -> set[str]:
     """Probers that lately reached nothing at all, inside or outside, while others did."""
-    seen: dict[str, list[Row]] = {}
+    seen: dict[str, list[ProbeResult]] = {}
     for target in history.targets:
         for row in history.window(target, now, count * 4):
             seen.setdefault(row.prober, []).append(row)
@@ -230,7 +230,7 @@
     return found
 
 
-def judge_zone(
+def evaluate_zone(
     zone: str,
     edges: list[str],
     watches: dict[str, Watch],
@@ -241,13 +241,13 @@
     blind: set[str],
 ) -> ZoneVerdict:
     """Judge one zone by the rows of its edges; rows of `blind` probers prove no failure."""
-    targets = judge_targets(zone, edges, watches, history, rules, now, blind)
+    targets = evaluate_targets(zone, edges, watches, history, rules, now, blind)
     failed = failed_edges(edges, targets)
     verdict, reason = word_of(edges, targets, failed)
     return ZoneVerdict(zone, verdict, reason, weight, edges, targets, failed)
 
 
-def judge_targets(
+def evaluate_targets(
     zone: str,
     edges: list[str],
     watches: dict[str, Watch],
@@ -273,7 +273,7 @@
     return targets
 
 
-def counts(row: Row, proven: bool) -> bool:
+def counts(row: ProbeResult, proven: bool) -> bool:
     """Whether a row is a failure of its edge.
 
     A watch that was never fetched proves nothing, unless the edge could not be reached at all.
@@ -307,7 +307,7 @@
     return Verdict.HEALTHY, f"failed: {', '.join(failed)}" if failed else "fetched"
 
 
-def judge(
+def evaluate(
     zones: dict[str, list[str]],
     watches: dict[str, Watch],
     weights: dict[str, float],
@@ -315,11 +315,11 @@
     history: History,
     rules: Rules,
     now: float,
-) -> Judged:
+) -> Evaluation:
     """The verdict of every zone and of the network, weighted by audience."""
     blind = blind_probers(history, now, rules.rows)
     found = {
-        zone: judge_zone(
+        zone: evaluate_zone(
             zone, sorted(edges), watches, weights.get(zone, 0.0), history, rules, now, blind
         )
         for zone, edges in zones.items()
@@ -327,7 +327,7 @@
     down = weight_of(found, Verdict.DOWN)
     stale = weight_of(found, Verdict.STALE)
     verdict, reason = network_word(found, down, stale, rules)
-    return Judged(verdict, reason, down, stale, assumed, found)
+    return Evaluation(verdict, reason, down, stale, assumed, found)
 
 
 def weight_of(zones: dict[str, ZoneVerdict], verdict: Verdict) -> float:
--- a/packages/health/ryelock/health/history.py
+++ b/packages/health/ryelock/health/history.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from ryelock.health.probe import Row
+from ryelock.health.probe import ProbeResult
 
 ROWS_PER_TARGET = 400
 DAYS = 14
@@ -26,7 +26,7 @@
         self.failed = 0
         self.oldest: float | None = None
 
-    def add(self, row: Row) -> None:
+    def add(self, row: ProbeResult) -> None:
         """Count a row."""
         self.rows += 1
         self.failed += row.failed
@@ -46,12 +46,12 @@
     def __init__(self, span: float) -> None:
         """Create an empty history of so many seconds."""
         self.span = span
-        self.targets: dict[Target, deque[Row]] = {}
+        self.targets: dict[Target, deque[ProbeResult]] = {}
         self.probers: dict[str, int] = {}
         self.proven: set[tuple[str, str]] = set()
         self.days: dict[int, dict[str, Summary]] = {}
 
-    def add(self, row: Row) -> bool:
+    def add(self, row: ProbeResult) -> bool:
         """Take a row; one that is here already is passed over."""
         rows = self.targets.setdefault(
             (row.zone, row.edge, row.watch, row.mark), deque(maxlen=ROWS_PER_TARGET)
@@ -81,7 +81,9 @@
             else:
                 del self.targets[key]
 
-    def window(self, target: Target, now: float, count: int, inside: bool = False) -> list[Row]:
+    def window(
+        self, target: Target, now: float, count: int, inside: bool = False
+    ) -> list[ProbeResult]:
         """The last rows of a target within the span, by when they were taken.
 
         `inside`: only of those that count for its zone; others would take their room.
--- a/packages/health/ryelock/health/probe.py
+++ b/packages/health/ryelock/health/probe.py
@@ -16,18 +16,18 @@
 from dataclasses import dataclass
 
 from ryelock.http import (
-    Dialect,
     Fields,
+    ProtocolProfile,
     Reader,
     field,
     parse_http_date,
-    read_answer,
-    send_order,
+    read_response,
+    send_request,
 )
 from ryelock.http.heads import FramingError
-from ryelock.http.reader import Cut, Late
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.replicated_state import Watch
-from ryelock.runtime import Link, Network, Scheduler
+from ryelock.runtime import Connection, Network, Scheduler
 
 MARKED_BYTES = 64
 RANGE = b"bytes=0-1023"
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Row:
+class ProbeResult:
     """What one probe came to; the source's tuple and where it is from.
 
     The probe fills it in step by step.
@@ -133,7 +133,7 @@
         }
 
 
-def row_of(plain: object, now: float) -> Row:
+def decode_probe_result(plain: object, now: float) -> ProbeResult:
     """A row as it came over the wire; raises ValueError when it is none."""
     match plain:
         case [
@@ -154,7 +154,9 @@
             str(error),
             str(mark),
         ]:
-            row = Row(prober, machine, sequence, zone, edge, watch, outside, float(wall), mark)
+            row = ProbeResult(
+                prober, machine, sequence, zone, edge, watch, outside, float(wall), mark
+            )
             row.taken = now - max(0.0, float(since))
             row.reachable, row.manifest_valid, row.object_fetchable = reachable, valid, fetchable
             row.age = float(age) if isinstance(age, int | float) else None
@@ -223,7 +225,7 @@
         watch: Watch,
         timeout: float,
         prober: str,
-        dialect: Dialect,
+        dialect: ProtocolProfile,
     ) -> None:
         """Prepare a probe.
 
@@ -244,7 +246,7 @@
         self.timeout = timeout
         self.prober = prober
 
-    async def run(self, row: Row, dater: Dater) -> None:
+    async def run(self, row: ProbeResult, dater: Dater) -> None:
         """Fill in the row, in the order of the steps."""
         until = self.scheduler.now() + self.timeout
         row.taken = self.scheduler.now()
@@ -315,20 +317,20 @@
 
     async def fetch(self, target: str, fields: Fields, until: float) -> Fetched:
         """Fetch one target over a connection of its own; raises ProbeFailed."""
-        link = self.network.connect(self.address)
+        connection = self.network.connect(self.address)
         try:
-            if not await link.open(max(0.0, until - self.scheduler.now())):
+            if not await connection.wait_connected(max(0.0, until - self.scheduler.now())):
                 raise ProbeFailed("timeout" if self.scheduler.now() >= until else "no link")
-            send_order(link, b"GET", target.encode(), self.fields_with(fields, until), b"")
-            return await self.read_fetched(link, until)
-        except Cut:
+            send_request(connection, b"GET", target.encode(), self.fields_with(fields, until), b"")
+            return await self.read_fetched(connection, until)
+        except IncompleteMessageError:
             raise ProbeFailed("answer cut") from None
-        except Late:
+        except ReadTimeoutError:
             raise ProbeFailed("timeout") from None
         except FramingError as error:
             raise ProbeFailed(error.reason) from None
         finally:
-            link.close()
+            connection.close()
 
     def fields_with(self, fields: Fields, until: float) -> Fields:
         """Return the header fields of a request: the given ones and those every probe bears."""
@@ -339,17 +341,17 @@
             found.append((self.dialect.deadline, b"%d" % left))
         return [*found, (b"Connection", b"close")]
 
-    async def read_fetched(self, link: Link, until: float) -> Fetched:
+    async def read_fetched(self, connection: Connection, until: float) -> Fetched:
         """Read an answer to its end; only the body's first bytes are kept."""
-        answer = await read_answer(Reader(self.scheduler, link), b"GET", HEAD_MOST, until)
+        answer = await read_response(Reader(self.scheduler, connection), b"GET", HEAD_MOST, until)
         if answer.is_error():
             raise ProbeFailed(answer.error.reason)
         head, body, at = answer.ok.head, answer.ok.body, self.scheduler.now()
         start = b""
         total = 0
         while True:
-            piece = await body.piece(until)
-            if not piece and body.over:
+            piece = await body.read_chunk(until)
+            if not piece and body.complete:
                 return Fetched(head.status, head.fields, start, at)
             total += len(piece)
             if total > BODY_MOST:
--- a/packages/health/ryelock/health/prober.py
+++ b/packages/health/ryelock/health/prober.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ryelock.health.probe import CROWDED, Dater, Probe, Row, watch_mark
-from ryelock.http import Dialect
+from ryelock.health.probe import CROWDED, Dater, Probe, ProbeResult, watch_mark
+from ryelock.http import ProtocolProfile
 from ryelock.replicated_state import Watch
 from ryelock.runtime import Network, Queue, Scheduler, Task
 
@@ -62,7 +62,7 @@
         "daters",
         "dialect",
         "due",
-        "flight",
+        "in_flight",
         "machine",
         "name",
         "network",
@@ -89,10 +89,10 @@
         zone: str,
         cadence: float,
         timeout: float,
-        flight: int,
+        in_flight: int,
         span: float,
         targets: Callable[[], list[Target]],
-        dialect: Dialect | None = None,
+        dialect: ProtocolProfile | None = None,
     ) -> None:
         """Create a prober; `start` makes it run.
 
@@ -105,12 +105,12 @@
             zone: zone of this node.
             cadence: seconds between two probes of one target.
             timeout: deadline of one probe in seconds.
-            flight: most probes at once.
+            in_flight: most probes at once.
             span: seconds for which rows are kept.
             targets: returns the present targets.
             dialect: field names of the deployment.
         """
-        self.dialect = dialect or Dialect()
+        self.dialect = dialect or ProtocolProfile()
         self.scheduler = scheduler
         self.network = network
         self.name = name
@@ -119,10 +119,10 @@
         self.zone = zone
         self.cadence = cadence
         self.timeout = timeout
-        self.flight = flight
+        self.in_flight = in_flight
         self.span = span
         self.targets = targets
-        self.rows: deque[Row] = deque(maxlen=ROWS_KEPT)
+        self.rows: deque[ProbeResult] = deque(maxlen=ROWS_KEPT)
         self.due: dict[tuple[str, str, str], float] = {}
         self.daters: dict[tuple[str, str, str], Dater] = {}
         self.room: Queue[bool] = Queue(scheduler)
@@ -132,7 +132,7 @@
 
     def start(self) -> None:
         """Start probing."""
-        for _ in range(self.flight):
+        for _ in range(self.in_flight):
             self.room.put(True)
         self.tasks.append(self.scheduler.create_task(self.work(), name="prober"))
 
@@ -182,7 +182,7 @@
     async def probe(self, target: Target) -> None:
         """Probe one target and keep the row, unless the service was only overloaded."""
         self.sequence += 1
-        row = Row(
+        row = ProbeResult(
             self.name,
             self.machine,
             self.sequence,
@@ -213,7 +213,7 @@
         while self.rows and self.scheduler.now() - self.rows[0].taken > self.span:
             self.rows.popleft()
 
-    def rows_behind(self, sequence: int, most: int = 200) -> list[Row]:
+    def results_since(self, sequence: int, most: int = 200) -> list[ProbeResult]:
         """Rows that an aggregator which has up to a sequence lacks, oldest first.
 
         Rows are stored when a probe ends, so sequences may stand out of order; a row counts
--- a/packages/http/ryelock/http/__init__.py
+++ b/packages/http/ryelock/http/__init__.py
@@ -4,46 +4,46 @@
 framing, http_server.py for the side that takes orders and caller.py for the side that sends them.
 """
 
-from ryelock.http.client import Answer, CallError, call, read_answer, send_order
+from ryelock.http.client import ClientError, Response, fetch, read_response, send_request
 from ryelock.http.heads import (
-    AnswerHead,
     Fields,
     FramingError,
-    OrderHead,
+    RequestHead,
+    ResponseHead,
     end_to_end,
     field,
     http_date,
-    parse_answer_head,
     parse_http_date,
-    parse_order_head,
+    parse_request_head,
+    parse_response_head,
     reason_of,
     tokens,
 )
-from ryelock.http.protocol_profile import Dialect
+from ryelock.http.protocol_profile import ProtocolProfile
 from ryelock.http.reader import Reader
-from ryelock.http.server import Exchange, HttpServer, Limits
+from ryelock.http.server import HttpExchange, HttpServer, Limits
 
 __all__ = [
-    "Answer",
-    "AnswerHead",
-    "CallError",
-    "Dialect",
-    "Exchange",
+    "ClientError",
     "Fields",
     "FramingError",
+    "HttpExchange",
     "HttpServer",
     "Limits",
-    "OrderHead",
+    "ProtocolProfile",
     "Reader",
-    "call",
+    "RequestHead",
+    "Response",
+    "ResponseHead",
     "end_to_end",
+    "fetch",
     "field",
     "http_date",
-    "parse_answer_head",
     "parse_http_date",
-    "parse_order_head",
-    "read_answer",
+    "parse_request_head",
+    "parse_response_head",
+    "read_response",
     "reason_of",
-    "send_order",
+    "send_request",
     "tokens",
 ]
--- a/packages/http/ryelock/http/client.py
+++ b/packages/http/ryelock/http/client.py
@@ -8,54 +8,58 @@
 from expression import Error, Ok, Result
 
 from ryelock.http.heads import (
-    AnswerHead,
     Fields,
     FramingError,
+    ResponseHead,
     content_length,
     is_chunked,
     keeps_open,
-    parse_answer_head,
+    parse_response_head,
 )
-from ryelock.http.reader import Body, Cut, Late, Reader
-from ryelock.runtime import Link, Network, Scheduler
+from ryelock.http.reader import Body, IncompleteMessageError, Reader, ReadTimeoutError
+from ryelock.runtime import Connection, Network, Scheduler
 
 PROCESSING = 102
 """Status of the interim answer that a request arrived and is worked on (RFC 2518, 10.1)."""
 
 
-class CallError(Exception):
+class ClientError(Exception):
     """Why there is no whole answer; `declined` is the status by which a server said "not run"."""
 
-    def __init__(self, reason: str, sent: bool, declined: int = 0) -> None:
+    def __init__(self, reason: str, sent: bool, rejected: int = 0) -> None:
         super().__init__(reason)
-        self.declined = declined
+        self.rejected = rejected
         self.reason = reason
         self.sent = sent
 
 
-class Answer:
+class Response:
     """An answer whose head was read and whose body is still to come."""
 
-    __slots__ = ("body", "head", "keep", "length")
+    __slots__ = ("body", "head", "keep_alive", "length")
 
-    def __init__(self, head: AnswerHead, body: Body, length: int | None, keep: bool) -> None:
+    def __init__(
+        self, head: ResponseHead, body: Body, length: int | None, keep_alive: bool
+    ) -> None:
         self.head = head
         self.body = body
         self.length = length
-        self.keep = keep
+        self.keep_alive = keep_alive
 
 
-def send_order(link: Link, method: bytes, target: bytes, fields: Fields, body: bytes) -> None:
+def send_request(
+    connection: Connection, method: bytes, target: bytes, fields: Fields, body: bytes
+) -> None:
     lines = [b"%s %s HTTP/1.1" % (method, target)]
     lines += [name + b": " + value for name, value in fields]
     if body or method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS", b"TRACE"):
         lines.append(b"Content-Length: %d" % len(body))
-    link.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
+    connection.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
 
 
-async def read_answer(
+async def read_response(
     reader: Reader, method: bytes, head_bytes: int, until: float, working_until: float = 0.0
-) -> Result[Answer, CallError]:
+) -> Result[Response, ClientError]:
     """The head of the final answer; interim ones are passed over.
 
     Args:
@@ -67,24 +71,24 @@
     """
     try:
         while True:
-            head = parse_answer_head(await reader.head(head_bytes, until))
+            head = parse_response_head(await reader.read_head(head_bytes, until))
             if head.status == PROCESSING:
                 until = max(until, working_until)
             if head.status >= 200:
                 break
             if head.status == 101:
-                return Error(CallError("protocol switched unasked", True))
+                return Error(ClientError("protocol switched unasked", True))
         bare = method == b"HEAD" or head.status in (204, 304)
         chunked = is_chunked(head.fields, head.minor)
         length = content_length(head.fields)
         if bare:
             return Ok(
-                Answer(head, Body(reader, False, 0), length, keeps_open(head.fields, head.minor))
+                Response(head, Body(reader, False, 0), length, keeps_open(head.fields, head.minor))
             )
         if not chunked and length is None:
-            return Error(CallError("answer without a provable end", True))
+            return Error(ClientError("answer without a provable end", True))
         return Ok(
-            Answer(
+            Response(
                 head,
                 Body(reader, chunked, length or 0),
                 length,
@@ -92,14 +96,14 @@
             )
         )
     except FramingError as error:
-        return Error(CallError(error.reason, True))
-    except Cut:
-        return Error(CallError("link ended before the answer", True))
-    except Late:
-        return Error(CallError("no answer in time", True))
+        return Error(ClientError(error.reason, True))
+    except IncompleteMessageError:
+        return Error(ClientError("link ended before the answer", True))
+    except ReadTimeoutError:
+        return Error(ClientError("no answer in time", True))
 
 
-async def call(
+async def fetch(
     scheduler: Scheduler,
     network: Network,
     address: str,
@@ -109,29 +113,29 @@
     body: bytes,
     seconds: float,
     most: int = 16_777_216,
-) -> Result[tuple[AnswerHead, bytes], CallError]:
+) -> Result[tuple[ResponseHead, bytes], ClientError]:
     """One order on a link of its own, its whole answer read."""
     until = scheduler.now() + seconds
-    link = network.connect(address)
+    connection = network.connect(address)
     try:
-        if not await link.open(seconds):
-            return Error(CallError("no link", False))
+        if not await connection.wait_connected(seconds):
+            return Error(ClientError("no link", False))
         given = {name.lower() for name, _ in fields}
         head: Fields = [] if b"host" in given else [(b"Host", address.encode())]
-        send_order(link, method, target, [*head, *fields, (b"Connection", b"close")], body)
-        reader = Reader(scheduler, link)
-        found = await read_answer(reader, method, 65_536, until)
+        send_request(connection, method, target, [*head, *fields, (b"Connection", b"close")], body)
+        reader = Reader(scheduler, connection)
+        found = await read_response(reader, method, 65_536, until)
         if found.is_error():
             return Error(found.error)
         answer = found.ok
         try:
-            whole = await answer.body.whole(most, until)
+            whole = await answer.body.read_all(most, until)
         except FramingError as error:
-            return Error(CallError(error.reason, True))
-        except Cut:
-            return Error(CallError("answer cut", True))
-        except Late:
-            return Error(CallError("no whole answer in time", True))
+            return Error(ClientError(error.reason, True))
+        except IncompleteMessageError:
+            return Error(ClientError("answer cut", True))
+        except ReadTimeoutError:
+            return Error(ClientError("no whole answer in time", True))
         return Ok((answer.head, whole))
     finally:
-        link.close()
+        connection.close()
--- a/packages/http/ryelock/http/heads.py
+++ b/packages/http/ryelock/http/heads.py
@@ -52,7 +52,7 @@
         self._parse_request_line(line)
 
 
-class OrderHead:
+class RequestHead:
     __slots__ = ("fields", "method", "minor", "target")
 
     def __init__(self, method: bytes, target: bytes, minor: int, fields: Fields) -> None:
@@ -62,7 +62,7 @@
         self.fields = fields
 
 
-class AnswerHead:
+class ResponseHead:
     __slots__ = ("fields", "minor", "reason", "status")
 
     def __init__(self, status: int, reason: bytes, minor: int, fields: Fields) -> None:
@@ -107,7 +107,7 @@
     return lines
 
 
-def parse_order_head(head: bytes) -> OrderHead:
+def parse_request_head(head: bytes) -> RequestHead:
     """The head of an order without its last empty line; raises FramingError."""
     lines = split_lines(head)
     parts = lines[0].split(b" ")
@@ -131,15 +131,15 @@
         lowered = target[:8].lower()
         if not lowered.startswith((b"http://", b"https://")):
             raise FramingError(400, "malformed target")
-    return OrderHead(method, target, minor, fields)
+    return RequestHead(method, target, minor, fields)
 
 
-def parse_answer_head(head: bytes) -> AnswerHead:
+def parse_response_head(head: bytes) -> ResponseHead:
     lines = split_lines(head)
     found = STATUS_LINE.fullmatch(lines[0])
     if found is None:
         raise FramingError(502, "malformed status line")
-    return AnswerHead(int(found[2]), found[3] or b"", int(found[1]), read_fields(lines[1:]))
+    return ResponseHead(int(found[2]), found[3] or b"", int(found[1]), read_fields(lines[1:]))
 
 
 def content_length(fields: Fields) -> int | None:
--- a/packages/http/ryelock/http/protocol_profile.py
+++ b/packages/http/ryelock/http/protocol_profile.py
@@ -6,7 +6,7 @@
 """
 
 
-class Dialect:
+class ProtocolProfile:
     """Names of fields, as they stand in a head.
 
     `identity`: an order's own name, given by the caller, handed to the server, repeated by it in
--- a/packages/http/ryelock/http/reader.py
+++ b/packages/http/ryelock/http/reader.py
@@ -7,44 +7,44 @@
 import re
 
 from ryelock.http.heads import FramingError
-from ryelock.runtime import Link, Scheduler
+from ryelock.runtime import Connection, Scheduler
 
 CHUNK_LINE = re.compile(rb"([0-9A-Fa-f]{1,12})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
 PIECE = 65_536
 
 
-class Cut(Exception):
+class IncompleteMessageError(Exception):
     """The other side ended in the middle."""
 
 
-class Late(Exception):
+class ReadTimeoutError(Exception):
     """The deadline passed in the middle."""
 
 
 class Reader:
     """Bytes of one link that were read but not yet used."""
 
-    __slots__ = ("buffer", "link", "scheduler", "took")
+    __slots__ = ("buffer", "connection", "scheduler", "took")
 
-    def __init__(self, scheduler: Scheduler, link: Link) -> None:
+    def __init__(self, scheduler: Scheduler, connection: Connection) -> None:
         self.scheduler = scheduler
-        self.link = link
+        self.connection = connection
         self.buffer = bytearray()
         self.took = 0
 
-    async def more(self, until: float) -> None:
+    async def receive(self, until: float) -> None:
         left = until - self.scheduler.now()
-        if left <= 0 and not self.link.inbox.items:
-            raise Late
-        data = await self.link.receive(max(0.0, left))
+        if left <= 0 and not self.connection.received.items:
+            raise ReadTimeoutError
+        data = await self.connection.receive(max(0.0, left))
         if data is None:
-            raise Late
+            raise ReadTimeoutError
         if not data:
-            raise Cut
+            raise IncompleteMessageError
         self.took += len(data)
         self.buffer += data
 
-    async def head(self, most: int, until: float) -> bytes:
+    async def read_head(self, most: int, until: float) -> bytes:
         """A head up to its empty line."""
         seen = 0
         while True:
@@ -58,9 +58,9 @@
             seen = len(self.buffer)
             if seen > most:
                 raise FramingError(431, "head too long")
-            await self.more(until)
+            await self.receive(until)
 
-    async def line(self, until: float) -> bytes:
+    async def read_line(self, until: float) -> bytes:
         while True:
             place = self.buffer.find(b"\r\n")
             if place >= 0:
@@ -69,11 +69,11 @@
                 return line
             if len(self.buffer) > 4096:
                 raise FramingError(400, "line too long")
-            await self.more(until)
+            await self.receive(until)
 
-    async def some(self, most: int, until: float) -> bytes:
+    async def read_some(self, most: int, until: float) -> bytes:
         if not self.buffer:
-            await self.more(until)
+            await self.receive(until)
         piece = bytes(self.buffer[:most])
         del self.buffer[:most]
         return piece
@@ -82,34 +82,34 @@
 class Body:
     """The body of one message, taken piece by piece; an empty piece is its whole end."""
 
-    __slots__ = ("chunked", "left", "over", "reader")
+    __slots__ = ("bytes_left", "chunked", "complete", "reader")
 
     def __init__(self, reader: Reader, chunked: bool, length: int) -> None:
         self.reader = reader
         self.chunked = chunked
-        self.left = 0 if chunked else length
-        self.over = not chunked and length == 0
+        self.bytes_left = 0 if chunked else length
+        self.complete = not chunked and length == 0
 
-    async def piece(self, until: float) -> bytes:
-        if self.over:
+    async def read_chunk(self, until: float) -> bytes:
+        if self.complete:
             return b""
-        if self.chunked and self.left == 0:
-            line = await self.reader.line(until)
+        if self.chunked and self.bytes_left == 0:
+            line = await self.reader.read_line(until)
             found = CHUNK_LINE.fullmatch(line)
             if found is None:
                 raise FramingError(400, "malformed chunk size")
-            self.left = int(found[1], 16)
-            if self.left == 0:
+            self.bytes_left = int(found[1], 16)
+            if self.bytes_left == 0:
                 await self.trailers(until)
-                self.over = True
+                self.complete = True
                 return b""
-        data = await self.reader.some(min(self.left, PIECE), until)
-        self.left -= len(data)
-        if self.left == 0:
+        data = await self.reader.read_some(min(self.bytes_left, PIECE), until)
+        self.bytes_left -= len(data)
+        if self.bytes_left == 0:
             if not self.chunked:
-                self.over = True
+                self.complete = True
             else:
-                end = await self.reader.line(until)
+                end = await self.reader.read_line(until)
                 if end:
                     raise FramingError(400, "chunk longer than its size")
         return data
@@ -117,22 +117,22 @@
     async def trailers(self, until: float) -> None:
         total = 0
         while True:
-            line = await self.reader.line(until)
+            line = await self.reader.read_line(until)
             if not line:
                 return
             total += len(line)
             if total > 8192:
                 raise FramingError(431, "trailers too long")
 
-    async def whole(self, most: int, until: float) -> bytes:
+    async def read_all(self, most: int, until: float) -> bytes:
         """The rest of the body at once; raises FramingError 413 above the limit."""
         pieces: list[bytes] = []
         total = 0
-        if not self.chunked and self.left > most:
+        if not self.chunked and self.bytes_left > most:
             raise FramingError(413, "body too large")
         while True:
-            piece = await self.piece(until)
-            if not piece and self.over:
+            piece = await self.read_chunk(until)
+            if not piece and self.complete:
                 return b"".join(pieces)
             total += len(piece)
             if total > most:
--- a/packages/http/ryelock/http/server.py
+++ b/packages/http/ryelock/http/server.py
@@ -7,22 +7,22 @@
 
 from collections.abc import Callable
 
-from ryelock.events import ORDER_MALFORMED, Log
+from ryelock.events import REQUEST_MALFORMED, Log
 from ryelock.http.heads import (
     Fields,
     FramingError,
-    OrderHead,
+    RequestHead,
     content_length,
     field,
     http_date,
     is_chunked,
     keeps_open,
-    parse_order_head,
+    parse_request_head,
     reason_of,
     tokens,
 )
-from ryelock.http.reader import Body, Cut, Late, Reader
-from ryelock.runtime import Link, Network, Scheduler, Task, TaskCoroutine
+from ryelock.http.reader import Body, IncompleteMessageError, Reader, ReadTimeoutError
+from ryelock.runtime import Connection, Network, Scheduler, Task, TaskCoroutine
 
 UNSENT_MOST = 262_144
 REFUSAL_SECONDS = 0.5
@@ -32,60 +32,60 @@
 
 
 class Limits:
-    __slots__ = ("body_bytes", "head_bytes", "idle_seconds", "links_most", "order_seconds")
+    __slots__ = ("body_bytes", "head_bytes", "idle_seconds", "links_most", "request_seconds")
 
     def __init__(
         self,
         head_bytes: int = 32_768,
         body_bytes: int = 8_388_608,
-        links_most: int = 4096,
+        connections_most: int = 4096,
         idle_seconds: float = 30.0,
-        order_seconds: float = 10.0,
+        request_seconds: float = 10.0,
     ) -> None:
         self.head_bytes = head_bytes
         self.body_bytes = body_bytes
-        self.links_most = links_most
+        self.links_most = connections_most
         self.idle_seconds = idle_seconds
-        self.order_seconds = order_seconds
+        self.request_seconds = request_seconds
 
 
-class Exchange:
+class HttpExchange:
     """One order and the answer to it."""
 
     __slots__ = (
         "begun",
         "body",
         "chunked",
+        "connection",
         "deadline",
         "finished",
         "head",
         "keep",
         "left_to_send",
-        "link",
         "listener",
         "may_refuse",
         "reader",
-        "started",
+        "response_started",
         "waits_to_send",
     )
 
     def __init__(
         self,
         listener: "HttpServer",
-        link: Link,
+        connection: Connection,
         reader: Reader,
-        head: OrderHead,
+        head: RequestHead,
         body: Body,
         keep: bool,
     ) -> None:
         self.listener = listener
-        self.link = link
+        self.connection = connection
         self.reader = reader
         self.head = head
         self.body = body
         self.keep = keep
-        self.started = listener.scheduler.now()
-        self.deadline = self.started + listener.limits.order_seconds
+        self.response_started = listener.scheduler.now()
+        self.deadline = self.response_started + listener.limits.request_seconds
         self.begun = False
         self.finished = False
         self.may_refuse = False
@@ -94,35 +94,35 @@
         self.waits_to_send = b"100-continue" in tokens(head.fields, b"expect")
 
     @property
-    def left(self) -> bool:
+    def seconds_left(self) -> bool:
         """Whether the caller is gone."""
-        return self.link.ended
+        return self.connection.closed
 
-    def end_with_caller(self, upstream: Link) -> None:
+    def end_with_caller(self, upstream: Connection) -> None:
         """Reset a connection to a server as soon as the caller leaves, at once where it has.
 
         One connection at a time; `keep_from_caller` takes it back.
         """
-        if self.left:
+        if self.seconds_left:
             upstream.abort()
         else:
-            self.link.when_ended = upstream.abort
+            self.connection.on_closed = upstream.abort
 
     def keep_from_caller(self) -> None:
         """The connection to the server lives on when the caller leaves."""
-        self.link.when_ended = None
+        self.connection.on_closed = None
 
-    async def whole_body(self) -> bytes:
-        if self.waits_to_send and not self.body.over and not self.reader.buffer:
-            self.link.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+    async def read_body(self) -> bytes:
+        if self.waits_to_send and not self.body.complete and not self.reader.buffer:
+            self.connection.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.waits_to_send = False
-        return await self.body.whole(self.listener.limits.body_bytes, self.deadline)
+        return await self.body.read_all(self.listener.limits.body_bytes, self.deadline)
 
-    def tell_working(self) -> None:
+    def send_processing(self) -> None:
         """Send the interim answer that the request arrived and is worked on."""
-        self.link.write(b"HTTP/1.1 102 Processing\r\n\r\n")
+        self.connection.write(b"HTTP/1.1 102 Processing\r\n\r\n")
 
-    def begin(
+    def send_head(
         self, status: int, reason: bytes, fields: Fields, length: int | None, dated: bool = True
     ) -> None:
         """Send the head; a length of None sends chunks, to HTTP/1.0 until the end.
@@ -145,47 +145,47 @@
                 lines.append(b"Transfer-Encoding: chunked")
             else:
                 self.keep = False
-        if not self.body.over:
+        if not self.body.complete:
             self.keep = False
-        if self.listener.closing or self.listener.leaving:
+        if self.listener.closing or self.listener.draining:
             self.keep = False
         if not self.keep:
             lines.append(b"Connection: close")
         elif self.head.minor == 0:
             lines.append(b"Connection: keep-alive")
-        self.link.write(b"\r\n".join(lines) + b"\r\n\r\n")
+        self.connection.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
     async def send(self, piece: bytes, seconds: float) -> bool:
         """Send a piece of the body; False when the caller takes no more."""
         if piece and self.head.method != b"HEAD":
             if self.chunked:
-                self.link.write(b"%x\r\n" % len(piece) + piece + b"\r\n")
+                self.connection.write(b"%x\r\n" % len(piece) + piece + b"\r\n")
             else:
                 self.left_to_send -= len(piece)
-                self.link.write(piece)
-            if self.link.unsent > UNSENT_MOST:
-                return await self.link.drain(UNSENT_MOST // 2, seconds)
-        return not self.link.ended
+                self.connection.write(piece)
+            if self.connection.unsent_bytes > UNSENT_MOST:
+                return await self.connection.drain(UNSENT_MOST // 2, seconds)
+        return not self.connection.closed
 
     def finish(self) -> None:
         if self.chunked:
-            self.link.write(b"0\r\n\r\n")
+            self.connection.write(b"0\r\n\r\n")
         self.finished = True
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the link in the middle of an answer."""
         self.keep = False
         self.finished = True
-        self.link.abort()
+        self.connection.abort()
 
-    async def answer(self, status: int, fields: Fields, body: bytes) -> None:
+    async def respond(self, status: int, fields: Fields, body: bytes) -> None:
         """A whole answer at once."""
-        self.begin(status, b"", fields, len(body))
-        await self.send(body, self.listener.limits.order_seconds)
+        self.send_head(status, b"", fields, len(body))
+        await self.send(body, self.listener.limits.request_seconds)
         self.finish()
 
 
-Serve = Callable[[Exchange], TaskCoroutine[None]]
+Serve = Callable[[HttpExchange], TaskCoroutine[None]]
 
 
 class HttpServer:
@@ -194,12 +194,12 @@
         "bulk",
         "busy",
         "closing",
-        "closing_links",
+        "closing_connections",
+        "connections",
+        "draining",
         "exchanges",
         "idle",
-        "leaving",
         "limits",
-        "links",
         "log",
         "network",
         "scheduler",
@@ -222,118 +222,124 @@
         self.log = log
         self.limits = limits
         self.serve = serve
-        self.links: dict[Link, Task] = {}
-        self.closing_links: list[Link] = []
-        self.idle: set[Link] = set()
-        self.exchanges: dict[Link, Exchange] = {}
+        self.connections: dict[Connection, Task] = {}
+        self.closing_connections: list[Connection] = []
+        self.idle: set[Connection] = set()
+        self.exchanges: dict[Connection, HttpExchange] = {}
         self.busy = 0
         self.closing = False
-        self.leaving = False
-        self.address = network.listen(address, self.greet)
+        self.draining = False
+        self.address = network.listen(address, self.accept)
 
-    def greet(self, link: Link) -> None:
-        if len(self.links) >= self.limits.links_most:
-            link.write(
+    def accept(self, connection: Connection) -> None:
+        if len(self.connections) >= self.limits.links_most:
+            connection.write(
                 b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
                 b"Content-Length: 0\r\nConnection: close\r\n\r\n"
             )
-            link.close()
+            connection.close()
             return
-        link.bulk = self.bulk
-        self.links[link] = self.scheduler.create_task(
-            self.take(link), name=f"orders from {link.peer}"
+        connection.bulk = self.bulk
+        self.connections[connection] = self.scheduler.create_task(
+            self.serve_connection(connection), name=f"orders from {connection.peer}"
         )
 
-    async def take(self, link: Link) -> None:
+    async def serve_connection(self, connection: Connection) -> None:
         """Every order of one link, from its first byte to the end of its answer."""
-        reader = Reader(self.scheduler, link)
-        exchange: Exchange | None = None
+        reader = Reader(self.scheduler, connection)
+        exchange: HttpExchange | None = None
         try:
             while not self.closing:
                 exchange = None
                 if not reader.buffer:
-                    await self.wait_for_request(link, reader)
-                until = self.scheduler.now() + self.limits.order_seconds
+                    await self.wait_for_request(connection, reader)
+                until = self.scheduler.now() + self.limits.request_seconds
                 while reader.buffer[:2] == b"\r\n":
                     del reader.buffer[:2]
-                head = parse_order_head(await reader.head(self.limits.head_bytes, until))
-                exchange = self.exchanges[link] = self.frame(link, reader, head)
+                head = parse_request_head(await reader.read_head(self.limits.head_bytes, until))
+                exchange = self.exchanges[connection] = self.frame(connection, reader, head)
                 self.busy += 1
                 try:
                     await self.serve(exchange)
                 finally:
                     self.busy -= 1
                 if not exchange.finished:
-                    exchange.cut()
-                if not exchange.keep or link.ended:
+                    exchange.abort()
+                if not exchange.keep or connection.closed:
                     break
         except FramingError as error:
-            self.log.write(ORDER_MALFORMED, peer=link.peer, fault=error.reason)
+            self.log.write(REQUEST_MALFORMED, peer=connection.peer, fault=error.reason)
             if exchange is None or not exchange.begun:
-                self.say_bad(link, error.status, error.reason)
-        except Late:
+                self.say_bad(connection, error.status, error.reason)
+        except ReadTimeoutError:
             if reader.buffer or (exchange is not None and not exchange.begun):
-                self.say_bad(link, 408, "the order did not come in time")
-        except Cut:
+                self.say_bad(connection, 408, "the order did not come in time")
+        except IncompleteMessageError:
             pass
         finally:
-            self.links.pop(link, None)
-            self.exchanges.pop(link, None)
+            self.connections.pop(connection, None)
+            self.exchanges.pop(connection, None)
             if exchange is not None and exchange.begun and not exchange.finished:
-                link.abort()
+                connection.abort()
             else:
-                self.close(link)
+                self.close(connection)
 
-    async def wait_for_request(self, link: Link, reader: Reader) -> None:
+    async def wait_for_request(self, connection: Connection, reader: Reader) -> None:
         """Wait for the first bytes of the next request; raises Late after the idle time."""
-        self.idle.add(link)
+        self.idle.add(connection)
         try:
-            await reader.more(self.scheduler.now() + self.limits.idle_seconds)
+            await reader.receive(self.scheduler.now() + self.limits.idle_seconds)
         finally:
-            self.idle.discard(link)
+            self.idle.discard(connection)
 
     def close_idle(self) -> None:
         """End the connections on which no byte of a request has come."""
-        for link in [link for link in self.idle if not len(link.inbox)]:
-            self.links[link].cancel()
+        for connection in [connection for connection in self.idle if not len(connection.received)]:
+            self.connections[connection].cancel()
 
     def refuse_waiting(self) -> None:
         """Refuse the requests that wait and may be sent again; their connections end."""
-        for link, exchange in list(self.exchanges.items()):
+        for connection, exchange in list(self.exchanges.items()):
             if exchange.may_refuse and not exchange.begun:
-                exchange.begin(503, b"", [(b"Retry-After", b"0")], 0)
+                exchange.send_head(503, b"", [(b"Retry-After", b"0")], 0)
                 exchange.finish()
-                self.links[link].cancel()
+                self.connections[connection].cancel()
 
-    def close(self, link: Link) -> None:
+    def close(self, connection: Connection) -> None:
         """End a connection; one with unsent bytes is remembered until they are sent."""
-        self.closing_links = [other for other in self.closing_links if other.unsent]
-        if link.unsent:
-            self.closing_links.append(link)
-        link.close()
+        self.closing_connections = [
+            other for other in self.closing_connections if other.unsent_bytes
+        ]
+        if connection.unsent_bytes:
+            self.closing_connections.append(connection)
+        connection.close()
 
     @property
     def has_unsent(self) -> bool:
         """Whether bytes of an answer wait to be sent."""
-        return any(link.unsent for link in (*self.links, *self.closing_links))
+        return any(
+            connection.unsent_bytes for connection in (*self.connections, *self.closing_connections)
+        )
 
-    def say_bad(self, link: Link, status: int, reason: str) -> None:
+    def say_bad(self, connection: Connection, status: int, reason: str) -> None:
         body = reason.encode() + b"\n"
-        link.write(
+        connection.write(
             b"HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n"
             b"Connection: close\r\n\r\n" % (status, reason_of(status), len(body)) + body
         )
 
-    def frame(self, link: Link, reader: Reader, head: OrderHead) -> Exchange:
+    def frame(self, connection: Connection, reader: Reader, head: RequestHead) -> HttpExchange:
         chunked = is_chunked(head.fields, head.minor)
         length = content_length(head.fields) or 0
         expected = field(head.fields, b"expect")
         if expected is not None and expected.lower() != b"100-continue":
             raise FramingError(417, "unknown expectation")
         body = Body(reader, chunked, length)
-        return Exchange(self, link, reader, head, body, keeps_open(head.fields, head.minor))
+        return HttpExchange(
+            self, connection, reader, head, body, keeps_open(head.fields, head.minor)
+        )
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no new links; open links end after the order they are in."""
         if not self.closing:
             self.closing = True
@@ -349,7 +355,7 @@
         started = self.scheduler.now()
         idle_until = started + IDLE_GRACE_SECONDS
         while self.scheduler.now() < started + seconds and (
-            self.busy or self.has_unsent or (self.links and self.scheduler.now() < idle_until)
+            self.busy or self.has_unsent or (self.connections and self.scheduler.now() < idle_until)
         ):
             if self.scheduler.now() >= idle_until:
                 self.close_idle()
@@ -357,7 +363,7 @@
                 self.refuse_waiting()
             await self.scheduler.sleep(0.02)
         done = self.busy == 0 and not self.has_unsent
-        for link, running in list(self.links.items()):
+        for connection, running in list(self.connections.items()):
             running.cancel()
-            link.close()
+            connection.close()
         return done
--- a/packages/journal/ryelock/journal/__init__.py
+++ b/packages/journal/ryelock/journal/__init__.py
@@ -40,7 +40,7 @@
     return f"segment-{number:010d}"
 
 
-def image_name(number: int) -> str:
+def snapshot_name(number: int) -> str:
     return f"image-{number:010d}"
 
 
@@ -65,8 +65,6 @@
         "broken",
         "folder",
         "full",
-        "image",
-        "image_bytes",
         "log",
         "records",
         "replay_bytes",
@@ -74,6 +72,8 @@
         "segment",
         "segment_bytes",
         "size",
+        "snapshot",
+        "snapshot_bytes",
         "written",
     )
 
@@ -81,11 +81,11 @@
         self.folder = folder
         self.log = log
         self.segment_bytes = segment_bytes
-        self.image: bytes | None = None
+        self.snapshot: bytes | None = None
         self.records: list[bytes] = []
         self.segment = 0
         self.size = 0
-        self.image_bytes = 0
+        self.snapshot_bytes = 0
         self.replay_bytes = 0
         self.written = 0
         self.broken = False
@@ -138,17 +138,17 @@
         self.segment += 1
         self.size = 0
 
-    def write_image(self, image: bytes, records: list[bytes]) -> Result[None, JournalError]:
+    def write_snapshot(self, snapshot: bytes, records: list[bytes]) -> Result[None, JournalError]:
         """Put an image and the records still needed in place of all that was written."""
         try:
             self.repair()
             if self.rotation_due or self.size > 0:
                 self.start_segment()
-            data = pack_batch([image, *records])
-            self.folder.write_whole(image_name(self.segment), data)
+            data = pack_batch([snapshot, *records])
+            self.folder.write_whole(snapshot_name(self.segment), data)
         except FolderError as error:
             return self.failed(error)
-        self.image_bytes = len(data)
+        self.snapshot_bytes = len(data)
         self.replay_bytes = 0
         self.written = len(records)
         self.delete_before(self.segment)
@@ -173,17 +173,17 @@
         for name in names:
             if name.endswith(PARTIAL_SUFFIX):
                 folder.delete(name)
-        images = numbers(names, "image")
-        first = images[-1] if images else 0
-        if images:
-            data = folder.read(image_name(first))
+        snapshots = numbers(names, "image")
+        first = snapshots[-1] if snapshots else 0
+        if snapshots:
+            data = folder.read(snapshot_name(first))
             found, end = read_frames(data)
             if not found or end < len(data):
-                return Error(JournalError(f"{image_name(first)} is damaged", True))
-            journal.image, *journal.records = found
-            journal.image_bytes = len(data)
+                return Error(JournalError(f"{snapshot_name(first)} is damaged", True))
+            journal.snapshot, *journal.records = found
+            journal.snapshot_bytes = len(data)
         segments = [number for number in numbers(names, "segment") if number >= first]
-        if images and not segments:
+        if snapshots and not segments:
             return Error(JournalError("the first segment is missing", True))
         if segments != list(range(first, first + len(segments))):
             return Error(JournalError("a segment is missing", True))
--- a/packages/membership/ryelock/membership/__init__.py
+++ b/packages/membership/ryelock/membership/__init__.py
@@ -4,7 +4,7 @@
 servers.py reads the platform's listing and holds one by its source's version and its age.
 """
 
-from ryelock.membership.servers import Listing, Server, listing_of
-from ryelock.membership.sessions import Roster, Session, session_of
+from ryelock.membership.servers import Server, ServerList, decode_server_list
+from ryelock.membership.sessions import Membership, Session, session_of
 
-__all__ = ["Listing", "Roster", "Server", "Session", "listing_of", "session_of"]
+__all__ = ["Membership", "Server", "ServerList", "Session", "decode_server_list", "session_of"]
--- a/packages/membership/ryelock/membership/servers.py
+++ b/packages/membership/ryelock/membership/servers.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Listing:
+class ServerList:
     """One source's servers at one version, when they were read, and up to when they are believed.
 
     The platform was asked not before `since` and had answered at the latest at `seen`. Of two
@@ -73,7 +73,7 @@
     since: float = NEVER
     seen: float = NEVER
 
-    def follows(self, other: "Listing") -> bool:
+    def follows(self, other: "ServerList") -> bool:
         """Whether this was certainly read after the other."""
         return self.since >= other.seen
 
@@ -83,7 +83,7 @@
         return hashlib.sha256(plain).digest()[:16]
 
 
-class ListingError(Exception):
+class ServerListError(Exception):
     """The platform's answer is no listing, or (`missed`) there was none."""
 
     def __init__(self, reason: str, missed: bool = False) -> None:
@@ -92,24 +92,24 @@
         self.missed = missed
 
 
-def listing_of(body: bytes) -> Result[list[Server], ListingError]:
+def decode_server_list(body: bytes) -> Result[list[Server], ServerListError]:
     """Return the servers in an answer of the platform; the whole is rejected for any fault."""
     try:
         plain = json.loads(body)
     except ValueError:
-        return Error(ListingError("not JSON"))
+        return Error(ServerListError("not JSON"))
     listed = plain.get("servers") if isinstance(plain, dict) else None
     if not isinstance(listed, list) or len(listed) > SERVERS_MOST:
-        return Error(ListingError("no list of servers"))
+        return Error(ServerListError("no list of servers"))
     servers: list[Server] = []
     addresses: set[str] = set()
     for position, item in enumerate(listed):
         try:
             server = listed_server(item)
         except ValueError as error:
-            return Error(ListingError(f"servers[{position}]: {error}"))
+            return Error(ServerListError(f"servers[{position}]: {error}"))
         if server.address in addresses:
-            return Error(ListingError(f"servers[{position}]: {server.address} is listed twice"))
+            return Error(ServerListError(f"servers[{position}]: {server.address} is listed twice"))
         addresses.add(server.address)
         servers.append(server)
     return Ok(servers)
--- a/packages/membership/ryelock/membership/sessions.py
+++ b/packages/membership/ryelock/membership/sessions.py
@@ -115,7 +115,7 @@
     sessions: dict[str, Session]
 
 
-class Roster:
+class Membership:
     """All sessions known to one control node; owned by its desk task."""
 
     __slots__ = (
@@ -178,7 +178,7 @@
         self.version += 1
         return True
 
-    def lapse(self) -> list[Session]:
+    def expire(self) -> list[Session]:
         """End sessions that were not renewed."""
         now = self.scheduler.now()
         ended = [
--- a/packages/metrics/ryelock/metrics/__init__.py
+++ b/packages/metrics/ryelock/metrics/__init__.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from ryelock.events import FIGURES, Log
-from ryelock.http import Exchange, HttpServer, Limits
+from ryelock.http import HttpExchange, HttpServer, Limits
 from ryelock.runtime import Network, Scheduler
 
 if TYPE_CHECKING:
@@ -118,11 +118,11 @@
         self.metrics = metrics
         self.listener = HttpServer(scheduler, network, log, address, Limits(), self.serve)
 
-    async def serve(self, exchange: Exchange) -> None:
+    async def serve(self, exchange: HttpExchange) -> None:
         """Answer one request with all figures."""
-        await exchange.whole_body()
+        await exchange.read_body()
         fields = [(b"Content-Type", CONTENT_TYPE), (b"Cache-Control", b"no-store")]
-        await exchange.answer(200, fields, self.metrics.exposition())
+        await exchange.respond(200, fields, self.metrics.exposition())
 
 
 async def log_figures(scheduler: Scheduler, log: Log, metrics: Metrics, seconds: float) -> None:
--- a/packages/rate_limit/ryelock/rate_limit/__init__.py
+++ b/packages/rate_limit/ryelock/rate_limit/__init__.py
@@ -5,7 +5,7 @@
 edge's side: it spends a share.
 """
 
-from ryelock.rate_limit.quota_allocator import Divider, is_narrow, reserve
+from ryelock.rate_limit.quota_allocator import QuotaAllocator, is_narrow, reserve
 from ryelock.rate_limit.token_bucket import RetryBudget, TokenBucket
 
-__all__ = ["Divider", "RetryBudget", "TokenBucket", "is_narrow", "reserve"]
+__all__ = ["QuotaAllocator", "RetryBudget", "TokenBucket", "is_narrow", "reserve"]
--- a/packages/rate_limit/ryelock/rate_limit/quota_allocator.py
+++ b/packages/rate_limit/ryelock/rate_limit/quota_allocator.py
@@ -25,7 +25,7 @@
 WANTING_SECONDS = 0.5
 
 
-class Well:
+class SharedTokenBucket:
     """Whole orders of one narrow service that may be granted."""
 
     __slots__ = ("at", "room", "wanting")
@@ -113,16 +113,16 @@
         return max((share for share, _ in self.shares), default=0.0)
 
 
-class Divider:
+class QuotaAllocator:
     """Shares of every service's rate, for every edge; grants of the narrow ones."""
 
-    __slots__ = ("demands", "given", "wells")
+    __slots__ = ("demands", "given", "shared_buckets")
 
     def __init__(self) -> None:
         """Create a divider that knows no edge and no service."""
         self.given: dict[str, dict[str, Given]] = {}
         self.demands: dict[str, dict[str, float]] = {}
-        self.wells: dict[str, Well] = {}
+        self.shared_buckets: dict[str, SharedTokenBucket] = {}
 
     def report(self, edge: str, demand: dict[str, float]) -> None:
         """Note an edge's demand, in requests per second by service."""
@@ -133,7 +133,7 @@
         """The edge is no member: its demand counts no more; its shares run out by themselves."""
         for demands in self.demands.values():
             demands.pop(edge, None)
-        for well in self.wells.values():
+        for well in self.shared_buckets.values():
             well.wanting.pop(edge, None)
 
     def release(self, edge: str) -> None:
@@ -144,7 +144,7 @@
 
     def want(self, service: str, edge: str, wanted: int, now: float) -> None:
         """So many orders wait at an edge for a narrow service."""
-        well = self.wells.setdefault(service, Well(now))
+        well = self.shared_buckets.setdefault(service, SharedTokenBucket(now))
         if wanted:
             well.wanting[edge] = now
         else:
@@ -168,7 +168,7 @@
         mine = shares.setdefault(edge, Given())
         last = max((until for _, until in mine.shares), default=now)
         mine.shares = [(holding, last)] if holding else []
-        well = self.wells.setdefault(service, Well(now))
+        well = self.shared_buckets.setdefault(service, SharedTokenBucket(now))
         if not fresh:
             well.at, well.room = now, 0.0
         well.fill(rate, sum(given.largest(now) for given in shares.values()), now)
@@ -179,7 +179,7 @@
 
     def soon(self, service: str, rate: float, now: float) -> float:
         """Seconds until a narrow service's well has an order to grant."""
-        well = self.wells.get(service)
+        well = self.shared_buckets.get(service)
         if well is None:
             return 0.0
         missing = 1.0 - well.room - steady_rate(rate) * (now - well.at)
--- a/packages/replicated_state/ryelock/replicated_state/__init__.py
+++ b/packages/replicated_state/ryelock/replicated_state/__init__.py
@@ -23,7 +23,7 @@
     derived_watches,
     places_of,
 )
-from ryelock.replicated_state.state import Purge, Register, encode_word
+from ryelock.replicated_state.state import Purge, ReplicatedState, encode_command
 from ryelock.replicated_state.vector import Vector, vector_of
 
 __all__ = [
@@ -31,7 +31,7 @@
     "CallerLimits",
     "Configuration",
     "Purge",
-    "Register",
+    "ReplicatedState",
     "Route",
     "Service",
     "Vector",
@@ -40,7 +40,7 @@
     "derivable_routes",
     "derived_name",
     "derived_watches",
-    "encode_word",
+    "encode_command",
     "merge_change",
     "places_of",
     "plan_of",
--- a/packages/replicated_state/ryelock/replicated_state/state.py
+++ b/packages/replicated_state/ryelock/replicated_state/state.py
@@ -25,7 +25,7 @@
     still_standing,
 )
 from ryelock.replicated_state.outcomes import Outcomes, outcomes_of
-from ryelock.singleton import Duty
+from ryelock.singleton import SingletonRole
 
 PURGES_KEPT = 2000
 DECISIONS_KEPT = 500
@@ -35,7 +35,7 @@
 Plain = dict[str, object]
 
 
-def encode_word(kind: str, **fields: object) -> bytes:
+def encode_command(kind: str, **fields: object) -> bytes:
     return cbor2.dumps({"word": kind, **fields})
 
 
@@ -69,7 +69,7 @@
     return ""
 
 
-class Register:
+class ReplicatedState:
     """Configuration versions, purges, drains, duties and decisions.
 
     `derived` has a made-up watch by the name of its route, `derivable` the routes that may get one.
@@ -82,11 +82,11 @@
         "derivable",
         "derived",
         "drains",
-        "duties",
         "index",
         "outcomes",
         "purge_number",
         "purges",
+        "singletons",
         "verdict",
         "version",
     )
@@ -101,7 +101,7 @@
         self.purge_number = 0
         self.purges: list[Purge] = []
         self.drains: dict[str, Plain] = {}
-        self.duties: dict[str, Duty] = {}
+        self.singletons: dict[str, SingletonRole] = {}
         self.decisions: list[Plain] = []
         self.verdict: Plain = {}
         self.derived: dict[str, Watch] = {}
@@ -199,17 +199,17 @@
 
     def duty(self, word: Plain) -> Plain:
         name, holder = str(word["name"]), str(word["holder"])
-        epoch, before = word["epoch"], self.duties.get(name)
-        if not isinstance(epoch, int) or (before is not None and epoch < before.epoch):
+        epoch, before = word["epoch"], self.singletons.get(name)
+        if not isinstance(epoch, int) or (before is not None and epoch < before.fencing_token):
             return {"status": "fenced"}
-        if before is not None and epoch == before.epoch and holder != before.holder:
+        if before is not None and epoch == before.fencing_token and holder != before.owner:
             return {"status": "fenced"}
-        self.duties[name] = Duty(name, holder, epoch, str(word["successor"]))
+        self.singletons[name] = SingletonRole(name, holder, epoch, str(word["successor"]))
         return {"status": "accepted", "index": self.index}
 
     def decision(self, word: Plain) -> Plain:
         """A verdict, taken only from the present holder of the aggregator's duty."""
-        duty = self.duties.get("aggregator")
+        duty = self.singletons.get("aggregator")
         epoch = word.get("epoch")
         if (
             duty is None
@@ -248,11 +248,11 @@
 
     def claim(self, word: Plain) -> Plain:
         """One order claims a key: whoever asks with another order later is told so."""
-        key, order = bytes_of(word["key"]), str(word["order"])
-        holder = self.claims.setdefault(key, order)
+        key, request = bytes_of(word["key"]), str(word["order"])
+        holder = self.claims.setdefault(key, request)
         while len(self.claims) > CLAIMS_KEPT:
             self.claims.popitem(last=False)
-        return {"status": "claimed" if holder == order else "known", "order": holder}
+        return {"status": "claimed" if holder == request else "known", "order": holder}
 
     def release(self, word: Plain) -> Plain:
         """The order that claimed a key certainly did not run."""
@@ -265,7 +265,7 @@
         self.decisions.append(record)
         del self.decisions[:-DECISIONS_KEPT]
 
-    def image(self) -> bytes:
+    def snapshot(self) -> bytes:
         """All of it, as the consensus group's disks keep it."""
         whole = {
             **self.shared(),
@@ -275,7 +275,7 @@
         }
         return cbor2.dumps(whole)
 
-    def image_for_edges(self) -> bytes:
+    def edge_snapshot(self) -> bytes:
         """What edges need of it: no outcomes of old words and no past decisions."""
         return cbor2.dumps({**self.shared(), "outcomes": [], "decisions": []})
 
@@ -287,7 +287,7 @@
             "purge_number": self.purge_number,
             "purges": [purge.plain() for purge in self.purges],
             "drains": self.drains,
-            "duties": {name: duty.plain() for name, duty in self.duties.items()},
+            "duties": {name: duty.plain() for name, duty in self.singletons.items()},
             "verdict": self.verdict,
             "derived": places_of(self.derived),
         }
@@ -306,8 +306,8 @@
         self.purge_number = found["purge_number"]
         self.purges = [Purge(*purge) for purge in found["purges"]]
         self.drains = found["drains"]
-        self.duties = {
-            name: Duty(plain["name"], plain["holder"], plain["epoch"], plain["successor"])
+        self.singletons = {
+            name: SingletonRole(plain["name"], plain["holder"], plain["epoch"], plain["successor"])
             for name, plain in found["duties"].items()
         }
         self.decisions = found["decisions"]
--- a/packages/rpc/ryelock/rpc/__init__.py
+++ b/packages/rpc/ryelock/rpc/__init__.py
@@ -13,17 +13,17 @@
 from expression import Error, Ok, Result
 
 from ryelock.events import FRAME_DECLINED, Log
-from ryelock.runtime import Link, Network, Queue, Scheduler, Task
+from ryelock.runtime import Connection, Network, Queue, Scheduler, Task
 
 PROTOCOL = "ryelock"
 VERSION = 1
-FRAME_BYTES = 67_108_864
-OPEN_SECONDS = 0.6
+MAX_FRAME_BYTES = 67_108_864
+CONNECT_TIMEOUT_SECONDS = 0.6
 
 Message = dict[str, object]
 
 
-class WireError(Exception):
+class RpcError(Exception):
     """An ask had no answer: declined, cut or late. Not sent means: beyond doubt."""
 
     def __init__(self, text: str, sent: bool) -> None:
@@ -36,21 +36,21 @@
     """Bytes that are no frame of this protocol."""
 
 
-def encode(message: Message) -> bytes:
+def encode_frame(message: Message) -> bytes:
     """Return a message as a frame."""
     body = cbor2.dumps(message)
     return struct.pack(">I", len(body)) + body
 
 
-class Frames:
+class FrameDecoder:
     """Turns pieces of bytes into messages."""
 
-    __slots__ = ("buffer", "most")
+    __slots__ = ("buffer", "max_bytes")
 
-    def __init__(self, most: int = FRAME_BYTES) -> None:
+    def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
         """Create a decoder; `most` bounds a frame's bytes."""
         self.buffer = bytearray()
-        self.most = most
+        self.max_bytes = max_bytes
 
     def feed(self, data: bytes) -> list[Message]:
         """Take received bytes and return the messages that are whole; raises FrameError."""
@@ -58,7 +58,7 @@
         found: list[Message] = []
         while len(self.buffer) >= 4:
             (size,) = struct.unpack(">I", self.buffer[:4])
-            if size > self.most:
+            if size > self.max_bytes:
                 raise FrameError(f"frame of {size} bytes")
             if len(self.buffer) < 4 + size:
                 break
@@ -74,7 +74,7 @@
         return found
 
 
-def hello(message: Message) -> str:
+def handshake_fault(message: Message) -> str:
     """What is wrong with a first frame; empty when nothing is."""
     if message.get("protocol") != PROTOCOL:
         return "another protocol"
@@ -83,93 +83,98 @@
     return ""
 
 
-class GreetedFrames(Frames):
+class HandshakeFrameDecoder(FrameDecoder):
     """Turns pieces of bytes into messages; the first frame must name this protocol."""
 
-    __slots__ = ("greeted",)
+    __slots__ = ("handshake_done",)
 
     def __init__(self) -> None:
         """Create a decoder that has not seen the first frame."""
         super().__init__()
-        self.greeted = False
+        self.handshake_done = False
 
     def feed(self, data: bytes) -> list[Message]:
         """Return the whole messages behind the first frame; raises FrameError."""
         found = super().feed(data)
-        if self.greeted or not found:
+        if self.handshake_done or not found:
             return found
-        fault = hello(found[0])
+        fault = handshake_fault(found[0])
         if fault:
             raise FrameError(fault)
-        self.greeted = True
+        self.handshake_done = True
         return found[1:]
 
 
-HELLO = encode({"protocol": PROTOCOL, "version": VERSION})
+HANDSHAKE = encode_frame({"protocol": PROTOCOL, "version": VERSION})
 Reply = Callable[[Message], None]
-Answerer = Callable[[Message, Reply], None]
+MessageHandler = Callable[[Message, Reply], None]
 
 
-class MessageServer:
+class RpcServer:
     """The listening side: one task a link, each ask handed to the answerer."""
 
-    __slots__ = ("address", "answerer", "links", "log", "network", "scheduler")
+    __slots__ = ("address", "connections", "handler", "log", "network", "scheduler")
 
     def __init__(
-        self, scheduler: Scheduler, network: Network, log: Log, address: str, answerer: Answerer
+        self,
+        scheduler: Scheduler,
+        network: Network,
+        log: Log,
+        address: str,
+        handler: MessageHandler,
     ) -> None:
         """Listen at an address; `answerer` gets each message and a function to reply with."""
         self.scheduler = scheduler
         self.network = network
         self.log = log
-        self.answerer = answerer
-        self.links: dict[Link, Task] = {}
-        self.address = network.listen(address, self.greet)
+        self.handler = handler
+        self.connections: dict[Connection, Task] = {}
+        self.address = network.listen(address, self.accept)
 
-    def greet(self, link: Link) -> None:
+    def accept(self, connection: Connection) -> None:
         """Start to serve an accepted connection."""
-        self.links[link] = self.scheduler.create_task(
-            self.serve(link), name=f"wire from {link.peer}"
+        self.connections[connection] = self.scheduler.create_task(
+            self.serve(connection), name=f"wire from {connection.peer}"
         )
 
     def close(self) -> None:
         """Stop listening and end all connections."""
         self.network.stop_listening(self.address)
-        for link, running in list(self.links.items()):
+        for connection, running in list(self.connections.items()):
             running.cancel()
-            link.close()
+            connection.close()
 
-    async def serve(self, link: Link) -> None:
+    async def serve(self, connection: Connection) -> None:
         """Read frames of one connection until it ends or sends a malformed one."""
-        frames = GreetedFrames()
-        link.write(HELLO)
+        frames = HandshakeFrameDecoder()
+        connection.write(HANDSHAKE)
         try:
             while True:
-                data = await link.receive(60.0)
+                data = await connection.receive(60.0)
                 if not data:
                     return
                 for message in frames.feed(data):
                     number = message.pop("ask", None)
                     if not isinstance(number, int):
                         raise FrameError("an ask without a number")
-                    self.answerer(message, self.reply_to(link, number))
+                    self.handler(message, self.reply_to(connection, number))
         except FrameError as error:
-            self.log.write(FRAME_DECLINED, peer=link.peer, fault=str(error))
+            self.log.write(FRAME_DECLINED, peer=connection.peer, fault=str(error))
         finally:
-            self.links.pop(link, None)
-            link.close()
+            self.connections.pop(connection, None)
+            connection.close()
 
-    def reply_to(self, link: Link, number: int) -> Reply:
+    def reply_to(self, connection: Connection, number: int) -> Reply:
         """Return the function that answers one numbered message."""
 
         def reply(message: Message) -> None:
-            if not link.ended:
-                link.write(encode({**message, "answer": number}))
+            if not connection.closed:
+                connection.write(encode_frame({**message, "answer": number}))
 
         return reply
 
 
-class Line:
+class RpcClient:
     """The asking side: a link to one address, opened when needed, many asks at a time.
 
     A link on which nothing at all came while an ask ran out is given up: the other side may
@@ -178,12 +183,12 @@
 
     __slots__ = (
         "address",
-        "heard",
-        "link",
+        "connection",
         "log",
         "network",
-        "open_asks",
+        "pending_calls",
         "reader",
+        "received_chunks",
         "scheduler",
         "sequence",
     )
@@ -194,91 +199,95 @@
         self.network = network
         self.log = log
         self.address = address
-        self.link: Link | None = None
+        self.connection: Connection | None = None
         self.reader: Task | None = None
         self.sequence = 0
-        self.heard = 0
-        self.open_asks: dict[int, Queue[Message | None]] = {}
+        self.received_chunks = 0
+        self.pending_calls: dict[int, Queue[Message | None]] = {}
 
-    async def ask(self, message: Message, seconds: float) -> Result[Message, WireError]:
+    async def call(self, message: Message, timeout: float) -> Result[Message, RpcError]:
         """Send a message and wait for its answer, at most so many seconds."""
-        until = self.scheduler.now() + seconds
-        link = self.link
-        if link is None or link.ended:
-            link = self.network.connect(self.address)
-            self.link = link
-            link.write(HELLO)
+        until = self.scheduler.now() + timeout
+        connection = self.connection
+        if connection is None or connection.closed:
+            connection = self.network.connect(self.address)
+            self.connection = connection
+            connection.write(HANDSHAKE)
             self.reader = self.scheduler.create_task(
-                self.read(link), name=f"wire to {self.address}", urgent=True
+                self.read(connection), name=f"wire to {self.address}", urgent=True
             )
         self.sequence += 1
         number = self.sequence
-        box: Queue[Message | None] = Queue(self.scheduler)
-        self.open_asks[number] = box
-        heard = self.heard
+        response_queue: Queue[Message | None] = Queue(self.scheduler)
+        self.pending_calls[number] = response_queue
+        heard = self.received_chunks
         try:
-            link.write(encode({**message, "ask": number}))
-            answer = await box.get(min(seconds, OPEN_SECONDS))
-            if answer is None and link.opened and not link.ended:
-                answer = await box.get(max(0.0, until - self.scheduler.now()))
+            connection.write(encode_frame({**message, "ask": number}))
+            answer = await response_queue.get(min(timeout, CONNECT_TIMEOUT_SECONDS))
+            if answer is None and connection.connected and not connection.closed:
+                answer = await response_queue.get(max(0.0, until - self.scheduler.now()))
         finally:
-            self.open_asks.pop(number, None)
+            self.pending_calls.pop(number, None)
         if answer is None:
-            if self.link is link and self.heard == heard:
-                self.drop()
-            return Error(WireError(f"no answer from {self.address}", link.opened))
+            if self.connection is connection and self.received_chunks == heard:
+                self.abort()
+            return Error(RpcError(f"no answer from {self.address}", connection.connected))
         return Ok(answer)
 
-    async def read(self, link: Link) -> None:
+    async def read(self, connection: Connection) -> None:
         """Hand answers to those who wait for them until the connection ends."""
-        frames = GreetedFrames()
+        frames = HandshakeFrameDecoder()
         try:
             while True:
-                data = await link.receive(None)
+                data = await connection.receive(None)
                 if not data:
                     return
-                self.heard += 1
+                self.received_chunks += 1
                 for message in frames.feed(data):
                     number = message.pop("answer", None)
-                    box = self.open_asks.get(number) if isinstance(number, int) else None
-                    if box is not None:
-                        box.put(message)
+                    response_queue = (
+                        self.pending_calls.get(number) if isinstance(number, int) else None
+                    )
+                    if response_queue is not None:
+                        response_queue.put(message)
         except FrameError as error:
-            self.log.write(FRAME_DECLINED, peer=link.peer, fault=str(error))
+            self.log.write(FRAME_DECLINED, peer=connection.peer, fault=str(error))
         finally:
-            link.close()
-            if self.link is link:
-                self.link = None
-                for box in list(self.open_asks.values()):
-                    box.put(None)
+            connection.close()
+            if self.connection is connection:
+                self.connection = None
+                for response_queue in list(self.pending_calls.values()):
+                    response_queue.put(None)
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Give the link up; open asks end without an answer."""
-        if self.link is not None:
-            self.link.abort()
+        if self.connection is not None:
+            self.connection.abort()
 
 
-class Lines:
+class RpcClients:
     """The lines of one process, by address."""
 
-    __slots__ = ("lines", "log", "network", "scheduler")
+    __slots__ = ("clients", "log", "network", "scheduler")
 
     def __init__(self, scheduler: Scheduler, network: Network, log: Log) -> None:
         """Create an empty table of clients."""
         self.scheduler = scheduler
         self.network = network
         self.log = log
-        self.lines: dict[str, Line] = {}
+        self.clients: dict[str, RpcClient] = {}
 
-    def line(self, address: str) -> Line:
+    def client(self, address: str) -> RpcClient:
         """Return the client of an address, creating it when needed."""
-        line = self.lines.get(address)
+        line = self.clients.get(address)
         if line is None:
-            line = self.lines[address] = Line(self.scheduler, self.network, self.log, address)
+            line = self.clients[address] = RpcClient(
+                self.scheduler, self.network, self.log, address
+            )
         return line
 
-    async def ask(
-        self, address: str, message: Message, seconds: float
-    ) -> Result[Message, WireError]:
-        """Ask the process at an address; see Line.ask."""
-        return await self.line(address).ask(message, seconds)
+    async def call(
+        self, address: str, message: Message, timeout: float
+    ) -> Result[Message, RpcError]:
+        """Ask the process at an address; see RpcClient.call."""
+        return await self.client(address).call(message, timeout)
--- a/packages/runtime/ryelock/runtime/__init__.py
+++ b/packages/runtime/ryelock/runtime/__init__.py
@@ -4,13 +4,13 @@
 code runs on circuits in a daemon and on a seeded clock and network in the simulator.
 """
 
-from ryelock.runtime.network import Greeting, Link, Network, NetworkError
+from ryelock.runtime.network import Connection, ConnectionHandler, Network, NetworkError
 from ryelock.runtime.tasks import Clock, Queue, Scheduler, Task, TaskCoroutine, Wait
 
 __all__ = [
     "Clock",
-    "Greeting",
-    "Link",
+    "Connection",
+    "ConnectionHandler",
     "Network",
     "NetworkError",
     "Queue",
--- a/packages/runtime/ryelock/runtime/egress.py
+++ b/packages/runtime/ryelock/runtime/egress.py
@@ -10,7 +10,7 @@
 
 from ryelock.runtime.tasks import Queue, Scheduler
 
-LINK_SHARE = 0.92
+USED_LINK_FRACTION = 0.92
 """Part of the link's rate that is used; the rest is for headers and acknowledgements."""
 TURN_SECONDS = 0.008
 """A connection's turn is what the link carries in this time, in seconds."""
@@ -41,7 +41,7 @@
     def __init__(self, scheduler: Scheduler, link_bytes_per_second: float) -> None:
         """Create a pacer with a full bucket and start its task."""
         self.scheduler = scheduler
-        self.bytes_per_second = link_bytes_per_second * LINK_SHARE
+        self.bytes_per_second = link_bytes_per_second * USED_LINK_FRACTION
         self.turn = max(TURN_BYTES_LEAST, int(self.bytes_per_second * TURN_SECONDS))
         self.tokens = float(self.turn)
         self.filled_at = scheduler.now()
--- a/packages/runtime/ryelock/runtime/network.py
+++ b/packages/runtime/ryelock/runtime/network.py
@@ -9,14 +9,14 @@
 
 from ryelock.runtime.tasks import Queue, Scheduler
 
-HELD_BYTES = 262_144
+MAX_UNREAD_BYTES = 262_144
 
 
 class NetworkError(Exception):
     """A listening address could not be had."""
 
 
-class Link:
+class Connection:
     """A connection as a stream of bytes; subclasses carry the bytes.
 
     What is written to a `bulk` connection gives way to what is written to others. `when_ended` is
@@ -25,15 +25,15 @@
 
     __slots__ = (
         "bulk",
-        "ended",
-        "held",
-        "inbox",
-        "opened",
+        "closed",
+        "connected",
+        "on_closed",
         "peer",
-        "room",
+        "received",
         "scheduler",
-        "unsent",
-        "when_ended",
+        "unread_bytes",
+        "unsent_bytes",
+        "writable",
     )
 
     def __init__(self, scheduler: Scheduler, peer: str) -> None:
@@ -41,13 +41,13 @@
         self.scheduler = scheduler
         self.peer = peer
         self.bulk = False
-        self.inbox: Queue[bytes] = Queue(scheduler)
-        self.room: Queue[bool] = Queue(scheduler)
-        self.opened = False
-        self.ended = False
-        self.held = 0
-        self.unsent = 0
-        self.when_ended: Callable[[], None] | None = None
+        self.received: Queue[bytes] = Queue(scheduler)
+        self.writable: Queue[bool] = Queue(scheduler)
+        self.connected = False
+        self.closed = False
+        self.unread_bytes = 0
+        self.unsent_bytes = 0
+        self.on_closed: Callable[[], None] | None = None
 
     def write(self, data: bytes) -> None:
         """Queue bytes for sending; nothing is sent once the connection has ended."""
@@ -61,75 +61,75 @@
         """End at once with a reset: what has not arrived is lost."""
         raise NotImplementedError
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Stop reading for now."""
 
-    def release(self) -> None:
+    def resume_reading(self) -> None:
         """Read on."""
 
-    def arrived(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Called by the carrier with received bytes; holds reading back when too many wait."""
-        self.held += len(data)
-        self.inbox.put(data)
-        if self.held > HELD_BYTES:
-            self.hold()
+        self.unread_bytes += len(data)
+        self.received.put(data)
+        if self.unread_bytes > MAX_UNREAD_BYTES:
+            self.pause_reading()
 
-    def finished(self) -> None:
+    def connection_lost(self) -> None:
         """Called once by the carrier when no more bytes can come or go."""
-        if not self.ended:
-            self.ended = True
-            self.unsent = 0
-            self.inbox.put(b"")
-            self.room.put(False)
-            told, self.when_ended = self.when_ended, None
+        if not self.closed:
+            self.closed = True
+            self.unsent_bytes = 0
+            self.received.put(b"")
+            self.writable.put(False)
+            told, self.on_closed = self.on_closed, None
             if told is not None:
                 told()
 
-    async def receive(self, seconds: float | None) -> bytes | None:
+    async def receive(self, timeout: float | None) -> bytes | None:
         """The next bytes; empty at the end; None once the seconds are over."""
-        data = await self.inbox.get(seconds)
+        data = await self.received.get(timeout)
         if data:
-            before = self.held
-            self.held -= len(data)
-            if before > HELD_BYTES >= self.held:
-                self.release()
+            before = self.unread_bytes
+            self.unread_bytes -= len(data)
+            if before > MAX_UNREAD_BYTES >= self.unread_bytes:
+                self.resume_reading()
         elif data is not None:
-            self.inbox.put(b"")
+            self.received.put(b"")
         return data
 
-    async def open(self, seconds: float) -> bool:
+    async def wait_connected(self, timeout: float) -> bool:
         """Wait until a link that was asked for stands; False when it cannot."""
-        until = self.scheduler.now() + seconds
-        while not self.opened and not self.ended:
+        until = self.scheduler.now() + timeout
+        while not self.connected and not self.closed:
             left = until - self.scheduler.now()
             if left <= 0:
                 return False
-            await self.room.get(left)
-        return self.opened and not self.ended
+            await self.writable.get(left)
+        return self.connected and not self.closed
 
-    async def drain(self, most: int, seconds: float) -> bool:
+    async def drain(self, max_unsent_bytes: int, timeout: float) -> bool:
         """Wait until at most so many bytes are unsent; False when they stay."""
-        until = self.scheduler.now() + seconds
-        while self.unsent > most and not self.ended:
+        until = self.scheduler.now() + timeout
+        while self.unsent_bytes > max_unsent_bytes and not self.closed:
             left = until - self.scheduler.now()
             if left <= 0:
                 return False
-            await self.room.get(left)
-        return not self.ended
+            await self.writable.get(left)
+        return not self.closed
 
 
-Greeting = Callable[[Link], None]
+ConnectionHandler = Callable[[Connection], None]
 
 
 class Network(Protocol):
     """What opens and accepts connections: real sockets or the simulator."""
 
-    def listen(self, address: str, greeting: Greeting) -> str:
+    def listen(self, address: str, handler: ConnectionHandler) -> str:
         """Listen on host:port and give the address got; raises NetworkError."""
         ...
 
-    def connect(self, address: str) -> Link:
-        """A link that is being opened; see Link.open."""
+    def connect(self, address: str) -> Connection:
+        """A link that is being opened; see Connection.wait_connected."""
         ...
 
     def stop_listening(self, address: str) -> None:
--- a/packages/runtime/ryelock/runtime/reactor.py
+++ b/packages/runtime/ryelock/runtime/reactor.py
@@ -19,16 +19,16 @@
 from circuits.core.pollers import EPoll
 
 from ryelock.runtime.egress import EgressPacer
-from ryelock.runtime.network import Greeting, Link, NetworkError
+from ryelock.runtime.network import Connection, ConnectionHandler, NetworkError
 from ryelock.runtime.tasks import Queue, Scheduler
 
-PIECE = 65_536
+RECEIVE_BYTES = 65_536
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 """Value of SO_LINGER with which closing a socket resets its connection."""
-AGAIN = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
+TEMPORARY_ERRORS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
 
 
-class MachineClock:
+class SystemClock:
     """The clock of this machine."""
 
     __slots__ = ()
@@ -48,84 +48,84 @@
     return host, int(port)
 
 
-class SocketLink(Link):
+class SocketConnection(Connection):
     """A connection over a TCP socket."""
 
-    __slots__ = ("closing", "pieces", "reactor", "reading", "socket", "writing")
+    __slots__ = ("closing", "reactor", "reading", "socket", "unsent_chunks", "writing")
 
-    def __init__(self, reactor: "Reactor", plain: socket.socket, peer: str) -> None:
+    def __init__(self, reactor: "Reactor", sock: socket.socket, peer: str) -> None:
         """Wrap a non-blocking socket; `peer` is the other side's host:port."""
         super().__init__(reactor.scheduler, peer)
         self.reactor = reactor
-        self.socket = plain
-        self.pieces: deque[memoryview] = deque()
+        self.socket = sock
+        self.unsent_chunks: deque[memoryview] = deque()
         self.closing = False
         self.reading = False
         self.writing = False
 
     def write(self, data: bytes) -> None:
         """Queue bytes and send at once what the socket takes."""
-        if self.ended or self.closing or not data:
+        if self.closed or self.closing or not data:
             return
-        self.pieces.append(memoryview(data))
-        self.unsent += len(data)
-        if self.opened and not self.writing:
+        self.unsent_chunks.append(memoryview(data))
+        self.unsent_bytes += len(data)
+        if self.connected and not self.writing:
             self.flush()
 
     def flush(self) -> None:
         """Send queued bytes, those of a bulk connection when its turn comes."""
         pacer = self.reactor.pacer
         if pacer is None:
-            self.send_some(self.unsent)
-        elif self.bulk and self.pieces:
+            self.send_some(self.unsent_bytes)
+        elif self.bulk and self.unsent_chunks:
             self.want_write(False)
             pacer.submit(self)
         else:
-            pacer.count(self.send_some(self.unsent))
+            pacer.count(self.send_some(self.unsent_bytes))
 
     @property
     def has_more(self) -> bool:
         """Whether bytes are queued that the socket would take now; see BulkSender."""
-        return bool(self.pieces) and not self.writing and not self.ended
+        return bool(self.unsent_chunks) and not self.writing and not self.closed
 
     def send_some(self, most: int) -> int:
         """Send at most so many queued bytes; returns how many the socket took."""
-        if self.ended:
+        if self.closed:
             return 0
         sent = 0
         full = False
-        while self.pieces and sent < most and not full:
-            piece = self.pieces[0][: most - sent]
+        while self.unsent_chunks and sent < most and not full:
+            piece = self.unsent_chunks[0][: most - sent]
             try:
                 count = self.socket.send(piece)
             except OSError as error:
-                if error.errno not in AGAIN:
-                    self.end()
+                if error.errno not in TEMPORARY_ERRORS:
+                    self.close_socket()
                     return sent
                 count, full = 0, True
             full = full or count < len(piece)
             sent += count
-            self.unsent -= count
+            self.unsent_bytes -= count
             self.drop_sent(count)
         self.want_write(full)
-        if not self.pieces:
+        if not self.unsent_chunks:
             self.all_sent()
         return sent
 
     def drop_sent(self, count: int) -> None:
         """Drop so many bytes from the first queued piece."""
-        piece = self.pieces[0]
+        piece = self.unsent_chunks[0]
         if count < len(piece):
-            self.pieces[0] = piece[count:]
+            self.unsent_chunks[0] = piece[count:]
         else:
-            self.pieces.popleft()
+            self.unsent_chunks.popleft()
 
     def all_sent(self) -> None:
         """End a connection that was closed; tell a writer that waits for room."""
         if self.closing:
-            self.end()
-        elif len(self.room) == 0:
-            self.room.put(True)
+            self.close_socket()
+        elif len(self.writable) == 0:
+            self.writable.put(True)
 
     def want_write(self, wanted: bool) -> None:
         """Watch or stop watching for room to send."""
@@ -137,7 +137,7 @@
 
     def want_read(self, wanted: bool) -> None:
         """Watch or stop watching for received bytes."""
-        if self.ended:
+        if self.closed:
             return
         if wanted and not self.reading:
             self.reactor.poller.addReader(self.reactor, self.socket)
@@ -145,40 +145,40 @@
             self.reactor.poller.removeReader(self.socket)
         self.reading = wanted
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Stop reading from the socket."""
         self.want_read(False)
 
-    def release(self) -> None:
+    def resume_reading(self) -> None:
         """Read from the socket again."""
         self.want_read(True)
 
     def close(self) -> None:
         """End after the queued bytes were sent, at once where there are none."""
-        if self.pieces and self.opened and not self.ended:
+        if self.unsent_chunks and self.connected and not self.closed:
             self.closing = True
         else:
-            self.end()
+            self.close_socket()
 
     def abort(self) -> None:
         """Reset the connection: also what the system still holds for it is dropped.
 
         Closed in order it would arrive later, for instance once a cut network heals.
         """
-        if not self.ended:
+        if not self.closed:
             with suppress(OSError):
                 self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
-            self.end()
+            self.close_socket()
 
-    def end(self) -> None:
+    def close_socket(self) -> None:
         """Close the socket; what the system still holds is sent in order."""
-        if self.ended:
+        if self.closed:
             return
         self.reactor.poller.discard(self.socket)
-        self.reactor.links.pop(self.socket, None)
+        self.reactor.connections.pop(self.socket, None)
         self.socket.close()
-        self.pieces.clear()
-        self.finished()
+        self.unsent_chunks.clear()
+        self.connection_lost()
 
 
 class Reactor(BaseComponent):  # type: ignore[misc]
@@ -187,26 +187,28 @@
     channel = "reactor"
 
     def __init__(
-        self, fault: Callable[[str, BaseException], None], link_bytes_per_second: float = 0.0
+        self,
+        on_task_error: Callable[[str, BaseException], None],
+        link_bytes_per_second: float = 0.0,
     ) -> None:
         """Create a reactor.
 
         Args:
-            fault: called with the name and error of a task that failed.
+            on_task_error: called with the name and error of a task that failed.
             link_bytes_per_second: what the machine's link carries; 0 where it is not known, and
                 bulk connections are not paced.
         """
         super().__init__()
-        self.scheduler = Scheduler(MachineClock(), fault)
+        self.scheduler = Scheduler(SystemClock(), on_task_error)
         self.signals: Queue[int] = Queue(self.scheduler)
-        self.links: dict[socket.socket, SocketLink] = {}
-        self.listeners: dict[socket.socket, Greeting] = {}
+        self.connections: dict[socket.socket, SocketConnection] = {}
+        self.listeners: dict[socket.socket, ConnectionHandler] = {}
         self.poller = EPoll().register(self)
         self.pacer = (
             EgressPacer(self.scheduler, link_bytes_per_second) if link_bytes_per_second else None
         )
 
-    def listen(self, address: str, greeting: Greeting) -> str:
+    def listen(self, address: str, handler: ConnectionHandler) -> str:
         """Listen on host:port; see Network."""
         host, port = split_address(address)
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -218,7 +220,7 @@
             listener.close()
             raise NetworkError(f"cannot listen on {address}: {error.strerror}") from error
         listener.setblocking(False)
-        self.listeners[listener] = greeting
+        self.listeners[listener] = handler
         self.poller.addReader(self, listener)
         found = listener.getsockname()
         return f"{found[0]}:{found[1]}"
@@ -232,80 +234,80 @@
                 del self.listeners[listener]
                 listener.close()
 
-    def connect(self, address: str) -> Link:
+    def connect(self, address: str) -> Connection:
         """Start to connect; a connection that cannot be started is returned ended."""
-        plain = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        plain.setblocking(False)
-        plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        link = SocketLink(self, plain, address)
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        connection = SocketConnection(self, sock, address)
         try:
-            outcome = plain.connect_ex(split_address(address))
+            outcome = sock.connect_ex(split_address(address))
         except (OSError, ValueError, OverflowError):
             outcome = errno.EINVAL
         if outcome not in (0, errno.EINPROGRESS):
-            plain.close()
-            link.finished()
-            return link
-        self.links[plain] = link
-        link.want_write(True)
-        return link
+            sock.close()
+            connection.connection_lost()
+            return connection
+        self.connections[sock] = connection
+        connection.want_write(True)
+        return connection
 
     def accept(self, listener: socket.socket) -> None:
         """Accept waiting connections, at most 64 a turn."""
         for _ in range(64):
             try:
-                plain, peer = listener.accept()
+                sock, peer = listener.accept()
             except OSError:
                 return
-            plain.setblocking(False)
-            plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            link = SocketLink(self, plain, f"{peer[0]}:{peer[1]}")
-            link.opened = True
-            self.links[plain] = link
-            link.want_read(True)
-            self.listeners[listener](link)
+            sock.setblocking(False)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            connection = SocketConnection(self, sock, f"{peer[0]}:{peer[1]}")
+            connection.connected = True
+            self.connections[sock] = connection
+            connection.want_read(True)
+            self.listeners[listener](connection)
 
     @handler("_read")  # type: ignore[untyped-decorator]
-    def on_readable(self, plain: socket.socket) -> None:
+    def on_readable(self, sock: socket.socket) -> None:
         """Accept connections or receive bytes, as the poller tells."""
-        if plain in self.listeners:
-            self.accept(plain)
+        if sock in self.listeners:
+            self.accept(sock)
             return
-        link = self.links.get(plain)
-        if link is None or not link.reading:
+        connection = self.connections.get(sock)
+        if connection is None or not connection.reading:
             return
         try:
-            data = plain.recv(PIECE)
+            data = sock.recv(RECEIVE_BYTES)
         except OSError as error:
-            if error.errno not in AGAIN:
-                link.end()
+            if error.errno not in TEMPORARY_ERRORS:
+                connection.close_socket()
             return
         if data:
-            link.arrived(data)
+            connection.data_received(data)
         else:
-            link.end()
+            connection.close_socket()
 
     @handler("_write")  # type: ignore[untyped-decorator]
-    def on_writable(self, plain: socket.socket) -> None:
+    def on_writable(self, sock: socket.socket) -> None:
         """Finish opening a connection or send on, as the poller tells."""
-        link = self.links.get(plain)
-        if link is None:
+        connection = self.connections.get(sock)
+        if connection is None:
             return
-        if not link.opened:
-            if plain.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0:
-                link.end()
+        if not connection.connected:
+            if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0:
+                connection.close_socket()
                 return
-            link.opened = True
-            link.want_read(True)
-            link.room.put(True)
-        link.flush()
+            connection.connected = True
+            connection.want_read(True)
+            connection.writable.put(True)
+        connection.flush()
 
     @handler("_disconnect", "_error")  # type: ignore[untyped-decorator]
-    def on_gone(self, plain: socket.socket, *_: object) -> None:
+    def on_gone(self, sock: socket.socket, *_: object) -> None:
         """End a connection whose socket failed."""
-        link = self.links.get(plain)
-        if link is not None:
-            link.end()
+        connection = self.connections.get(sock)
+        if connection is not None:
+            connection.close_socket()
 
     @handler("signal", channel="*")  # type: ignore[untyped-decorator]
     def on_signal(self, number: int, _: object) -> None:
@@ -319,7 +321,7 @@
         if more or not self.running:
             event.reduce_time_left(0)  # type: ignore[attr-defined]
             return
-        beat = self.scheduler.next_timer()
-        if beat is not None:
-            left = max(0.0, beat - self.scheduler.now())
+        heartbeat = self.scheduler.next_timer()
+        if heartbeat is not None:
+            left = max(0.0, heartbeat - self.scheduler.now())
             event.reduce_time_left(left)  # type: ignore[attr-defined]
--- a/packages/settings/ryelock/settings/__init__.py
+++ b/packages/settings/ryelock/settings/__init__.py
@@ -16,7 +16,7 @@
 HEARTBEATS_MISSED = 3
 
 
-class EnvError(Exception):
+class SettingsError(Exception):
     """Every fault found, one line each."""
 
     def __init__(self, faults: list[str]) -> None:
@@ -48,14 +48,14 @@
         self.key = name
 
     @overload
-    def __get__(self, env: None, owner: type) -> "Setting[Kind]": ...
+    def __get__(self, settings: None, owner: type) -> "Setting[Kind]": ...
     @overload
-    def __get__(self, env: "Env", owner: type) -> Kind: ...
-    def __get__(self, env: "Env | None", owner: type) -> "Setting[Kind] | Kind":
+    def __get__(self, settings: "Settings", owner: type) -> Kind: ...
+    def __get__(self, settings: "Settings | None", owner: type) -> "Setting[Kind] | Kind":
         """Return the value from an Env; the setting itself where read from the class."""
-        if env is None:
+        if settings is None:
             return self
-        return env.values[self.key]  # type: ignore[return-value]
+        return settings.values[self.key]  # type: ignore[return-value]
 
 
 def number(lowest: float, highest: float) -> Callable[[object], float]:
@@ -156,7 +156,7 @@
     raise ValueError("neither true nor false")
 
 
-class Env:
+class Settings:
     """What a process was told of its place and its limits."""
 
     __slots__ = ("values",)
@@ -290,7 +290,7 @@
         self.values = values
 
 
-def settings_of(owner: type[Env]) -> dict[str, Setting[object]]:
+def declared_settings(owner: type[Settings]) -> dict[str, Setting[object]]:
     """Return the declared settings of a class by key."""
     return {key: value for key, value in vars(owner).items() if isinstance(value, Setting)}
 
@@ -303,7 +303,7 @@
 }
 
 
-def read_env(role: str, file: str, flags: Mapping[str, object]) -> Env:
+def read_settings(role: str, file: str, flags: Mapping[str, object]) -> Settings:
     """Read the settings of one role from a file and from flags, which go first.
 
     Args:
@@ -321,12 +321,12 @@
     values = checked_values(given, faults)
     if file_read:
         faults.extend(f"{key}: needed by {role}" for key in NEEDED[role] if key not in given)
-    faults.extend(faults_between(Env(values)))
+    faults.extend(faults_between(Settings(values)))
     if faults:
-        raise EnvError(faults)
+        raise SettingsError(faults)
     if not values["machine"]:
         values["machine"] = values["name"]
-    return Env(values)
+    return Settings(values)
 
 
 def read_file(file: str, faults: list[str]) -> dict[str, object]:
@@ -350,7 +350,7 @@
 
 def checked_values(given: Mapping[str, object], faults: list[str]) -> dict[str, object]:
     """Return the value of every setting: the given one where it is sound, else the default."""
-    known = settings_of(Env)
+    known = declared_settings(Settings)
     values: dict[str, object] = {key: setting.default for key, setting in known.items()}
     for key, value in given.items():
         if key not in known:
@@ -363,11 +363,11 @@
     return values
 
 
-def faults_between(env: Env) -> Iterator[str]:
+def faults_between(settings: Settings) -> Iterator[str]:
     """Yield the faults of settings that do not go together."""
-    if env.probe_timeout > env.probe_seconds:
+    if settings.probe_timeout > settings.probe_seconds:
         yield "probe_timeout: longer than probe_seconds"
-    if env.election_seconds < HEARTBEATS_MISSED * env.beat_seconds:
+    if settings.election_seconds < HEARTBEATS_MISSED * settings.beat_seconds:
         yield "election_seconds: shorter than three beats"
-    if env.stale_weight > env.down_weight:
+    if settings.stale_weight > settings.down_weight:
         yield "stale_weight: above down_weight"
--- a/packages/singleton/ryelock/singleton/__init__.py
+++ b/packages/singleton/ryelock/singleton/__init__.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Duty:
+class SingletonRole:
     """Who does one thing for the whole network.
 
     Attributes:
@@ -21,27 +21,27 @@
     """
 
     name: str
-    holder: str
-    epoch: int
+    owner: str
+    fencing_token: int
     successor: str
 
     def plain(self) -> dict[str, object]:
         """Return the duty as plain data, for the log of decisions and the wire."""
         return {
             "name": self.name,
-            "holder": self.holder,
-            "epoch": self.epoch,
+            "holder": self.owner,
+            "epoch": self.fencing_token,
             "successor": self.successor,
         }
 
     def fences(self, holder: str, epoch: int) -> bool:
         """Whether word from this holder and epoch must be declined."""
-        return holder != self.holder or epoch != self.epoch
+        return holder != self.owner or epoch != self.fencing_token
 
 
-def next_duty(
-    duty: Duty | None, name: str, present: Collection[str], leaving: Collection[str] = ()
-) -> Duty | None:
+def next_assignment(
+    duty: SingletonRole | None, name: str, present: Collection[str], leaving: Collection[str] = ()
+) -> SingletonRole | None:
     """The duty as it should be agreed next; None when it may stay as it is.
 
     The holder keeps it while it is present. Where it is gone or leaving, the successor it
@@ -51,17 +51,19 @@
     able = sorted(set(present) - set(leaving))
     if not able:
         return None
-    if duty is not None and duty.holder in able:
-        if duty.successor in able and duty.successor != duty.holder:
+    if duty is not None and duty.owner in able:
+        if duty.successor in able and duty.successor != duty.owner:
             return None
-        others = [node for node in able if node != duty.holder]
+        others = [node for node in able if node != duty.owner]
         successor = others[0] if others else ""
         if successor == duty.successor:
             return None
-        return Duty(name, duty.holder, duty.epoch, successor)
+        return SingletonRole(name, duty.owner, duty.fencing_token, successor)
     if duty is not None and duty.successor in able:
         holder = duty.successor
     else:
         holder = able[0]
     others = [node for node in able if node != holder]
-    return Duty(name, holder, (duty.epoch if duty else 0) + 1, others[0] if others else "")
+    return SingletonRole(
+        name, holder, (duty.fencing_token if duty else 0) + 1, others[0] if others else ""
+    )
--- a/packages/testing/ryelock/testing/accounts.py
+++ b/packages/testing/ryelock/testing/accounts.py
@@ -15,7 +15,7 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 NETLINK_DIAGNOSIS = 4
 DUMP_SOCKETS = 20
-ORDER_AND_DUMP = 0x301
+REQUEST_AND_DUMP = 0x301
 INFORMATION = 2
 Traffic = tuple[int, int, int, int]
 
@@ -78,15 +78,15 @@
 def read_traffic() -> dict[int, Traffic]:
     """By inode of every TCP socket: bytes in, bytes out, segments with data in and out."""
     found: dict[int, Traffic] = {}
-    with socket.socket(socket.AF_NETLINK, socket.SOCK_RAW, NETLINK_DIAGNOSIS) as link:
+    with socket.socket(socket.AF_NETLINK, socket.SOCK_RAW, NETLINK_DIAGNOSIS) as connection:
         asked = struct.pack(
             "=BBBxI", socket.AF_INET, socket.IPPROTO_TCP, 1 << (INFORMATION - 1), 0xFFFFFFFF
         ) + bytes(48)
-        link.send(
-            struct.pack("=IHHII", 16 + len(asked), DUMP_SOCKETS, ORDER_AND_DUMP, 1, 0) + asked
+        connection.send(
+            struct.pack("=IHHII", 16 + len(asked), DUMP_SOCKETS, REQUEST_AND_DUMP, 1, 0) + asked
         )
         while True:
-            data = memoryview(link.recv(1 << 20))
+            data = memoryview(connection.recv(1 << 20))
             while len(data) >= 16:
                 size, kind = struct.unpack_from("=IH", data)
                 if kind != DUMP_SOCKETS:
--- a/packages/testing/ryelock/testing/answer_cases.py
+++ b/packages/testing/ryelock/testing/answer_cases.py
@@ -14,7 +14,7 @@
     ATTEMPTS,
     BODY_BYTES,
     LATE_SECONDS,
-    ORDER_SECONDS,
+    REQUEST_SECONDS,
     SERVICE,
     AnswerFleet,
     Event,
@@ -25,12 +25,12 @@
 )
 
 PROMISES = (408, 421, 425, 429, 503)
-WARM_ORDERS = 8
+WARM_REQUESTS = 8
 WARM_TURNS = 50
 SETTLE_SECONDS = 0.05
 HELD_SLACK_SECONDS = 0.05
 CELLS_DRAWN = 30
-SILENT_ORDERS = 12
+SILENT_REQUESTS = 12
 
 
 class Kind(Enum):
@@ -97,8 +97,8 @@
         self.certain = all(arrival.turned_away for arrival in arrivals[:-1])
         self.right = told.body == body_of(name, target.encode())
         self.injected = False
-        order = fleet.handler().orders.kept.get(name)
-        dispatches = order.dispatches if order is not None else []
+        request = fleet.handler().recent_requests.kept.get(name)
+        dispatches = request.dispatches if request is not None else []
         self.why = [str(record["fault"]) for record in dispatches if "fault" in record]
 
     def faults(self) -> list[str]:
@@ -114,7 +114,7 @@
             found.append(f"bytes: {self.name} got another body: {self.told.body[:40]!r}")
         if self.servers > ATTEMPTS:
             found.append(f"servers: {self.name} reached {self.servers}")
-        if self.told.seconds > ORDER_SECONDS + HELD_SLACK_SECONDS:
+        if self.told.seconds > REQUEST_SECONDS + HELD_SLACK_SECONDS:
             found.append(f"held: {self.name} was held for {self.told.seconds:.2f} s")
         return found
 
@@ -181,7 +181,7 @@
 def warm(fleet: AnswerFleet, stem: str) -> None:
     """Requests at the same time, until the edge keeps a connection to every server."""
     for turn in range(WARM_TURNS):
-        for number in range(WARM_ORDERS):
+        for number in range(WARM_REQUESTS):
             name = f"{stem}-warm{turn}-{number}"
             fleet.outside.scheduler.create_task(ignore(fleet, name), name="warm")
         fleet.world.run(SETTLE_SECONDS)
@@ -285,7 +285,7 @@
     found = drawn(seed, tuple(Moment), SILENT)
     fleet = AnswerFleet(1000 + seed, edges=3)
     fleet.always = Event.SILENCE
-    for number in range(SILENT_ORDERS):
+    for number in range(SILENT_REQUESTS):
         fleet.forget()
         name = f"silent{number}"
         target = f"/covers/{seed}-{number}"
@@ -309,14 +309,14 @@
         fleet.handler(number).gates[SERVICE].budget.room = 0.0
     fleet.world.freeze(fleet.edges[1], True)
     lost: list[str] = []
-    for number in range(SILENT_ORDERS):
+    for number in range(SILENT_REQUESTS):
         name = f"swallowed{number}"
         told = fleet.ask_now(name, "GET", f"/covers/s{seed}-{number}", edge=2 * (number % 2))
         if told.status != 200:
             lost.append(f"asks: {name} was told {told.status}")
     fleet.world.freeze(fleet.edges[1], False)
     fleet.world.run(2.0)
-    for number in range(SILENT_ORDERS):
+    for number in range(SILENT_REQUESTS):
         if len(fleet.arrivals(f"swallowed{number}")) > 1:
             lost.append(f"asks: swallowed{number} was sent again by the edge that hung")
     return lost
--- a/packages/testing/ryelock/testing/callers.py
+++ b/packages/testing/ryelock/testing/callers.py
@@ -7,10 +7,10 @@
 
 from random import Random
 
-from ryelock.http import Fields, Reader, field, read_answer, send_order
+from ryelock.http import Fields, Reader, field, read_response, send_request
 from ryelock.http.heads import FramingError
-from ryelock.http.reader import Cut, Late
-from ryelock.runtime import Link, Network, Scheduler
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.runtime import Connection, Network, Scheduler
 
 
 class Told:
@@ -24,8 +24,8 @@
         "end",
         "identity",
         "method",
-        "order",
         "outcome",
+        "request",
         "retry_after",
         "seconds",
         "status",
@@ -43,7 +43,7 @@
         self.status = 0
         self.whole = False
         self.outcome = ""
-        self.order = ""
+        self.request = ""
         self.cache = ""
         self.retry_after = ""
         self.body = b""
@@ -54,7 +54,7 @@
 class Caller:
     """One caller with one kept link to one edge at a time."""
 
-    __slots__ = ("link", "network", "notes", "random", "reader", "scheduler", "seconds")
+    __slots__ = ("connection", "network", "notes", "random", "reader", "scheduler", "seconds")
 
     def __init__(
         self,
@@ -70,16 +70,16 @@
         self.random = random
         self.notes = notes
         self.seconds = seconds
-        self.link: Link | None = None
+        self.connection: Connection | None = None
         self.reader: Reader | None = None
 
     def close(self) -> None:
         """Close the kept connection."""
-        if self.link is not None:
-            self.link.close()
-            self.link = None
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
 
-    async def order(
+    async def request(
         self,
         edge: str,
         method: str,
@@ -92,26 +92,26 @@
         told = Told(self.scheduler.now(), edge, method, target, identity)
         self.notes.append(told)
         until = told.at + self.seconds
-        link = self.link
-        if link is None or link.ended or link.peer != edge:
+        connection = self.connection
+        if connection is None or connection.closed or connection.peer != edge:
             self.close()
-            link = self.link = self.network.connect(edge)
-            self.reader = Reader(self.scheduler, link)
-            if not await link.open(2.0):
+            connection = self.connection = self.network.connect(edge)
+            self.reader = Reader(self.scheduler, connection)
+            if not await connection.wait_connected(2.0):
                 told.end = "no link"
                 self.close()
                 return told
         reader = self.reader
         assert reader is not None
-        send_order(
-            link,
+        send_request(
+            connection,
             method.encode(),
             target.encode(),
             [(b"Host", b"shop.example"), (b"X-Order-Identity", identity.encode()), *(fields or [])],
             body,
         )
         try:
-            found = await read_answer(reader, method.encode(), 65_536, until)
+            found = await read_response(reader, method.encode(), 65_536, until)
             if found.is_error():
                 told.end = found.error.reason
                 self.close()
@@ -119,15 +119,15 @@
             answer = found.ok
             told.status = answer.head.status
             told.outcome = text(answer.head.fields, b"x-ryelock-outcome")
-            told.order = text(answer.head.fields, b"x-ryelock-order")
+            told.request = text(answer.head.fields, b"x-ryelock-order")
             told.cache = text(answer.head.fields, b"x-ryelock-cache")
             told.retry_after = text(answer.head.fields, b"retry-after")
-            told.body = await answer.body.whole(16_777_216, until)
+            told.body = await answer.body.read_all(16_777_216, until)
             told.whole = True
             told.end = "whole"
-            if not answer.keep:
+            if not answer.keep_alive:
                 self.close()
-        except (Cut, Late, FramingError) as error:
+        except (IncompleteMessageError, ReadTimeoutError, FramingError) as error:
             told.end = type(error).__name__
             self.close()
         told.seconds = self.scheduler.now() - told.at
--- a/packages/testing/ryelock/testing/cases.py
+++ b/packages/testing/ryelock/testing/cases.py
@@ -101,7 +101,7 @@
         count += 1
         marks = [changed.mark for changed in scenario.changes if changed.mark][-3:]
         for target in [*marks, f"/covers/{count % 8}"]:
-            await caller.order(
+            await caller.request(
                 f"{scenario.node(edge).host}:3", "GET", target, f"s{edge}-{count}-{target}"
             )
         await scenario.outside.scheduler.sleep(0.05)
@@ -212,7 +212,7 @@
 
 async def change_at(scenario: Scenario, name: str, turn: int) -> None:
     """A change made through one node, against the version that node knows."""
-    base = scenario.node(name).core.register.version
+    base = scenario.node(name).core.replicated_state.version
     await scenario.add_route(f"gen-old-{turn}", base, name)
 
 
@@ -294,7 +294,7 @@
     return crash_each(seed, "leader", a_reservation, range(1, 80))
 
 
-def crash_image(seed: int) -> Findings:
+def crash_snapshot(seed: int) -> Findings:
     """A row of changes while images are written every ten records."""
     return crash_each(seed, "leader", some_changes, range(1, 400, 7), {"image_records": 10})
 
@@ -341,7 +341,7 @@
     )
 
     def fault() -> str:
-        there = bool(scenario.node(scenario.leader()).core.register.purges)
+        there = bool(scenario.node(scenario.leader()).core.replicated_state.purges)
         return fault_of(status, there)
 
     return fault
@@ -353,7 +353,7 @@
     )
 
     def fault() -> str:
-        there = scenario.edges[0] in scenario.node(scenario.leader()).core.register.drains
+        there = scenario.edges[0] in scenario.node(scenario.leader()).core.replicated_state.drains
         return fault_of(status, there)
 
     return fault
@@ -372,7 +372,7 @@
     key = [(b"Idempotency-Key", b"point")]
 
     def sending() -> TaskCoroutine[Told]:
-        return caller.order(
+        return caller.request(
             f"{scenario.node(scenario.edges[0]).host}:3", "POST", "/orders/1", "point", key, b"body"
         )
 
@@ -535,9 +535,9 @@
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(24, 3.0, 24)
-    desks = [server for server in scenario.servers.values() if server.service == "desks"]
+    control_apis = [server for server in scenario.servers.values() if server.service == "desks"]
     for turn in range(4):
-        for server in desks:
+        for server in control_apis:
             server.manner = LOST if turn % 2 == 0 else "whole"
             server.delay = 0.3
         scenario.world.run(2)
@@ -582,7 +582,7 @@
     return found
 
 
-def narrow_desks(seed: int) -> Findings:
+def narrow_control_apis(seed: int) -> Findings:
     """A crowd before desks of fewer orders a second than there are edges; edges, leaders die."""
     rate = [1.0, 2.0, 5.0][seed % 3]
     scenario = Scenario(seed, edges=5, probers=0)
@@ -673,7 +673,7 @@
             edges = scenario.ready_edges()
             if edges and (moving or edge not in edges):
                 edge = random.choice(edges)
-            told = await caller.order(
+            told = await caller.request(
                 f"{scenario.node(edge).host}:3",
                 "GET",
                 target,
@@ -688,7 +688,7 @@
 
 CASES: dict[str, Case] = {
     "unmarked-repeats": unmarked_repeats,
-    "narrow-desks": narrow_desks,
+    "narrow-desks": narrow_control_apis,
     "repeated-keys": repeated_keys,
     "crowd": crowd,
     "mean-servers": mean_servers,
@@ -707,7 +707,7 @@
     "crash-purge": crash_purge,
     "crash-drain": crash_drain,
     "crash-claim": crash_claim,
-    "crash-image": crash_image,
+    "crash-image": crash_snapshot,
     "crash-voters": crash_voters,
     "many-changes": many_changes,
     "foreign-answer": foreign_answer,
--- a/packages/testing/ryelock/testing/catchup.py
+++ b/packages/testing/ryelock/testing/catchup.py
@@ -24,7 +24,7 @@
 AWAY_FROM, AWAY_UNTIL = 30, 200
 """The second follower is away between so many acknowledged changes."""
 POWER_LOST_AT = 110
-IMAGE_RECORDS = 60
+SNAPSHOT_RECORDS = 60
 ROUTES = 20
 """Changes rewrite so many routes in turn."""
 CATCH_UP_SECONDS = 20.0
@@ -80,7 +80,7 @@
         """Build the fleet of a seed; nothing runs yet."""
         self.found = Findings()
         self.scenario = Scenario(
-            seed, edges=1, probers=0, settings={"image_records": IMAGE_RECORDS}
+            seed, edges=1, probers=0, settings={"image_records": SNAPSHOT_RECORDS}
         )
         self.writer = Writer(self.scenario, self.found)
 
@@ -102,13 +102,13 @@
         """Run until a node has applied all that was agreed when this began."""
         scenario = self.scenario
         councils = [self.consensus(other) for other in scenario.alive(scenario.cores)]
-        agreed = max(consensus.commit for consensus in councils)
+        agreed = max(consensus.commit_index for consensus in councils)
         self.found.look("catch-up")
         level = scenario.world.run_until(
-            lambda: self.consensus(name).applied >= agreed, CATCH_UP_SECONDS
+            lambda: self.consensus(name).applied_index >= agreed, CATCH_UP_SECONDS
         )
         if not level:
-            place = self.consensus(name).applied
+            place = self.consensus(name).applied_index
             self.found.broken("catch-up", f"{name} is at {place} of {agreed}")
         return level
 
@@ -169,7 +169,10 @@
 
         def behind() -> bool:
             consensus = self.consensus(back)
-            return consensus.knows_leader() and consensus.last_index < self.consensus(leader).commit
+            return (
+                consensus.knows_leader()
+                and consensus.last_index < self.consensus(leader).commit_index
+            )
 
         if not leader or not scenario.world.run_until(behind, CATCH_UP_SECONDS):
             return
@@ -187,7 +190,8 @@
         leader = scenario.leader()
         could_win = scenario.world.run_until(
             lambda: (
-                bool(leader) and self.consensus(back).last_index >= self.consensus(leader).commit
+                bool(leader)
+                and self.consensus(back).last_index >= self.consensus(leader).commit_index
             ),
             CATCH_UP_SECONDS,
         )
@@ -208,23 +212,25 @@
             self.run_until_level(name)
             self.check_configuration(name, "in the end")
         self.found.look(
-            "images", sum(self.consensus(name).base.index > 0 for name in scenario.cores)
+            "images", sum(self.consensus(name).snapshot.index > 0 for name in scenario.cores)
         )
         for text in scenario.world.faults:
             self.found.broken("faults", text)
 
     def check_configuration(self, name: str, when: str) -> None:
         """No acknowledged change is missing; the last one sent may be there without an answer."""
-        register = self.scenario.node(name).core.register
+        replicated_state = self.scenario.node(name).core.replicated_state
         version = self.writer.version
         self.found.look("lost")
-        if not version <= register.version <= version + 1:
-            self.found.broken("lost", f"{name} {when}: {register.version}, acknowledged {version}")
+        if not version <= replicated_state.version <= version + 1:
+            self.found.broken(
+                "lost", f"{name} {when}: {replicated_state.version}, acknowledged {version}"
+            )
             return
         expected = dict(self.writer.acknowledged)
-        routes = register.configuration.routes
+        routes = replicated_state.configuration.routes
         differing = [route for route, path in expected.items() if routes[route].path != path]
-        if len(differing) > register.version - version:
+        if len(differing) > replicated_state.version - version:
             self.found.broken("lost", f"{name} {when}: {differing}")
 
 
--- a/packages/testing/ryelock/testing/catchup_measure.py
+++ b/packages/testing/ryelock/testing/catchup_measure.py
@@ -15,15 +15,15 @@
 import cbor2
 from expression import Ok
 
-from ryelock.consensus import Consensus, Entry, Pace
+from ryelock.consensus import Consensus, ConsensusSettings, Entry
 from ryelock.consensus.compaction import Compaction
-from ryelock.consensus.entries import WORD
+from ryelock.consensus.entries import COMMAND
 from ryelock.consensus.types import Peer
-from ryelock.control_plane.renewals import Renewals
+from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.events import QuietLog
 from ryelock.journal import Journal, MachineFolder, open_journal
-from ryelock.replicated_state import Register, encode_word
-from ryelock.rpc import Lines, encode
+from ryelock.replicated_state import ReplicatedState, encode_command
+from ryelock.rpc import RpcClients, encode_frame
 from ryelock.runtime import Network, Scheduler
 from ryelock.runtime.reactor import Reactor
 
@@ -53,10 +53,10 @@
         },
     }
     change = {"id": f"c{number}", "base": number, "version": number + 1, "put": put}
-    return encode_word("change", id=f"c{number}", change=change)
+    return encode_command("change", id=f"c{number}", change=change)
 
 
-def make_council(disk: str, folder: str, reactor: Reactor) -> Consensus:
+def make_consensus(disk: str, folder: str, reactor: Reactor) -> Consensus:
     """A consensus group that is never started: messages are carried by hand."""
     log = QuietLog(disk)
     journal = open_journal(MachineFolder(folder), log, SEGMENT_BYTES)
@@ -66,32 +66,32 @@
     network: Network = reactor
     return Consensus(
         scheduler,
-        Lines(scheduler, network, log),
+        RpcClients(scheduler, network, log),
         log,
         journal.ok,
-        Register(),
+        ReplicatedState(),
         disk,
         disk,
         f"{disk}:1",
         (),
-        Pace(),
+        ConsensusSettings(),
         Random(1),
     )
 
 
 def make_leader(folder: str, reactor: Reactor, changes: int, routes: int) -> Consensus:
     """A leader that has applied so many changes and no image of them."""
-    leader = make_council("leader", folder, reactor)
+    leader = make_consensus("leader", folder, reactor)
     leader.compaction = NoCompaction(0, 0)
     leader.replicated_log.save_vote(1, "leader")
     for first in range(0, changes, BATCH):
         numbers = range(first, min(first + BATCH, changes))
-        words = [Entry(number + 1, 1, WORD, whole_change(number, routes)) for number in numbers]
+        words = [Entry(number + 1, 1, COMMAND, whole_change(number, routes)) for number in numbers]
         leader.replicated_log.append(words)
-    leader.commit = changes
+    leader.commit_index = changes
     apply_all(leader)
-    register = leader.machine
-    if not isinstance(register, Register) or register.version != changes:
+    replicated_state = leader.state_machine
+    if not isinstance(replicated_state, ReplicatedState) or replicated_state.version != changes:
         raise ValueError("not all changes were taken")
     leader.role = "leader"
     return leader
@@ -99,7 +99,7 @@
 
 def apply_all(consensus: Consensus) -> None:
     """Apply everything that is committed."""
-    while consensus.applied < consensus.commit:
+    while consensus.applied_index < consensus.commit_index:
         consensus.apply_committed()
 
 
@@ -107,14 +107,16 @@
     """Messages and bytes until an empty follower has applied all that the leader has."""
     peer = Peer("follower", "follower:1", 1, leader.scheduler)
     messages = size = 0
-    while follower.applied < leader.commit:
+    while follower.applied_index < leader.commit_index:
         if messages > ROUNDS_MOST:
             raise ValueError("the follower does not catch up")
-        sent = encode(leader.next_message(peer))
+        sent = encode_frame(leader.next_message(peer))
         message = cbor2.loads(sent[4:])
-        handler = follower.on_image if message["kind"] == "council.image" else follower.on_beat
-        answer = encode(handler(message))
-        leader.heard_peer(peer, leader.epoch, leader.scheduler.now(), Ok(cbor2.loads(answer[4:])))
+        handler = (
+            follower.on_snapshot if message["kind"] == "council.image" else follower.on_heartbeat
+        )
+        answer = encode_frame(handler(message))
+        leader.heard_peer(peer, leader.term, leader.scheduler.now(), Ok(cbor2.loads(answer[4:])))
         apply_all(follower)
         messages += 1
         size += len(sent) + len(answer)
@@ -124,12 +126,12 @@
 def follower_figures(leader: Consensus, reactor: Reactor, way: str) -> Figures:
     """One empty follower's catch-up: times and bytes, then its memory in another run."""
     with tempfile.TemporaryDirectory(prefix="ryelock-") as folder:
-        follower = make_council("follower", folder, reactor)
+        follower = make_consensus("follower", folder, reactor)
         started, clock = time.process_time(), time.monotonic()
         messages, size = catch_up(leader, follower)
         processor, passed = time.process_time() - started, time.monotonic() - clock
     with tempfile.TemporaryDirectory(prefix="ryelock-") as folder:
-        follower = make_council("follower", folder, reactor)
+        follower = make_consensus("follower", folder, reactor)
         tracemalloc.start()
         catch_up(leader, follower)
         _, peak = tracemalloc.get_traced_memory()
@@ -145,18 +147,18 @@
 
 def edge_figures(leader: Consensus) -> Figures:
     """What an edge at the first change is sent, and how long it takes to apply that."""
-    renewals = object.__new__(Renewals)
+    renewals = object.__new__(LeaseRenewals)
     renewals.consensus = leader
-    assert isinstance(leader.machine, Register)
-    renewals.register = leader.machine
-    renewals.last_edge_image, renewals.last_edge_image_index = b"", 0
-    words = leader.words_since(1) or []
+    assert isinstance(leader.state_machine, ReplicatedState)
+    renewals.replicated_state = leader.state_machine
+    renewals.last_edge_snapshot, renewals.last_edge_snapshot_index = b"", 0
+    words = leader.commands_since(1) or []
     answer = renewals.words({"register": 1})
-    edge = Register()
+    edge = ReplicatedState()
     started = time.process_time()
-    image = answer.get("image")
-    if isinstance(image, bytes):
-        edge.restore(image)
+    snapshot = answer.get("image")
+    if isinstance(snapshot, bytes):
+        edge.restore(snapshot)
     else:
         for index, data in words:
             edge.apply(index, data)
@@ -178,7 +180,7 @@
         leader = make_leader(folder, reactor, changes, routes)
         figures = {"KB of journal": leader.journal.replay_bytes / 1e3, **edge_figures(leader)}
         figures.update(follower_figures(leader, reactor, "entries"))
-        leader.write_image()
-        figures["KB of image"] = leader.journal.image_bytes / 1e3
+        leader.write_snapshot()
+        figures["KB of image"] = leader.journal.snapshot_bytes / 1e3
         figures.update(follower_figures(leader, reactor, "image"))
     return figures
--- a/packages/testing/ryelock/testing/control_cases.py
+++ b/packages/testing/ryelock/testing/control_cases.py
@@ -9,8 +9,8 @@
 from random import Random
 
 from ryelock.membership import Session
-from ryelock.replicated_state import Register
-from ryelock.rpc import Lines, Message
+from ryelock.replicated_state import ReplicatedState
+from ryelock.rpc import Message, RpcClients
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
 
@@ -183,9 +183,9 @@
     leader = scenario.leader()
     name = leader if leading else next(core for core in scenario.cores if core != leader)
     others = [core for core in scenario.cores if core != name]
-    stale_base = scenario.node(name).core.register.version
+    stale_base = scenario.node(name).core.replicated_state.version
     watcher = Watcher(name, scenario.edges[0])
-    in_flight = send_in_flight(scenario, name, stale_base)
+    in_in_flight = send_in_in_flight(scenario, name, stale_base)
     ISOLATIONS[way](scenario, name)
     cut_at = scenario.world.time
     scenario.operators.scheduler.create_task(
@@ -195,7 +195,7 @@
     succession = succeed(scenario, others, found)
     superseded = change_elsewhere(scenario, others, watcher.drained, found)
     scenario.world.run(cut_at + ISOLATION_SECONDS - scenario.world.time)
-    epoch = scenario.node(others[0]).core.consensus.epoch
+    epoch = scenario.node(others[0]).core.consensus.term
     watcher.running = False
     reconnect(scenario, name)
     healed_at = scenario.world.time
@@ -207,7 +207,7 @@
         judge_refusals(watcher, superseded, healed_at, found, way)
         judge_recoveries(watcher, superseded, found, way)
         judge_renewals(watcher, superseded, found, way)
-    judge_in_flight(scenario, in_flight, superseded is not None, found)
+    judge_in_in_flight(scenario, in_in_flight, superseded is not None, found)
     answers = [
         answered.answered - answered.asked
         for answered in watcher.answers
@@ -229,7 +229,7 @@
     return scenario.world.time - started
 
 
-def send_in_flight(scenario: Scenario, name: str, base: int) -> list[int]:
+def send_in_in_flight(scenario: Scenario, name: str, base: int) -> list[int]:
     """A change that is on its way when the node is isolated; its statuses are collected."""
     statuses: list[int] = []
 
@@ -301,7 +301,7 @@
 async def renew_isolated(scenario: Scenario, watcher: Watcher) -> None:
     """Edges without any state that reach only the isolated node, as after a restart."""
     node = scenario.operators
-    lines = Lines(node.scheduler, node.network, node.log)
+    lines = RpcClients(node.scheduler, node.network, node.log)
     count = 0
     while watcher.running:
         count += 1
@@ -309,7 +309,7 @@
         await node.scheduler.sleep(RENEWAL_SECONDS)
 
 
-async def renew_once(scenario: Scenario, watcher: Watcher, lines: Lines, count: int) -> None:
+async def renew_once(scenario: Scenario, watcher: Watcher, lines: RpcClients, count: int) -> None:
     """Renew one session of a returning edge with the isolated node."""
     session = Session()
     session.name = f"returned{count}"
@@ -329,7 +329,7 @@
     }
     asked = scenario.world.time
     address = f"{scenario.node(watcher.name).host}:1"
-    answer = await lines.ask(address, message, 2 * ISOLATION_SECONDS)
+    answer = await lines.call(address, message, 2 * ISOLATION_SECONDS)
     if answer.is_ok():
         watcher.renewals.append(Renewed(asked, answer.ok))
 
@@ -392,12 +392,14 @@
             continue
         after = f"asked {renewed.asked - superseded.at:.2f} s after the change elsewhere"
         found.look("isolated renewals")
-        image = renewed.answer.get("image")
-        if isinstance(image, bytes):
-            register = Register()
-            register.restore(image)
-            if register.version < superseded.version:
-                found.broken("isolated renewals", f"{way}: version {register.version}, {after}")
+        snapshot = renewed.answer.get("image")
+        if isinstance(snapshot, bytes):
+            replicated_state = ReplicatedState()
+            replicated_state.restore(snapshot)
+            if replicated_state.version < superseded.version:
+                found.broken(
+                    "isolated renewals", f"{way}: version {replicated_state.version}, {after}"
+                )
         elif any(renewed.answer.get(part) for part in SOFT_STATE):
             found.broken("isolated renewals", f"{way}: soft state without a version, {after}")
 
@@ -407,13 +409,13 @@
     node = scenario.node(name)
 
     def serves() -> bool:
-        return bool(node.core.leader()) and node.core.consensus.epoch >= epoch
+        return bool(node.core.leader()) and node.core.consensus.term >= epoch
 
     found.look("return")
     if not scenario.world.run_until(serves, RETURN_SECONDS):
         found.broken("return", f"{way}: no leader known {RETURN_SECONDS} s after the cut healed")
     found.look("undisturbed")
-    now = max(scenario.node(core).core.consensus.epoch for core in scenario.cores)
+    now = max(scenario.node(core).core.consensus.term for core in scenario.cores)
     if now != epoch and way != "outgoing":
         found.broken("undisturbed", f"{way}: epoch {epoch} became {now} on the return")
     status, _ = scenario.ask_now("GET", "/configuration", None, name)
@@ -422,7 +424,7 @@
         found.broken("return", f"{way}: the first read was answered {status}")
 
 
-def judge_in_flight(
+def judge_in_in_flight(
     scenario: Scenario, statuses: list[int], advanced: bool, found: Findings
 ) -> None:
     """A change that was on its way is in force if it was acknowledged, and not if refused."""
--- a/packages/testing/ryelock/testing/finals.py
+++ b/packages/testing/ryelock/testing/finals.py
@@ -238,7 +238,7 @@
         edges = scenario.ready_edges()
         if edges:
             scheduler.create_task(
-                order_once(
+                request_once(
                     scenario,
                     f"{scenario.node(scenario.random.choice(edges)).host}:3",
                     method,
@@ -249,14 +249,14 @@
             )
 
 
-async def order_once(
+async def request_once(
     scenario: Scenario, edge: str, method: str, target: str, identity: str
 ) -> None:
     """Send one request through an edge on a connection of its own."""
     caller = Caller(
         scenario.outside.scheduler, scenario.outside.network, scenario.random, scenario.notes, 8.0
     )
-    await caller.order(
+    await caller.request(
         edge,
         method,
         target,
--- a/packages/testing/ryelock/testing/fleet_faults.py
+++ b/packages/testing/ryelock/testing/fleet_faults.py
@@ -161,14 +161,16 @@
         ready = sorted(run.ready)
         if not ready:
             return
-        edge = run.fleet.processes[run.random.choice(ready)].order
+        edge = run.fleet.processes[run.random.choice(ready)].request
         kind = run.pick_kind()
         caller = Caller(run.scheduler, run.reactor, run.random, run.notes, 10.0)
         target = f"{kind.path}{run.random.randrange(kind.objects)}"
         for turn in range(2):
             fields = [(b"X-Retry-Count", b"%d" % turn)] if turn and kind.method == "GET" else []
             identity = f"x{number}" if kind.method == "GET" else f"x{number}-{turn}"
-            told = await caller.order(edge, kind.method, target, identity, fields, b"x" * kind.body)
+            told = await caller.request(
+                edge, kind.method, target, identity, fields, b"x" * kind.body
+            )
             if told.status == 200:
                 break
         caller.close()
--- a/packages/testing/ryelock/testing/fleet_run.py
+++ b/packages/testing/ryelock/testing/fleet_run.py
@@ -35,12 +35,12 @@
         "log",
         "notes",
         "objects",
-        "orders_sent",
         "platform",
         "random",
         "reactor",
         "ready",
         "report",
+        "requests_sent",
         "scheduler",
         "servers",
         "shape",
@@ -62,7 +62,7 @@
         self.servers: list[ServerStandIn] = []
         self.report: dict[str, object] = {"shape": shape.name, "seed": seed}
         self.stopped = False
-        self.orders_sent = 0
+        self.requests_sent = 0
         self.ready: set[str] = set()
         self.callers_over = 0
         self.crowd_over = 0
@@ -141,12 +141,14 @@
             if not ready:
                 await self.scheduler.sleep(0.1)
                 continue
-            edge = ready[(number + self.orders_sent // 200) % len(ready)]
+            edge = ready[(number + self.requests_sent // 200) % len(ready)]
             kind = self.pick_kind()
-            self.orders_sent += 1
-            identity = f"c{number}-{self.orders_sent}"
+            self.requests_sent += 1
+            identity = f"c{number}-{self.requests_sent}"
             target = f"{kind.path}{self.random.randrange(kind.objects)}"
-            await caller.order(edge.order, kind.method, target, identity, None, b"x" * kind.body)
+            await caller.request(
+                edge.request, kind.method, target, identity, None, b"x" * kind.body
+            )
             due += self.random.expovariate(rate / CALLERS)
             wait = due - self.scheduler.now()
             if wait > 0:
--- a/packages/testing/ryelock/testing/hollow.py
+++ b/packages/testing/ryelock/testing/hollow.py
@@ -13,7 +13,7 @@
 import cbor2
 from dacite import Config, from_dict
 
-from ryelock.rpc import Message, MessageServer, Reply
+from ryelock.rpc import Message, Reply, RpcServer
 from ryelock.runtime import Network, Scheduler
 from ryelock.runtime.reactor import Reactor
 from ryelock.testing.hollow_node import DEMAND, CountedLog, Counts, HollowHost, HollowNode
@@ -58,7 +58,7 @@
         self.scheduler = scheduler
         self.counts = Counts()
         log = CountedLog("hollow", self.counts)
-        self.listener = MessageServer(scheduler, network, log, settings.wire_address, self.on_ask)
+        self.listener = RpcServer(scheduler, network, log, settings.wire_address, self.on_ask)
         self.host = HollowHost(
             scheduler,
             network,
@@ -164,7 +164,7 @@
         while True:
             for node in self.nodes:
                 node.session.served += int(DEMAND / 10)
-                node.session.applied = node.register.index
+                node.session.applied = node.replicated_state.index
                 node.session.ready = node.member.serving
             await self.scheduler.sleep(0.1)
 
@@ -188,9 +188,9 @@
             "led": sum(bool(node.member.leader) for node in self.nodes),
             "asks": dict(counts.asks),
             "answers": dict(counts.answers),
-            "images": counts.images,
-            "image_bytes": counts.image_bytes,
-            "image_seconds": counts.image_seconds,
+            "images": counts.snapshots,
+            "image_bytes": counts.snapshot_bytes,
+            "image_seconds": counts.snapshot_seconds,
             "lapsed": counts.lapsed,
             "rows": counts.rows,
             "members": len(first.member.members) if first else 0,
@@ -199,7 +199,7 @@
             )
             if first
             else 0,
-            "verdict_bytes": len(cbor2.dumps(first.register.verdict)) if first else 0,
+            "verdict_bytes": len(cbor2.dumps(first.replicated_state.verdict)) if first else 0,
         }
 
 
--- a/packages/testing/ryelock/testing/hollow_node.py
+++ b/packages/testing/ryelock/testing/hollow_node.py
@@ -12,13 +12,13 @@
 
 from expression import Result
 
-from ryelock.edge.member import Member
+from ryelock.edge.member import EdgeSession
 from ryelock.events import TERM_LAPSED, Event, QuietLog
-from ryelock.health import Row
+from ryelock.health import ProbeResult
 from ryelock.health.probe import watch_mark
-from ryelock.membership import Listing, Session
-from ryelock.replicated_state import Register
-from ryelock.rpc import Lines, Message, WireError
+from ryelock.membership import ServerList, Session
+from ryelock.replicated_state import ReplicatedState
+from ryelock.rpc import Message, RpcClients, RpcError
 from ryelock.runtime import Network, Scheduler
 
 REACHED_KEPT = 4000
@@ -30,15 +30,23 @@
 class Counts:
     """What the nodes of one process sent and took in, for the life of the process."""
 
-    __slots__ = ("answers", "asks", "image_bytes", "image_seconds", "images", "lapsed", "rows")
+    __slots__ = (
+        "answers",
+        "asks",
+        "lapsed",
+        "rows",
+        "snapshot_bytes",
+        "snapshot_seconds",
+        "snapshots",
+    )
 
     def __init__(self) -> None:
         """Create counts of nothing."""
         self.asks: Counter[str] = Counter()
         self.answers: Counter[str] = Counter()
-        self.images = 0
-        self.image_bytes = 0
-        self.image_seconds = 0.0
+        self.snapshots = 0
+        self.snapshot_bytes = 0
+        self.snapshot_seconds = 0.0
         self.lapsed = 0
         self.rows = 0
 
@@ -58,7 +66,7 @@
         self.counts.lapsed += event is TERM_LAPSED
 
 
-class CountedLines(Lines):
+class CountedRpcClients(RpcClients):
     """Wire clients that count what they ask and what is answered, by kind."""
 
     __slots__ = ("counts",)
@@ -70,18 +78,18 @@
         super().__init__(scheduler, network, log)
         self.counts = counts
 
-    async def ask(
-        self, address: str, message: Message, seconds: float
-    ) -> Result[Message, WireError]:
-        """Ask and count; see Lines.ask."""
+    async def call(
+        self, address: str, message: Message, timeout: float
+    ) -> Result[Message, RpcError]:
+        """Ask and count; see RpcClients.call."""
         kind = str(message.get("kind"))
         self.counts.asks[kind] += 1
-        found = await super().ask(address, message, seconds)
+        found = await super().call(address, message, timeout)
         self.counts.answers[kind] += found.is_ok()
         return found
 
 
-class CountedRegister(Register):
+class CountedRegister(ReplicatedState):
     """A register that counts the images it was restored from."""
 
     __slots__ = ("counts",)
@@ -95,9 +103,9 @@
         """Restore a snapshot, counting its bytes and processor seconds."""
         started = time.process_time()
         super().restore(data)
-        self.counts.images += 1
-        self.counts.image_bytes += len(data)
-        self.counts.image_seconds += time.process_time() - started
+        self.counts.snapshots += 1
+        self.counts.snapshot_bytes += len(data)
+        self.counts.snapshot_seconds += time.process_time() - started
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,7 +163,7 @@
         "member",
         "owed",
         "reached",
-        "register",
+        "replicated_state",
         "rows",
         "scheduler",
         "sequence",
@@ -167,14 +175,14 @@
     def __init__(self, host: HollowHost, name: str, zone: str) -> None:
         """Create a node in a process; its member task is not started yet."""
         self.scheduler = host.scheduler
-        self.register = CountedRegister(host.counts)
-        self.lines = CountedLines(host.scheduler, host.network, host.log, host.counts)
+        self.replicated_state = CountedRegister(host.counts)
+        self.lines = CountedRpcClients(host.scheduler, host.network, host.log, host.counts)
         self.session = session_in(host, name, zone)
-        self.member = Member(
+        self.member = EdgeSession(
             host.scheduler,
             self.lines,
             host.log,
-            self.register,
+            self.replicated_state,
             self.session,
             host.seeds,
             host.term_seconds,
@@ -193,14 +201,14 @@
         self.known: tuple[object, ...] = ()
         self.targets: list[tuple[str, str, str]] = []
         self.owed = host.random.random()
-        self.rows: list[Row] = []
+        self.rows: list[ProbeResult] = []
         self.sequence = host.random.randrange(1000)
 
     def on_change(self) -> None:
         """Note when the register reached its present index."""
-        self.reached.append((self.register.index, self.scheduler.now()))
+        self.reached.append((self.replicated_state.index, self.scheduler.now()))
 
-    def on_listing(self, _: Listing) -> None:
+    def on_listing(self, _: ServerList) -> None:
         """Note when a listing of servers came."""
         self.listed = self.scheduler.now()
 
@@ -213,7 +221,7 @@
 
     def demand(self) -> dict[str, float]:
         """Return the made-up demand, in requests per second by service."""
-        return dict.fromkeys(self.register.configuration.services, DEMAND)
+        return dict.fromkeys(self.replicated_state.configuration.services, DEMAND)
 
     def holding(self) -> dict[str, float]:
         """Return the shares that the node spends now, by service."""
@@ -230,13 +238,13 @@
 
     def find_targets(self) -> None:
         """The other edges of the zone times the watches, anew when either changed."""
-        known = (*self.member.members_version, self.register.version)
+        known = (*self.member.members_version, self.replicated_state.version)
         if known != self.known:
             self.known = known
             self.targets = [
                 (name, watch_name, watch_mark(watch))
                 for name, other in sorted(self.member.members.items())
-                for watch_name, watch in self.register.configuration.watches.items()
+                for watch_name, watch in self.replicated_state.configuration.watches.items()
                 if other.role == "edge"
                 and other.zone == self.session.zone
                 and name != self.session.name
@@ -250,7 +258,7 @@
             self.owed -= 1.0
             self.sequence += 1
             edge, watch_name, mark = self.targets[self.sequence % len(self.targets)]
-            row = Row(
+            row = ProbeResult(
                 self.session.name,
                 self.session.machine,
                 self.sequence,
@@ -267,18 +275,18 @@
 
     async def tell_rows(self) -> None:
         """Send some rows to the holder of the aggregator's duty."""
-        duty = self.register.duties.get("aggregator")
-        holder = self.member.members.get(duty.holder) if duty is not None else None
+        duty = self.replicated_state.singletons.get("aggregator")
+        holder = self.member.members.get(duty.owner) if duty is not None else None
         if duty is None or holder is None or not self.rows:
             return
         now = self.scheduler.now()
         rows, self.rows = self.rows[:ROWS_MOST], self.rows[ROWS_MOST:]
-        await self.lines.ask(
+        await self.lines.call(
             holder.wire,
             {
                 "kind": "rows",
-                "epoch": duty.epoch,
-                "holder": duty.holder,
+                "epoch": duty.fencing_token,
+                "holder": duty.owner,
                 "rows": [row.plain(now) for row in rows],
             },
             2.0,
@@ -287,5 +295,5 @@
     def end(self) -> None:
         """End the node at once and drop its connections."""
         self.member.stop()
-        for line in self.lines.lines.values():
-            line.drop()
+        for line in self.lines.clients.values():
+            line.abort()
