--- a/packages/testing/ryelock/testing/hosting_platform.py
+++ b/packages/testing/ryelock/testing/hosting_platform.py
@@ -16,9 +16,9 @@
 from urllib.parse import parse_qs
 
 from ryelock.events import Log
-from ryelock.http import Dialect, Exchange, Fields, HttpServer, Limits, field
-from ryelock.http.reader import Cut, Late
-from ryelock.runtime import Link, Network, Queue, Scheduler
+from ryelock.http import Fields, HttpExchange, HttpServer, Limits, ProtocolProfile, field
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.runtime import Connection, Network, Queue, Scheduler
 from ryelock.testing.standins import Objects, body_for
 
 
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        dialect: ProtocolProfile,
         life: bytes,
         listing: str,
         page: str,
@@ -96,10 +96,10 @@
     """
 
     __slots__ = (
+        "connections_most",
         "fitness_path",
         "hangs",
         "idle_seconds",
-        "links_most",
         "name",
         "objects",
         "queue",
@@ -137,7 +137,7 @@
         self.queue = queue
         self.hangs = hangs
         self.work_seconds = work_seconds
-        self.links_most = 110
+        self.connections_most = 110
         self.idle_seconds = 5
         self.fitness_path = "/health"
         self.objects = Objects(size)
@@ -167,12 +167,12 @@
     __slots__ = (
         "at",
         "body",
+        "connection",
         "deadline",
         "expected",
         "host",
         "identifier",
         "identity",
-        "link",
         "method",
         "ran",
         "service",
@@ -180,7 +180,7 @@
         "target",
     )
 
-    def __init__(self, at: float, life: "ServerLife", exchange: Exchange, body: bytes) -> None:
+    def __init__(self, at: float, life: "ServerLife", exchange: HttpExchange, body: bytes) -> None:
         """Note a request as it reached a server."""
         head = exchange.head
         dialect = life.words.dialect
@@ -195,7 +195,7 @@
         said = field(head.fields, dialect.deadline.lower()) or b""
         self.deadline = int(said) / 1000 if said.isdigit() else FOREVER
         self.body = body
-        self.link = exchange.link.peer
+        self.connection = exchange.connection.peer
         self.ran = False
         self.status = 0
 
@@ -205,12 +205,12 @@
 
     __slots__ = ()
 
-    def greet(self, link: Link) -> None:
+    def accept(self, connection: Connection) -> None:
         """Accept a connection, or reset it where there are too many."""
-        if len(self.links) >= self.limits.links_most:
-            link.abort()
+        if len(self.connections) >= self.limits.links_most:
+            connection.abort()
             return
-        super().greet(link)
+        super().accept(connection)
 
 
 class ServerLife:
@@ -269,7 +269,7 @@
         self.ended = False
         self.working = 0
         self.waiting: deque[Queue[bool]] = deque()
-        self.late: dict[Link, bytes] = {}
+        self.late: dict[Connection, bytes] = {}
         self.listener = StandInHttpServer(
             scheduler,
             network,
@@ -277,9 +277,9 @@
             address,
             Limits(
                 body_bytes=1 << 26,
-                links_most=service.links_most,
+                connections_most=service.connections_most,
                 idle_seconds=float(service.idle_seconds),
-                order_seconds=60.0,
+                request_seconds=60.0,
             ),
             self.serve,
         )
@@ -287,22 +287,22 @@
     def close(self) -> None:
         """Gone at once: every link is reset where it is."""
         self.ended = True
-        self.listener.stop_taking()
-        for link, running in list(self.listener.links.items()):
+        self.listener.stop_accepting()
+        for connection, running in list(self.listener.connections.items()):
             running.cancel()
-            link.abort()
+            connection.abort()
 
     # One order.
 
-    async def serve(self, exchange: Exchange) -> None:
+    async def serve(self, exchange: HttpExchange) -> None:
         """Serve one request as the manner says."""
         try:
-            body = await exchange.whole_body()
-        except (Cut, Late):
+            body = await exchange.read_body()
+        except (IncompleteMessageError, ReadTimeoutError):
             return
-        late = self.late.pop(exchange.link, None)
+        late = self.late.pop(exchange.connection, None)
         if late is not None:
-            exchange.link.write(late)
+            exchange.connection.write(late)
         arrival = Arrival(self.scheduler.now(), self, exchange, body)
         until = self.scheduler.now() + arrival.deadline
         if arrival.method == "GET" and arrival.target == self.service.fitness_path:
@@ -336,7 +336,7 @@
             return 429
         return 503 if manner == Manner.FULL else 0
 
-    async def decline(self, exchange: Exchange, arrival: Arrival, status: int) -> None:
+    async def decline(self, exchange: HttpExchange, arrival: Arrival, status: int) -> None:
         """Answer that a request was not run."""
         dialect = self.words.dialect
         arrival.status = status
@@ -348,7 +348,7 @@
             fields.append((b"Retry-After", b"0.05"))
         if self.draining:
             exchange.keep = False
-        await exchange.answer(status, fields, b"")
+        await exchange.respond(status, fields, b"")
 
     def named(self, arrival: Arrival) -> Fields:
         """Fields of every answer: whose it is, and how long the link is kept."""
@@ -357,13 +357,13 @@
             fields.append((self.words.dialect.identity, arrival.identity.encode("latin-1")))
         return fields
 
-    async def tell_fitness(self, exchange: Exchange, until: float) -> None:
+    async def tell_fitness(self, exchange: HttpExchange, until: float) -> None:
         """Answer a readiness check; it needs a slot as a request does."""
         why = await self.enter(min(until, self.scheduler.now() + 1.0))
         if not why:
             self.leave()
         fine = not why and not self.draining
-        await exchange.answer(
+        await exchange.respond(
             200 if fine else 503, [(self.words.life, self.identifier.encode())], b""
         )
 
@@ -394,7 +394,9 @@
 
     # Running.
 
-    async def run(self, exchange: Exchange, arrival: Arrival, manner: Manner, until: float) -> None:
+    async def run(
+        self, exchange: HttpExchange, arrival: Arrival, manner: Manner, until: float
+    ) -> None:
         """Run one request, and answer as the manner says."""
         arrival.ran = True
         now = self.scheduler.now()
@@ -404,27 +406,27 @@
         )
         while self.scheduler.now() < end:
             await self.scheduler.sleep(min(0.05, end - self.scheduler.now() + 1e-6))
-            if exchange.left:
+            if exchange.seconds_left:
                 return
             if self.scheduler.now() >= until:
                 arrival.status = 504
-                await exchange.answer(504, self.named(arrival), b"too late\n")
+                await exchange.respond(504, self.named(arrival), b"too late\n")
                 return
         if manner == Manner.LOST:
-            exchange.cut()
+            exchange.abort()
             return
         if manner == Manner.WRONG:
-            exchange.link.write(b"\x16\x03\x01 not an answer\r\n\r\n")
-            await exchange.link.drain(0, 5.0)
-            exchange.cut()
+            exchange.connection.write(b"\x16\x03\x01 not an answer\r\n\r\n")
+            await exchange.connection.drain(0, 5.0)
+            exchange.abort()
             return
         if manner in (Manner.FAILING, Manner.VAGUE):
             arrival.status = 500 if manner == Manner.FAILING else 503
-            await exchange.answer(arrival.status, self.named(arrival), b"broken\n")
+            await exchange.respond(arrival.status, self.named(arrival), b"broken\n")
             return
         await self.give(exchange, arrival, manner)
 
-    async def give(self, exchange: Exchange, arrival: Arrival, manner: Manner) -> None:
+    async def give(self, exchange: HttpExchange, arrival: Arrival, manner: Manner) -> None:
         """The object, as it now is."""
         status, fields, body = self.object_for(exchange, arrival)
         if manner != Manner.UNSEALED:
@@ -434,19 +436,19 @@
         if manner == Manner.CLOSING or self.draining:
             exchange.keep = False
         if manner == Manner.TWIN:
-            self.late[exchange.link] = raw_answer(status, fields, body)
-        exchange.begin(status, b"", fields, None if status == 304 else len(body))
+            self.late[exchange.connection] = raw_answer(status, fields, body)
+        exchange.send_head(status, b"", fields, None if status == 304 else len(body))
         sent = body[: len(body) // 2] if manner == Manner.CUT else body
         if manner == Manner.BEHIND:
             sent += TAIL
         await exchange.send(sent, 30.0)
         if manner == Manner.CUT:
-            await exchange.link.drain(0, 5.0)
-            exchange.cut()
+            await exchange.connection.drain(0, 5.0)
+            exchange.abort()
         else:
             exchange.finish()
 
-    def object_for(self, exchange: Exchange, arrival: Arrival) -> tuple[int, Fields, bytes]:
+    def object_for(self, exchange: HttpExchange, arrival: Arrival) -> tuple[int, Fields, bytes]:
         """Status, fields and body of an object: whole, one range of it, or not changed."""
         revision = self.service.objects.revision(arrival.target)
         body = self.service.body(arrival.target, revision)
@@ -545,7 +547,7 @@
         self.cut_pages: set[int] = set()
         self.raw: bytes | None = None
         self.listener = HttpServer(
-            scheduler, network, log, address, Limits(links_most=2000), self.serve
+            scheduler, network, log, address, Limits(connections_most=2000), self.serve
         )
         self.address = self.listener.address
 
@@ -592,7 +594,7 @@
         self.taken.append(now)
         return len(self.taken) > self.rate
 
-    async def serve(self, exchange: Exchange) -> None:
+    async def serve(self, exchange: HttpExchange) -> None:
         """Serve one request for a page of the list."""
         self.calls += 1
         if self.silent:
@@ -600,20 +602,20 @@
             return
         path, _, query = exchange.head.target.decode("latin-1").partition("?")
         if path != self.words.listing:
-            await exchange.answer(404, [], b"")
+            await exchange.respond(404, [], b"")
             return
         if self.over_rate():
             self.declined += 1
-            await exchange.answer(429, [(b"Retry-After", b"0.5")], b"")
+            await exchange.respond(429, [(b"Retry-After", b"0.5")], b"")
             return
         asked = parse_qs(query)
         token = asked.get(self.words.page, [""])[0]
         start = int(token.removeprefix("p-")) if token else 0
         if start // self.page_size in self.cut_pages:
-            exchange.cut()
+            exchange.abort()
             return
         body = self.raw if self.raw is not None else self.page(start, asked.get("zone", [""])[0])
-        await exchange.answer(200, [(b"Content-Type", b"application/json")], body)
+        await exchange.respond(200, [(b"Content-Type", b"application/json")], body)
 
     def page(self, start: int, zone: str) -> bytes:
         """Return the page that begins at a position, of one zone or of all."""
--- a/packages/testing/ryelock/testing/load.py
+++ b/packages/testing/ryelock/testing/load.py
@@ -41,7 +41,7 @@
     count = 0
     while run.scheduler.now() < until:
         count += 1
-        told = await caller.order(
+        told = await caller.request(
             edge,
             method,
             f"{path}{run.random.randrange(objects)}",
@@ -50,7 +50,7 @@
             b"x" * 64 if method == "POST" else b"",
         )
         if told.status == 200:
-            run.orders_sent += 1
+            run.requests_sent += 1
         notes.clear()
         run.history.clear()
     caller.close()
@@ -69,17 +69,17 @@
     assert edge.popen is not None
     found: dict[str, object] = {}
     for kind in KINDS:
-        run.orders_sent = 0
+        run.requests_sent = 0
         before, since = cpu_seconds(edge.popen.pid), run.scheduler.now()
         for number in range(LOOPS):
             run.scheduler.create_task(
-                closed_loop(run, edge.order, kind, number, since + seconds), name="loop"
+                closed_loop(run, edge.request, kind, number, since + seconds), name="loop"
             )
         await run.scheduler.sleep(seconds + 0.5)
         used = cpu_seconds(edge.popen.pid) - before
         found[kind] = {
-            "a_second": round(run.orders_sent / seconds),
-            "cpu_ms_an_order": round(1000 * used / max(1, run.orders_sent), 3),
+            "a_second": round(run.requests_sent / seconds),
+            "cpu_ms_an_order": round(1000 * used / max(1, run.requests_sent), 3),
         }
     return found
 
--- a/packages/testing/ryelock/testing/measure.py
+++ b/packages/testing/ryelock/testing/measure.py
@@ -9,7 +9,7 @@
 from ryelock.testing.cases import stubborn
 from ryelock.testing.checks import Findings, check_rates
 from ryelock.testing.control_cases import play_isolation
-from ryelock.testing.finals import order_once
+from ryelock.testing.finals import request_once
 from ryelock.testing.loss_cases import LOSS_SETTINGS
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.standins import FAILING, SLOW, WHOLE
@@ -127,7 +127,7 @@
 
     def found() -> bool:
         leader = scenario.leader()
-        zones = scenario.node(leader).core.register.verdict.get("zones") if leader else None
+        zones = scenario.node(leader).core.replicated_state.verdict.get("zones") if leader else None
         return isinstance(zones, dict) and zones.get("zone0", {}).get("verdict") == word
 
     back = scenario.world.run_until(found, 20 * cadence + 60)
@@ -138,7 +138,7 @@
     """Let copies of covers live long, wait until they are kept, and change the watched one."""
     for server in scenario.servers.values():
         server.lifetime = "max-age=600"
-    version = scenario.node(scenario.leader()).core.register.version
+    version = scenario.node(scenario.leader()).core.replicated_state.version
     covers = {"path": "/covers", "service": "pages", "cached": True, "lifetime_seconds": 600}
     change = scenario.change("long", version, {"routes": {"covers": covers}})
     scenario.world.task(scenario.operators, change, 20)
@@ -206,7 +206,7 @@
         count += 1
         await scheduler.sleep(scenario.random.expovariate(rate))
         scheduler.create_task(
-            order_once(
+            request_once(
                 scenario,
                 f"{scenario.node(edge).host}:3",
                 "POST",
@@ -229,7 +229,7 @@
     for server in servers:
         server.delay = 0.02
     scenario.set_up()
-    scenario.outside.scheduler.create_task(plain_orders(scenario, 20.0), name="light")
+    scenario.outside.scheduler.create_task(plain_requests(scenario, 20.0), name="light")
     scenario.world.run(4.0)
     since = scenario.world.time
     if what == "tail":
@@ -254,7 +254,7 @@
     return {"most": max(parts), "least": min(parts), "back": parts[0]}[what]
 
 
-async def plain_orders(scenario: Scenario, rate: float) -> None:
+async def plain_requests(scenario: Scenario, rate: float) -> None:
     """Send plain reads to random edges, so many a second."""
     count = 0
     while scenario.callers_on:
@@ -262,7 +262,7 @@
         await scenario.outside.scheduler.sleep(scenario.random.expovariate(rate))
         edge = scenario.random.choice(scenario.edges)
         scenario.outside.scheduler.create_task(
-            order_once(
+            request_once(
                 scenario,
                 f"{scenario.node(edge).host}:3",
                 "GET",
--- a/packages/testing/ryelock/testing/model/adapter.py
+++ b/packages/testing/ryelock/testing/model/adapter.py
@@ -11,34 +11,34 @@
 
 import cbor2
 
-from ryelock.consensus import Consensus, Pace
+from ryelock.consensus import Consensus, ConsensusSettings
 from ryelock.consensus.entries import VOTERS, Entry, Stored, voters_of
 from ryelock.consensus.log import RETAINED_BYTES
 from ryelock.control_plane.identity import open_disk, read_identity
 from ryelock.control_plane.process import FINISH_SECONDS, LEAVE_SECONDS_MOST, ControlNode
-from ryelock.control_plane.voters import LEAVE, VoterKeeper
-from ryelock.edge.promises import Promise, are_enough, promise_of
+from ryelock.control_plane.voters import LEAVE, VoterManager
+from ryelock.edge.promises import QuorumLeaseVote, are_enough, decode_vote
 from ryelock.events import Event, Log
 from ryelock.journal import Folder, JournalError, open_journal
-from ryelock.membership import Roster
-from ryelock.replicated_state import Register, encode_word
-from ryelock.rpc import Lines, Message, Reply
+from ryelock.membership import Membership
+from ryelock.replicated_state import ReplicatedState, encode_command
+from ryelock.rpc import Message, Reply, RpcClients
 from ryelock.runtime import Scheduler
 
 __all__ = [
     "LEAVE",
     "Message",
     "ProductNode",
-    "Promise",
+    "QuorumLeaseVote",
     "Reply",
     "are_enough",
-    "promise_of",
+    "decode_vote",
     "read_disk",
 ]
 
-RETAINING_IMAGE_RECORDS = 8
+RETAINING_SNAPSHOT_RECORDS = 8
 """Clusters that write images this often keep entries behind them; others send images at once."""
-BEAT_SECONDS = 0.15
+HEARTBEAT_SECONDS = 0.15
 ELECTION_SECONDS = 0.7
 PROMISE_SECONDS = 1.5
 REPLACE_SECONDS = 1.5
@@ -67,7 +67,7 @@
         """Nothing is kept."""
 
 
-class EmptyRoster:
+class EmptyMembership:
     """A roster without sessions: the keeper then knows no zones."""
 
     def members(self) -> dict[str, object]:
@@ -94,7 +94,7 @@
         """The process on a disk was told that it may end."""
 
 
-class RecordedRegister(Register):
+class RecordedRegister(ReplicatedState):
     """The register, telling an observer all that happens to it."""
 
     __slots__ = ("disk", "observer")
@@ -112,9 +112,9 @@
         self.observer.applied(self.disk, index, data, state)
         return result
 
-    def image(self) -> bytes:
+    def snapshot(self) -> bytes:
         """Write an image and tell the observer."""
-        data = super().image()
+        data = super().snapshot()
         self.observer.imaged(self.disk, self.index, data)
         return data
 
@@ -154,13 +154,13 @@
             "version": self.version,
             "put": {"limits": {"callers": {"annotation": self.identity}}},
         }
-        return encode_word("change", id=self.identity, wall=float(self.token), change=change)
+        return encode_command("change", id=self.identity, wall=float(self.token), change=change)
 
 
 def purge_word(number: int) -> bytes:
     """A purge with an id of its own."""
     scopes = [{"path": f"/{number}"}]
-    return encode_word("purge", id=f"purge-{number}", wall=0.0, scopes=scopes)
+    return encode_command("purge", id=f"purge-{number}", wall=0.0, scopes=scopes)
 
 
 def change_of(data: bytes) -> tuple[str, int, int] | None:
@@ -194,7 +194,7 @@
 class ProductNode:
     """One control node without its daemon: consensus, register and keeper on a disk."""
 
-    __slots__ = ("consensus", "lines", "observer", "register", "scheduler", "voter_keeper")
+    __slots__ = ("consensus", "lines", "observer", "replicated_state", "scheduler", "voter_keeper")
 
     def __init__(
         self,
@@ -206,7 +206,7 @@
         seeds: tuple[str, ...],
         random: Random,
         observer: Observer,
-        image_records: int,
+        snapshot_records: int,
         segment_bytes: int,
     ) -> None:
         """Open the disk and build the node; raises DiskUnusable where the disk cannot be opened."""
@@ -218,21 +218,21 @@
         disk, journal = found.ok
         self.scheduler = scheduler
         self.observer = observer
-        self.register = RecordedRegister(disk, observer)
-        pace = Pace(
-            beat=BEAT_SECONDS,
-            election=ELECTION_SECONDS,
-            promise=PROMISE_SECONDS,
-            replace=REPLACE_SECONDS,
-            image_records=image_records,
-            retained_bytes=RETAINED_BYTES if image_records == RETAINING_IMAGE_RECORDS else 0,
+        self.replicated_state = RecordedRegister(disk, observer)
+        pace = ConsensusSettings(
+            heartbeat_seconds=HEARTBEAT_SECONDS,
+            election_timeout=ELECTION_SECONDS,
+            promise_seconds=PROMISE_SECONDS,
+            replace_seconds=REPLACE_SECONDS,
+            snapshot_records=snapshot_records,
+            retained_bytes=RETAINED_BYTES if snapshot_records == RETAINING_SNAPSHOT_RECORDS else 0,
         )
         self.consensus = Consensus(
             scheduler,
-            cast(Lines, lines),
+            cast(RpcClients, lines),
             log,
             journal,
-            self.register,
+            self.replicated_state,
             name,
             disk,
             address,
@@ -240,7 +240,9 @@
             pace,
             random,
         )
-        self.voter_keeper = VoterKeeper(scheduler, self.consensus, cast(Roster, EmptyRoster()))
+        self.voter_keeper = VoterManager(
+            scheduler, self.consensus, cast(Membership, EmptyMembership())
+        )
 
     def start(self) -> None:
         """Start the consensus group and the care for its voters."""
@@ -266,7 +268,7 @@
     @property
     def applied(self) -> int:
         """The index of the last entry applied."""
-        return self.consensus.applied
+        return self.consensus.applied_index
 
     @property
     def voters(self) -> dict[str, str]:
@@ -276,7 +278,7 @@
     @property
     def epoch(self) -> int:
         """The current epoch."""
-        return self.consensus.epoch
+        return self.consensus.term
 
     @property
     def learners(self) -> dict[str, str]:
@@ -311,9 +313,9 @@
 
     async def read(self) -> tuple[int, str] | None:
         """A confirmed read: version and newest change; None where it was not confirmed."""
-        if not await self.consensus.confirm(2.0):
+        if not await self.consensus.confirm_leadership(2.0):
             return None
-        return self.register.version, self.register.newest_change()
+        return self.replicated_state.version, self.replicated_state.newest_change()
 
     async def change_voters(self, voters: dict[str, str]) -> None:
         """Ask for another set of voters."""
@@ -329,7 +331,7 @@
         """Hand leadership to the best successor."""
         successor = self.consensus.best_successor()
         if self.leads and successor:
-            await self.consensus.hand_over(successor)
+            await self.consensus.transfer_leadership(successor)
 
 
 class LeavingNode:
@@ -365,7 +367,7 @@
 class LeavingKeeper:
     """The keeper of a node that leaves."""
 
-    def __init__(self, voters: VoterKeeper) -> None:
+    def __init__(self, voters: VoterManager) -> None:
         """Stand in for the daemon's keeper."""
         self.voters = voters
 
@@ -380,9 +382,9 @@
         self.disk = disk
         self.epoch = stored.epoch
         self.voted = stored.voted
-        self.base_index = stored.image.index
-        self.base_epoch = stored.image.epoch
-        self.base_voters = stored.image.voters
+        self.base_index = stored.snapshot.index
+        self.base_epoch = stored.snapshot.term
+        self.base_voters = stored.snapshot.voters
         self.entries: list[Entry] = stored.entries
 
     @property
@@ -393,7 +395,7 @@
     @property
     def last_epoch(self) -> int:
         """The epoch of the last entry."""
-        return self.entries[-1].epoch if self.entries else self.base_epoch
+        return self.entries[-1].term if self.entries else self.base_epoch
 
     def entry(self, index: int) -> Entry | None:
         """The entry at an index; None where the image stands for it or it is lacking."""
@@ -426,7 +428,7 @@
     found = open_journal(folder, SilentLog(), segment_bytes)
     if found.is_error():
         raise found.error
-    return DiskLog(disk, Stored(found.ok.image, found.ok.records))
+    return DiskLog(disk, Stored(found.ok.snapshot, found.ok.records))
 
 
 UNREADABLE = (JournalError, ValueError)
--- a/packages/testing/ryelock/testing/model/cluster.py
+++ b/packages/testing/ryelock/testing/model/cluster.py
@@ -5,7 +5,7 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.rpc import WireError
+from ryelock.rpc import RpcError
 from ryelock.runtime import Queue, Scheduler
 from ryelock.testing.model.adapter import (
     LEAVE,
@@ -16,9 +16,9 @@
     DiskUnusable,
     Message,
     ProductNode,
-    Promise,
+    QuorumLeaseVote,
     are_enough,
-    promise_of,
+    decode_vote,
     read_disk,
 )
 from ryelock.testing.model.disk import Crash, ModelFolder
@@ -83,33 +83,33 @@
         return (reading - self.zero) / self.rate
 
 
-class CarrierLines:
-    """The asks of one process, as `ryelock.rpc.Lines` offers them, over the model's world."""
+class ModelRpcClients:
+    """The asks of one process, as `ryelock.rpc.RpcClients` offers them, over the model's world."""
 
-    __slots__ = ("asks", "cluster", "machine", "sequence")
+    __slots__ = ("cluster", "machine", "pending_calls", "sequence")
 
     def __init__(self, cluster: "Cluster", machine: "Machine") -> None:
-        """Lines of one life of a machine's process."""
+        """Clients of one life of a machine's process."""
         self.cluster = cluster
         self.machine = machine
         self.sequence = 0
-        self.asks: dict[int, Queue[Message]] = {}
+        self.pending_calls: dict[int, Queue[Message]] = {}
 
-    async def ask(
-        self, address: str, message: Message, seconds: float
-    ) -> Result[Message, WireError]:
+    async def call(
+        self, address: str, message: Message, timeout: float
+    ) -> Result[Message, RpcError]:
         """Ask another process; an error where no answer came in time."""
         self.sequence += 1
         number = self.sequence
         box: Queue[Message] = Queue(self.machine.scheduler)
-        self.asks[number] = box
+        self.pending_calls[number] = box
         try:
             self.cluster.carry(self, address, message, number)
-            answer = await box.get(seconds)
+            answer = await box.get(timeout)
         finally:
-            self.asks.pop(number, None)
+            self.pending_calls.pop(number, None)
         if answer is None:
-            return Error(WireError(f"no answer from {address}", True))
+            return Error(RpcError(f"no answer from {address}", True))
         return Ok(answer)
 
 
@@ -143,7 +143,7 @@
         self.busy_until = 0.0
         self.clock = MachineClock(self)
         self.scheduler = Scheduler(self.clock, self.fault)
-        self.lines = CarrierLines(cluster, self)
+        self.lines = ModelRpcClients(cluster, self)
         self.node: ProductNode | None = None
         self.frozen = False
         self.power_mode = ""
@@ -175,8 +175,8 @@
             return False
         scheduler = self.scheduler
         if not scheduler.has_ready:
-            beat = scheduler.next_timer()
-            if beat is None or beat > self.clock.now():
+            heartbeat = scheduler.next_timer()
+            if heartbeat is None or heartbeat > self.clock.now():
                 return False
         try:
             scheduler.run_ready(200)
@@ -188,8 +188,8 @@
         """When the process wants to run next, in the world's time."""
         if self.node is None or self.frozen or self.busy_until > self.world.time:
             return None
-        beat = self.scheduler.next_timer()
-        return None if beat is None else self.clock.world_time(beat)
+        heartbeat = self.scheduler.next_timer()
+        return None if heartbeat is None else self.clock.world_time(heartbeat)
 
     # Life.
 
@@ -198,7 +198,7 @@
         if self.node is not None:
             return
         self.scheduler = Scheduler(self.clock, self.fault)
-        self.lines = CarrierLines(self.cluster, self)
+        self.lines = ModelRpcClients(self.cluster, self)
         self.frozen = False
         self.folder.point()
         try:
@@ -211,7 +211,7 @@
                 self.cluster.seeds,
                 self.random,
                 self.cluster.history,
-                self.cluster.image_records,
+                self.cluster.snapshot_records,
                 SEGMENT_BYTES,
             )
             self.node.start()
@@ -254,10 +254,10 @@
 class Cluster:
     """Machines, world, history, and the steps that a schedule is made of."""
 
-    def __init__(self, seed: int, machines: int, image_records: int) -> None:
+    def __init__(self, seed: int, machines: int, snapshot_records: int) -> None:
         """Machines that are all down yet."""
         self.seed = seed
-        self.image_records = image_records
+        self.snapshot_records = snapshot_records
         self.random = Random(f"cluster {seed}")
         self.world = World(Random(f"world {seed}"))
         self.history = History()
@@ -271,7 +271,7 @@
 
     # Messages.
 
-    def carry(self, lines: CarrierLines, address: str, message: Message, number: int) -> None:
+    def carry(self, lines: ModelRpcClients, address: str, message: Message, number: int) -> None:
         """Bring an ask to the process at an address, and its answer back."""
         source, target = lines.machine, self.by_name[address]
         self.history.sent(message)
@@ -298,9 +298,9 @@
 
         self.world.send(source.name, target.name, source.busy_until, deliver)
 
-    def give(self, lines: CarrierLines, number: int, answer: Message) -> None:
+    def give(self, lines: ModelRpcClients, number: int, answer: Message) -> None:
         """Hand an answer to the process that asked, where it still lives."""
-        box = lines.asks.get(number)
+        box = lines.pending_calls.get(number)
         if box is not None and lines.machine.lines is lines and lines.machine.node is not None:
             box.put(answer)
 
@@ -447,12 +447,12 @@
     def ask_promises(self) -> None:
         """Ask all nodes to follow no leader for a while, as an edge without a leader does."""
         asked = self.world.time
-        promises: list[Promise] = []
+        promises: list[QuorumLeaseVote] = []
         over = [False]
         message: Message = {"kind": "council.promise", "seconds": PROMISE_SECONDS}
 
         def hear(answer: Message) -> None:
-            promise = promise_of(answer)
+            promise = decode_vote(answer)
             if over[0] or promise is None or self.world.time > asked + PROMISE_ROUND_SECONDS:
                 return
             promises.append(promise)
--- a/packages/testing/ryelock/testing/model/invariants.py
+++ b/packages/testing/ryelock/testing/model/invariants.py
@@ -63,10 +63,10 @@
         self.events = 0
         self.leaders: dict[int, str] = {}
         self.votes: dict[tuple[str, int], str] = {}
-        self.links: dict[tuple[int, int], tuple[int | None, str, bytes]] = {}
+        self.connections: dict[tuple[int, int], tuple[int | None, str, bytes]] = {}
         self.words: dict[int, bytes] = {}
         self.states: dict[int, object] = {}
-        self.images: dict[int, int] = {}
+        self.snapshots: dict[int, int] = {}
         self.acknowledged: dict[int, bytes] = {}
         self.acknowledged_epochs: dict[int, int] = {}
         self.bases: dict[int, str] = {}
@@ -141,17 +141,19 @@
         entries = message["entries"]
         assert isinstance(entries, list)
         for index, epoch, kind, data in entries:
-            self.link(index, epoch, previous_epoch, kind, data)
+            self.connection(index, epoch, previous_epoch, kind, data)
             previous_epoch = epoch
 
-    def link(self, index: int, epoch: int, before: int | None, kind: str, data: bytes) -> None:
+    def connection(
+        self, index: int, epoch: int, before: int | None, kind: str, data: bytes
+    ) -> None:
         """Same index and epoch: the same entry with the same one before it."""
         found = (before, kind, data)
-        known = self.links.setdefault((index, epoch), found)
+        known = self.connections.setdefault((index, epoch), found)
         if known == found:
             return
         if known[1:] == found[1:] and None in (known[0], before):
-            self.links[(index, epoch)] = found if known[0] is None else known
+            self.connections[(index, epoch)] = found if known[0] is None else known
             return
         self.fail(LOG_MATCHING, f"entry {index} of epoch {epoch}: {known} and {found}")
 
@@ -170,7 +172,7 @@
     def imaged(self, disk: str, index: int, data: bytes) -> None:
         """A state machine wrote an image of its state."""
         checksum = zlib.crc32(data)
-        if self.images.setdefault(index, checksum) != checksum:
+        if self.snapshots.setdefault(index, checksum) != checksum:
             self.fail(STATE_MACHINE_SAFETY, f"{disk} has another image at {index}")
 
     def restored(self, disk: str, index: int, data: bytes) -> None:
@@ -257,7 +259,7 @@
         for log in found:
             if self.disks.get(log.disk) is not log:
                 self.disks[log.disk] = log
-                self.check_links(log)
+                self.check_connections(log)
                 self.check_configurations(log)
         for log in found:
             self.check_kept(log)
@@ -268,14 +270,14 @@
             self.check_complete(epoch, disk)
         self.new_leaders.clear()
 
-    def check_links(self, log: DiskLog) -> None:
+    def check_connections(self, log: DiskLog) -> None:
         """Hold a log's entries against all that were seen at the same index and epoch."""
         before: int | None = log.base_epoch if log.base_index else None
         for entry in log.entries:
             if entry.index == 1:
                 before = 0
-            self.link(entry.index, entry.epoch, before, entry.kind, entry.data)
-            before = entry.epoch
+            self.connection(entry.index, entry.term, before, entry.kind, entry.data)
+            before = entry.term
 
     def check_configurations(self, log: DiskLog) -> None:
         """Successive configurations differ by one voter."""
--- a/packages/testing/ryelock/testing/model/schedule.py
+++ b/packages/testing/ryelock/testing/model/schedule.py
@@ -277,8 +277,8 @@
         else:
             steps.append(step_of(random, random.choices(kinds, weights)[0]))
     machines = random.choice((3, 3, 3, 4, 5))
-    image_records = random.choice((8, 15, 30, 1000))
-    return Schedule(seed, machines, image_records, tuple(steps), without)
+    snapshot_records = random.choice((8, 15, 30, 1000))
+    return Schedule(seed, machines, snapshot_records, tuple(steps), without)
 
 
 def step_of(random: Random, kind: str, *given: int | None) -> Step:
--- a/packages/testing/ryelock/testing/model/search.py
+++ b/packages/testing/ryelock/testing/model/search.py
@@ -84,11 +84,11 @@
 
 
 def exhaustive_schedules(
-    alphabet: tuple[Step, ...], length: int, machines: int, image_records: int = 1000
+    alphabet: tuple[Step, ...], length: int, machines: int, snapshot_records: int = 1000
 ) -> list[Schedule]:
     """Every list of so many steps from an alphabet."""
     return [
-        Schedule(0, machines, image_records, steps)
+        Schedule(0, machines, snapshot_records, steps)
         for steps in itertools.product(alphabet, repeat=length)
     ]
 
--- a/packages/testing/ryelock/testing/pieces.py
+++ b/packages/testing/ryelock/testing/pieces.py
@@ -13,16 +13,16 @@
 
 import cbor2
 
-from ryelock.cache.store import Store, Variants
+from ryelock.cache.store import CacheStore, Variants
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
 from ryelock.events import QuietLog
 from ryelock.journal import MachineFolder
-from ryelock.membership import Roster, Server, Session, session_of
+from ryelock.membership import Membership, Server, Session, session_of
 from ryelock.rate_limit.quota_allocator import Given
-from ryelock.replicated_state import Purge, Register, encode_word
+from ryelock.replicated_state import Purge, ReplicatedState, encode_command
 from ryelock.runtime.reactor import Reactor
-from ryelock.settings import read_env
+from ryelock.settings import read_settings
 from ryelock.testing.scale import Figures, Size, measure_judging, zone_name
 
 REPEATS = 5
@@ -69,7 +69,7 @@
         raise error
 
     reactor = Reactor(fault)
-    env = read_env(
+    settings = read_settings(
         "core",
         "",
         {
@@ -82,31 +82,31 @@
         },
     )
     random = Random(1)
-    disk, journal = open_disk(MachineFolder(folder), log, env.segment_bytes, random).ok
-    return ControlNode(env, reactor.scheduler, reactor, log, random, disk, journal)
+    disk, journal = open_disk(MachineFolder(folder), log, settings.segment_bytes, random).ok
+    return ControlNode(settings, reactor.scheduler, reactor, log, random, disk, journal)
 
 
-def configured(routes: int) -> Register:
+def configured(routes: int) -> ReplicatedState:
     """A register whose configuration has so many routes, by its own first word."""
     shape = Size(1, 1, 0, routes).shape()
-    register = Register()
-    register.apply(
+    replicated_state = ReplicatedState()
+    replicated_state.apply(
         1,
-        encode_word(
+        encode_command(
             "change", id="first", change={"id": "first", "base": 0, "put": shape.configuration}
         ),
     )
-    return register
+    return replicated_state
 
 
 def measure_sessions(nodes: int, zones: int) -> Figures:
     """Measure what the leader does over all sessions, and what it tells others of them."""
     with tempfile.TemporaryDirectory(prefix="ryelock-") as folder:
         node = control_node(folder)
-        node.register.restore(configured(4).image_for_edges())
+        node.replicated_state.restore(configured(4).edge_snapshot())
         for number in range(nodes):
-            node.roster.renew(session_of_node(number, zones))
-        found = {**measure_renewals(node), **measure_roster(node)}
+            node.membership.renew(session_of_node(number, zones))
+        found = {**measure_renewals(node), **measure_membership(node)}
         node.listener.close()
         return found
 
@@ -114,7 +114,7 @@
 def measure_renewals(node: ControlNode) -> Figures:
     """Measure the pieces of a renewal, with a share and a lease given to every session."""
     renewals, now = node.renewals, node.scheduler.now()
-    sessions = list(node.roster.sessions.values())
+    sessions = list(node.membership.sessions.values())
     renewals.note_members()
     look = seconds_of(lambda: [renewals.note_members() for _ in range(LOOKS)]) / LOOKS
     give_shares(node, sessions)
@@ -141,15 +141,15 @@
             divider.given.setdefault(service, {})[session.name] = held
 
 
-def measure_roster(node: ControlNode) -> Figures:
+def measure_membership(node: ControlNode) -> Figures:
     """Measure what is written and read of sessions between control nodes and to one node."""
-    roster = node.roster
-    said = cbor2.dumps(roster.say())
-    say = seconds_of(lambda: cbor2.dumps(roster.say()))
-    other = Roster(node.scheduler, "core-1/1", 3.0, 600.0)
+    membership = node.membership
+    said = cbor2.dumps(membership.say())
+    say = seconds_of(lambda: cbor2.dumps(membership.say()))
+    other = Membership(node.scheduler, "core-1/1", 3.0, 600.0)
     hear = seconds_of(lambda: other.hear(cbor2.loads(said)))
-    told = cbor2.dumps(members_told(roster))
-    tell = seconds_of(lambda: cbor2.dumps(members_told(roster)))
+    told = cbor2.dumps(members_told(membership))
+    tell = seconds_of(lambda: cbor2.dumps(members_told(membership)))
     take = seconds_of(lambda: [session_of(plain) for plain in cbor2.loads(told)])
     return {
         "leader: KB of sessions to a follower, each beat": len(said) / 1e3,
@@ -161,16 +161,16 @@
     }
 
 
-def members_told(roster: Roster) -> list[dict[str, object]]:
+def members_told(membership: Membership) -> list[dict[str, object]]:
     """Return all members as a renewal tells them."""
-    return [session.plain() for session in roster.members().values()]
+    return [session.plain() for session in membership.members().values()]
 
 
 def measure_configuration(servers: int, routes: int) -> Figures:
     """What a node is told at its start: the image, and the listing of servers."""
-    register = configured(routes)
-    image = register.image_for_edges()
-    fresh = Register()
+    replicated_state = configured(routes)
+    snapshot = replicated_state.edge_snapshot()
+    fresh = ReplicatedState()
     listed = [
         Server(
             f"service-{number % SERVICES}",
@@ -182,9 +182,9 @@
         for number in range(servers)
     ]
     return {
-        "KB of image": len(image) / 1e3,
-        "ms to write the image": 1e3 * seconds_of(register.image_for_edges),
-        "ms to restore the image": 1e3 * seconds_of(lambda: fresh.restore(image)),
+        "KB of image": len(snapshot) / 1e3,
+        "ms to write the image": 1e3 * seconds_of(replicated_state.edge_snapshot),
+        "ms to restore the image": 1e3 * seconds_of(lambda: fresh.restore(snapshot)),
         "KB of listing to one node": len(cbor2.dumps(listed)) / 1e3,
         "ms to write the listing": 1e3 * seconds_of(lambda: cbor2.dumps(listed)),
     }
@@ -192,9 +192,9 @@
 
 def measure_purge(copies: int) -> Figures:
     """One purge of one path at an edge that holds so many copies, none of which it meets."""
-    store = Store(1)
+    store = CacheStore(1)
     for number in range(copies):
-        store.copies["route-0", "", f"/route-0/{number}"] = Variants()
+        store.responses["route-0", "", f"/route-0/{number}"] = Variants()
 
     def purge() -> None:
         number = store.purged + 1
--- a/packages/testing/ryelock/testing/platform_clients.py
+++ b/packages/testing/ryelock/testing/platform_clients.py
@@ -10,10 +10,10 @@
 from dataclasses import field as dataclass_field
 from random import Random
 
-from ryelock.http import Fields, Reader, call, field, read_answer, send_order
+from ryelock.http import Fields, Reader, fetch, field, read_response, send_request
 from ryelock.http.heads import FramingError
-from ryelock.http.reader import Cut, Late
-from ryelock.runtime import Link, Network, Scheduler
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.runtime import Connection, Network, Scheduler
 from ryelock.testing.hosting_platform import Arrival, ServiceStandIn, Words
 
 SAFE, UNSAFE, CACHEABLE = "safe", "unsafe", "cacheable"
@@ -66,7 +66,7 @@
     seconds: float = 0.0
 
     @property
-    def order(self) -> str:
+    def request(self) -> str:
         """Name of the request that this is a try of."""
         return self.identity.rpartition("-")[0]
 
@@ -109,7 +109,7 @@
 
     async def ask(self, name: str) -> None:
         """Check one node's readiness."""
-        found = await call(
+        found = await fetch(
             self.scheduler, self.network, self.readiness[name], b"GET", b"/readiness", [], b"", 0.9
         )
         self.asked += 1
@@ -129,9 +129,9 @@
     """One caller; its first try may go over a kept link, each other over a new one."""
 
     __slots__ = (
+        "connection",
         "count",
         "entrance",
-        "link",
         "name",
         "network",
         "notes",
@@ -163,16 +163,16 @@
         self.notes = notes
         self.random = Random(f"client {seed} {name}")
         self.count = 0
-        self.link: Link | None = None
+        self.connection: Connection | None = None
         self.reader: Reader | None = None
 
     def close(self) -> None:
         """Close the kept connection."""
-        if self.link is not None:
-            self.link.close()
-            self.link = None
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
 
-    async def order(
+    async def request(
         self,
         kind: str,
         method: str,
@@ -186,7 +186,7 @@
     ) -> Note:
         """One order and its further tries by the rules; the last try's note."""
         self.count += 1
-        order = f"{self.name}.{self.count}"
+        request = f"{self.name}.{self.count}"
         until = self.scheduler.now() + deadline
         number = 0
         while True:
@@ -194,7 +194,7 @@
             now = self.scheduler.now()
             name = edge or self.random.choice(self.entrance.taken(self.zone))
             note = Note(
-                now, name, kind, method, host, target, f"{order}-{number}", body, until - now
+                now, name, kind, method, host, target, f"{request}-{number}", body, until - now
             )
             self.notes.append(note)
             await self.one_try(note, until, fields or [])
@@ -220,28 +220,33 @@
             note.end = "no link"
             self.close()
             return
-        link, reader = connected
+        connection, reader = connected
         fields = self.fields_of(note, until, given)
-        send_order(link, note.method.encode(), note.target.encode(), fields, note.body)
+        send_request(connection, note.method.encode(), note.target.encode(), fields, note.body)
         try:
             keep = await self.take_answer(reader, note, until)
-        except (Cut, Late, FramingError) as error:
+        except (IncompleteMessageError, ReadTimeoutError, FramingError) as error:
             note.end = type(error).__name__
             keep = False
         if not keep:
             self.close()
 
-    async def connect(self, front: str, until: float) -> tuple[Link, Reader] | None:
+    async def connect(self, front: str, until: float) -> tuple[Connection, Reader] | None:
         """Return the kept connection to a node, else a new one; None where it does not open."""
-        link, reader = self.link, self.reader
-        if link is not None and reader is not None and not link.ended and link.peer == front:
-            return link, reader
+        connection, reader = self.connection, self.reader
+        if (
+            connection is not None
+            and reader is not None
+            and not connection.closed
+            and connection.peer == front
+        ):
+            return connection, reader
         self.close()
-        link = self.link = self.network.connect(front)
-        reader = self.reader = Reader(self.scheduler, link)
+        connection = self.connection = self.network.connect(front)
+        reader = self.reader = Reader(self.scheduler, connection)
         left = max(0.0, until - self.scheduler.now())
-        opened = await link.open(min(CONNECT_SECONDS, left))
-        return (link, reader) if opened else None
+        opened = await connection.wait_connected(min(CONNECT_SECONDS, left))
+        return (connection, reader) if opened else None
 
     def fields_of(self, note: Note, until: float, given: Fields) -> Fields:
         """Return the header fields of a try: its identity, its deadline, and the given ones."""
@@ -256,16 +261,16 @@
 
     async def take_answer(self, reader: Reader, note: Note, until: float) -> bool:
         """Read the answer into the note; return whether the connection may be kept."""
-        found = await read_answer(reader, note.method.encode(), HEAD_MOST, until)
+        found = await read_response(reader, note.method.encode(), HEAD_MOST, until)
         if found.is_error():
             note.end = found.error.reason
             return False
         answer = found.ok
         note.status, note.fields = answer.head.status, answer.head.fields
-        note.said = await answer.body.whole(BODY_MOST, until)
+        note.said = await answer.body.read_all(BODY_MOST, until)
         note.whole = True
         note.end = "whole"
-        return answer.keep and 200 <= note.status < 300
+        return answer.keep_alive and 200 <= note.status < 300
 
 
 class OperatorCaller:
@@ -284,7 +289,7 @@
         self, node: str, method: bytes, place: bytes, fields: Fields, body: bytes
     ) -> tuple[int, bytes]:
         """Send one request to a node; status 0 where no answer came."""
-        found = await call(self.scheduler, self.network, node, method, place, fields, body, 5.0)
+        found = await fetch(self.scheduler, self.network, node, method, place, fields, body, 5.0)
         return (found.ok[0].status, found.ok[1]) if found.is_ok() else (0, b"")
 
     async def send(
@@ -415,10 +420,12 @@
     found: list[str] = []
     for until in repeats:
         count = sum(until - seconds < at <= until for at in repeats)
-        orders = max(
+        requests = max(
             sum(until - seconds - back < at <= until - back for at in sent)
             for back in (0.0, seconds / 2, seconds)
         )
-        if count > ratio * orders + slack:
-            found.append(f"budget: {count} repeats to {service} until {until:.2f}, {orders} orders")
+        if count > ratio * requests + slack:
+            found.append(
+                f"budget: {count} repeats to {service} until {until:.2f}, {requests} orders"
+            )
     return found[:3]
--- a/packages/testing/ryelock/testing/scale/judging.py
+++ b/packages/testing/ryelock/testing/scale/judging.py
@@ -8,7 +8,7 @@
 
 import cbor2
 
-from ryelock.health import History, Row, Rules, judge, watch_mark
+from ryelock.health import History, ProbeResult, Rules, evaluate, watch_mark
 from ryelock.replicated_state import Watch
 from ryelock.testing.scale.sizes import Figures, zone_name
 
@@ -27,7 +27,7 @@
     weights = dict.fromkeys(by_zone, 1.0 / len(by_zone))
     started = time.process_time()
     history.forget_old(now)
-    judged = judge(by_zone, {WATCHED: watch}, weights, False, history, Rules(), now)
+    judged = evaluate(by_zone, {WATCHED: watch}, weights, False, history, Rules(), now)
     return {
         "judging s": time.process_time() - started,
         **filled,
@@ -70,9 +70,11 @@
     return {"judging: µs to take a row": 1e6 * seconds, "judging: bytes a row held": held}
 
 
-def sound_row(prober: str, sequence: int, zone: str, edge: str, mark: str, taken: float) -> Row:
+def sound_row(
+    prober: str, sequence: int, zone: str, edge: str, mark: str, taken: float
+) -> ProbeResult:
     """Return the row of a probe in which every step succeeded, at monotonic time `taken`."""
-    row = Row(prober, prober, sequence, zone, edge, WATCHED, False, time.time(), mark)
+    row = ProbeResult(prober, prober, sequence, zone, edge, WATCHED, False, time.time(), mark)
     row.taken, row.age, row.ttfb = taken, 1.0, 12.0
     row.reachable = row.manifest_valid = row.object_fetchable = True
     return row
--- a/packages/testing/ryelock/testing/scale/run.py
+++ b/packages/testing/ryelock/testing/scale/run.py
@@ -4,7 +4,7 @@
 
 from ryelock.control_client import Reply, ask
 from ryelock.events import QuietLog
-from ryelock.rpc import Lines, Message
+from ryelock.rpc import Message, RpcClients
 from ryelock.runtime import Scheduler
 from ryelock.runtime.reactor import Reactor
 from ryelock.testing.accounts import Account, read_traffic
@@ -65,7 +65,7 @@
         self.reactor = reactor
         self.scheduler: Scheduler = reactor.scheduler
         log = QuietLog("runner")
-        self.lines = Lines(self.scheduler, reactor, log)
+        self.lines = RpcClients(self.scheduler, reactor, log)
         self.platform = PlatformStandIn(self.scheduler, reactor, log, "127.0.9.1:0")
         list_servers(self.platform, size)
         settings: Plain = {"term_seconds": TERM_SECONDS, "listing_term": LISTING_SECONDS}
@@ -92,7 +92,7 @@
         found: list[Message] = []
         message: Message = {"kind": kind, **fields}
         for process in self.hollow:
-            answer = await self.lines.ask(process.address, message, TELL_SECONDS)
+            answer = await self.lines.call(process.address, message, TELL_SECONDS)
             found.append(answer.ok if answer.is_ok() else {})
         return found
 
--- a/packages/testing/ryelock/testing/scale/steady.py
+++ b/packages/testing/ryelock/testing/scale/steady.py
@@ -211,4 +211,4 @@
 async def restart_one(run: ScaleRun, _: int) -> None:
     """Restart one hollow node in a planned way."""
     message = {"kind": "hollow.restart", "count": 1}
-    await run.lines.ask(run.hollow[0].address, message, 10.0)
+    await run.lines.call(run.hollow[0].address, message, 10.0)
--- a/packages/testing/ryelock/testing/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -10,8 +10,8 @@
 from random import Random
 
 from ryelock.control_client import ask
-from ryelock.health import Row
-from ryelock.http import call
+from ryelock.health import ProbeResult
+from ryelock.http import fetch
 from ryelock.testing.callers import Caller, Told
 from ryelock.testing.checks import (
     LATE_MOST,
@@ -124,7 +124,7 @@
         self.purges: list[Purged] = []
         self.reads: list[tuple[float, float, int]] = []
         self.downs: list[Down] = []
-        self.row_stores: list[tuple[SimNode, deque[Row]]] = []
+        self.row_stores: list[tuple[SimNode, deque[ProbeResult]]] = []
         self.objects = {"pages": Objects(300), "desks": Objects(100)}
         self.servers: dict[str, ServerStandIn] = {}
         self.callers_on = True
@@ -368,10 +368,10 @@
             if not edges:
                 continue
             edge = f"{self.node(random.choice(edges)).host}:3"
-            method, target = self.pick_order(random)
+            method, target = self.pick_request(random)
             identity = f"c{number}-{count}"
             key = [(b"Idempotency-Key", identity.encode())]
-            told = await caller.order(
+            told = await caller.request(
                 edge, method, target, identity, key, b"body" if method == "POST" else b""
             )
             sendings = 1
@@ -386,7 +386,7 @@
                 await scheduler.sleep(0.3 * random.random())
                 edges = self.ready_edges() or edges
                 edge = f"{self.node(random.choice(edges)).host}:3"
-                told = await caller.order(edge, method, target, identity, key, b"body")
+                told = await caller.request(edge, method, target, identity, key, b"body")
             repeats = 0
             while (
                 again
@@ -397,7 +397,7 @@
             ):
                 repeats += 1
                 await scheduler.sleep(0.05)
-                told = await caller.order(
+                told = await caller.request(
                     edge,
                     method,
                     target,
@@ -420,7 +420,7 @@
         assert ready is not None
         scheduler = self.platform_node.scheduler
         while True:
-            found = await call(
+            found = await fetch(
                 scheduler,
                 self.platform_node.network,
                 f"{self.node(name).host}:2",
@@ -444,7 +444,7 @@
             if self.node(name).alive and (self.node(name).frozen or self.node(name).traffic.ready)
         ]
 
-    def pick_order(self, random: Random) -> tuple[str, str]:
+    def pick_request(self, random: Random) -> tuple[str, str]:
         """Draw the method and target of a caller's request."""
         mark = random.random()
         if mark < 0.5:
@@ -471,12 +471,12 @@
         while True:
             await self.operators.scheduler.sleep(0.1)
             for name in self.alive(self.cores):
-                register = self.node(name).core.register
-                zones = register.verdict.get("zones")
+                replicated_state = self.node(name).core.replicated_state
+                zones = replicated_state.verdict.get("zones")
                 if not isinstance(zones, dict):
                     continue
                 for zone, found in zones.items():
-                    key = (zone, int(str(register.verdict.get("index"))))
+                    key = (zone, int(str(replicated_state.verdict.get("index"))))
                     if found.get("verdict") == "down" and key not in seen:
                         seen.add(key)
                         self.downs.append(
--- a/packages/testing/ryelock/testing/schedules.py
+++ b/packages/testing/ryelock/testing/schedules.py
@@ -65,7 +65,7 @@
     return (
         set(consensus.voters) == disks
         and len(disks) == len(scenario.cores)
-        and all(peer.match == consensus.last_index for peer in consensus.peers.values())
+        and all(peer.match_index == consensus.last_index for peer in consensus.peers.values())
     )
 
 
@@ -437,15 +437,17 @@
         edges = scenario.ready_edges()
         if not edges:
             return
-        link = scenario.outside.network.connect(f"{scenario.node(random.choice(edges)).host}:3")
-        if await link.open(1.0):
-            order = (
+        connection = scenario.outside.network.connect(
+            f"{scenario.node(random.choice(edges)).host}:3"
+        )
+        if await connection.wait_connected(1.0):
+            request = (
                 b"POST /orders/1 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 4\r\n"
                 b"X-Order-Identity: hang-%d-%d\r\n\r\nbody" % (number, turn)
             )
-            link.write(order[: random.randrange(1, len(order) + 1)])
+            connection.write(request[: random.randrange(1, len(request) + 1)])
             await scenario.outside.scheduler.sleep(random.random() * 0.2)
-        link.abort()
+        connection.abort()
 
     number = scenario.world.points
     for turn in range(20):
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -13,23 +13,23 @@
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.process import TrafficNode
 from ryelock.http import (
-    Dialect,
     Fields,
     FramingError,
-    OrderHead,
+    ProtocolProfile,
     Reader,
-    call,
+    RequestHead,
+    fetch,
     field,
-    parse_order_head,
+    parse_request_head,
 )
 from ryelock.http.heads import content_length
-from ryelock.http.reader import Cut, Late
-from ryelock.runtime import Link
-from ryelock.settings import read_env
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.runtime import Connection
+from ryelock.settings import read_settings
 from ryelock.testing.simulated import SimNode, World
 from ryelock.testing.standins import PlatformStandIn
 
-DIALECT = Dialect(
+DIALECT = ProtocolProfile(
     b"X-Request-Name", b"X-Milliseconds-Left", b"X-Seal", b"X-Server-Life", b"X-Not-Run", b"X-Tags"
 )
 SERVICE = "pages"
@@ -38,7 +38,7 @@
 WORK_SECONDS = 0.01
 STEADY_SECONDS = 0.001
 LATE_SECONDS = 1.2
-ORDER_SECONDS = 0.8
+REQUEST_SECONDS = 0.8
 HEAD_BYTES = 65_536
 FOREVER = 3600.0
 BODY_BYTES = 400
@@ -106,7 +106,7 @@
 
     __slots__ = ("address", "at", "method", "name", "ran", "target", "turned_away")
 
-    def __init__(self, at: float, address: str, head: OrderHead) -> None:
+    def __init__(self, at: float, address: str, head: RequestHead) -> None:
         """Note a request's head as a server read it."""
         self.at = at
         self.address = address
@@ -149,78 +149,78 @@
         self.node = node
         self.address = address
         self.life = life
-        self.waiting: list[Link] = []
-        self.mute: set[Link] = set()
-        self.slow: set[Link] = set()
-        self.last: dict[Link, Arrival] = {}
+        self.waiting: list[Connection] = []
+        self.mute: set[Connection] = set()
+        self.slow: set[Connection] = set()
+        self.last: dict[Connection, Arrival] = {}
         node.network.listen(address, self.greet)
 
-    def greet(self, link: Link) -> None:
+    def greet(self, connection: Connection) -> None:
         """Take a new connection."""
-        self.node.scheduler.create_task(self.take(link), name="requests")
+        self.node.scheduler.create_task(self.take(connection), name="requests")
 
-    async def take(self, link: Link) -> None:
+    async def take(self, connection: Connection) -> None:
         """Every request of one link."""
         scheduler = self.node.scheduler
-        reader = Reader(scheduler, link)
+        reader = Reader(scheduler, connection)
         try:
             script = self.fleet.due(Moment.OPENING)
-            if script is not None and not await self.misbehave(link, script, None):
+            if script is not None and not await self.misbehave(connection, script, None):
                 return
             while True:
                 if not reader.buffer:
-                    self.waiting.append(link)
+                    self.waiting.append(connection)
                     try:
-                        await reader.more(scheduler.now() + FOREVER)
+                        await reader.receive(scheduler.now() + FOREVER)
                     finally:
-                        self.waiting.remove(link)
+                        self.waiting.remove(connection)
                 until = scheduler.now() + FOREVER
-                head = parse_order_head(await reader.head(HEAD_BYTES, until))
-                if not await self.serve(link, reader, head):
+                head = parse_request_head(await reader.read_head(HEAD_BYTES, until))
+                if not await self.serve(connection, reader, head):
                     return
-        except (Cut, Late, FramingError):
-            link.close()
+        except (IncompleteMessageError, ReadTimeoutError, FramingError):
+            connection.close()
 
-    async def serve(self, link: Link, reader: Reader, head: OrderHead) -> bool:
+    async def serve(self, connection: Connection, reader: Reader, head: RequestHead) -> bool:
         """One request, whether the link is read on afterwards."""
         arrival = Arrival(self.node.world.time, self.address, head)
         self.fleet.history.append(arrival)
-        self.last[link] = arrival
-        if not await self.moment(link, Moment.SENDING, arrival):
+        self.last[connection] = arrival
+        if not await self.moment(connection, Moment.SENDING, arrival):
             return False
         left = content_length(head.fields) or 0
         while left:
-            left -= len(await reader.some(left, self.node.scheduler.now() + FOREVER))
+            left -= len(await reader.read_some(left, self.node.scheduler.now() + FOREVER))
         if arrival.turned_away:
             return True
         expected = field(head.fields, DIALECT.expected.lower()) or b""
         if expected != self.life.encode():
-            link.write(not_run(arrival.name, b"421 Misdirected"))
+            connection.write(not_run(arrival.name, b"421 Misdirected"))
             return True
-        if not await self.moment(link, Moment.SENT, arrival):
+        if not await self.moment(connection, Moment.SENT, arrival):
             arrival.ran = True
             return False
         if arrival.turned_away:
             return True
         arrival.ran = True
-        if link in self.mute:
+        if connection in self.mute:
             return False
-        if link in self.slow:
+        if connection in self.slow:
             await self.node.scheduler.sleep(LATE_SECONDS)
         await self.node.scheduler.sleep(WORK_SECONDS)
-        return await self.give(link, arrival)
+        return await self.give(connection, arrival)
 
-    async def give(self, link: Link, arrival: Arrival) -> bool:
+    async def give(self, connection: Connection, arrival: Arrival) -> bool:
         """The whole answer, in the pieces between which something may happen."""
         head, body = self.whole(arrival)
-        link.write(head[: len(head) // 2])
-        if not await self.moment(link, Moment.IN_HEAD, arrival):
+        connection.write(head[: len(head) // 2])
+        if not await self.moment(connection, Moment.IN_HEAD, arrival):
             return False
-        link.write(head[len(head) // 2 :] + body[: len(body) // 2])
-        if not await self.moment(link, Moment.IN_BODY, arrival):
+        connection.write(head[len(head) // 2 :] + body[: len(body) // 2])
+        if not await self.moment(connection, Moment.IN_BODY, arrival):
             return False
-        link.write(body[len(body) // 2 :])
-        return await self.moment(link, Moment.BEHIND, arrival)
+        connection.write(body[len(body) // 2 :])
+        return await self.moment(connection, Moment.BEHIND, arrival)
 
     def whole(self, arrival: Arrival) -> tuple[bytes, bytes]:
         """Return head and body of a proper answer."""
@@ -231,63 +231,65 @@
             [(DIALECT.seal, b"seal"), (b"Keep-Alive", b"timeout=60")],
         )
 
-    async def moment(self, link: Link, moment: Moment, arrival: Arrival) -> bool:
+    async def moment(self, connection: Connection, moment: Moment, arrival: Arrival) -> bool:
         """Play what is planned at a moment; False where the connection is done with."""
         script = self.fleet.due(moment, arrival)
         if script is None:
             return True
-        return await self.misbehave(link, script, arrival)
+        return await self.misbehave(connection, script, arrival)
 
     def disturb_idle(self, script: Script) -> None:
         """Do a script's event on every link that waits for a request."""
-        for link in list(self.waiting):
+        for connection in list(self.waiting):
             self.node.scheduler.create_task(
-                self.on_idle(link, script, self.last.get(link)), name="idle"
+                self.on_idle(connection, script, self.last.get(connection)), name="idle"
             )
 
-    async def on_idle(self, link: Link, script: Script, last: Arrival | None) -> None:
+    async def on_idle(self, connection: Connection, script: Script, last: Arrival | None) -> None:
         """Play an event on a kept connection that carries no request."""
         if script.event is Event.SILENCE:
-            self.mute.add(link)
+            self.mute.add(connection)
         elif script.event is Event.LATE:
-            self.slow.add(link)
+            self.slow.add(connection)
         else:
-            await self.misbehave(link, script, last)
+            await self.misbehave(connection, script, last)
 
-    async def misbehave(self, link: Link, script: Script, arrival: Arrival | None) -> bool:
+    async def misbehave(
+        self, connection: Connection, script: Script, arrival: Arrival | None
+    ) -> bool:
         """Do the event; says whether the server goes on with the link as if nothing had been."""
         event = script.event
         if event is Event.SILENCE:
             return False
         if event is Event.RESET:
-            link.abort()
+            connection.abort()
             return False
         if event is Event.CLOSE:
-            link.close()
+            connection.close()
             return False
         if event is Event.LATE:
             await self.node.scheduler.sleep(LATE_SECONDS)
             if script.moment is Moment.BEHIND and arrival is not None:
-                link.write(b"".join(self.whole(arrival)))
+                connection.write(b"".join(self.whole(arrival)))
             return True
         if event in (Event.HALF, Event.SECOND):
-            return self.write_answer(link, event, arrival)
-        link.write(self.bytes_for(event, arrival))
+            return self.write_answer(connection, event, arrival)
+        connection.write(self.bytes_for(event, arrival))
         if event is Event.OTHER_LIFE and arrival is not None and not arrival.ran:
             arrival.turned_away = True
         return True
 
-    def write_answer(self, link: Link, event: Event, arrival: Arrival | None) -> bool:
+    def write_answer(self, connection: Connection, event: Event, arrival: Arrival | None) -> bool:
         """Write the answer that an event asks for; False where the connection ends."""
         if arrival is None:
             answer = b"".join(answer_bytes(b"200 OK", "", b"unasked", [(DIALECT.seal, b"seal")]))
         else:
             answer = b"".join(self.whole(arrival))
         if event is Event.SECOND:
-            link.write(answer)
+            connection.write(answer)
             return True
-        link.write(answer[: len(answer) // 2])
-        link.close()
+        connection.write(answer[: len(answer) // 2])
+        connection.close()
         return False
 
     def bytes_for(self, event: Event, arrival: Arrival | None) -> bytes:
@@ -389,11 +391,11 @@
             self.world.start_daemon(node, "core", plain)
             return
         plain["order_address"] = f"{host}:3"
-        env = read_env("edge", "", plain)
+        settings = read_settings("edge", "", plain)
         self.world.start_built(
             node,
             lambda: TrafficNode(
-                "edge", env, node.scheduler, node.network, node.log, node.random, DIALECT
+                "edge", settings, node.scheduler, node.network, node.log, node.random, DIALECT
             ),
         )
 
@@ -452,7 +454,7 @@
         for number in range(len(self.edges)):
             handler = self.handler(number)
             for state in handler.servers.by_service.get(SERVICE, []):
-                handler.servers.end_links(state)
+                handler.servers.end_connections(state)
                 state.failures, state.full_until, state.aside_for = 0, 0.0, 0.0
                 state.aside_until, state.trying, state.latency = 0.0, False, 0.0
             budget = handler.gates[SERVICE].budget
@@ -466,7 +468,7 @@
     ) -> Told:
         """One request of a caller, on a link of its own."""
         started = self.world.time
-        found = await call(
+        found = await fetch(
             self.outside.scheduler,
             self.outside.network,
             f"10.1.0.{4 + edge}:3",
@@ -475,11 +477,11 @@
             [
                 (b"Host", b"site"),
                 (DIALECT.identity, name.encode()),
-                (DIALECT.deadline, b"%d" % int(ORDER_SECONDS * 1000)),
+                (DIALECT.deadline, b"%d" % int(REQUEST_SECONDS * 1000)),
                 *(more or []),
             ],
             POST_BODY if method == "POST" else b"",
-            ORDER_SECONDS + 1.0,
+            REQUEST_SECONDS + 1.0,
         )
         status, body = (found.ok[0].status, found.ok[1]) if found.is_ok() else (0, b"")
         return Told(status, body, self.world.time - started)
--- a/packages/testing/ryelock/testing/simulated.py
+++ b/packages/testing/ryelock/testing/simulated.py
@@ -17,8 +17,15 @@
 from ryelock.edge.process import TrafficNode
 from ryelock.events import QuietLog
 from ryelock.journal import FolderError
-from ryelock.runtime import Greeting, Link, NetworkError, Scheduler, Task, TaskCoroutine
-from ryelock.settings import Env, read_env
+from ryelock.runtime import (
+    Connection,
+    ConnectionHandler,
+    NetworkError,
+    Scheduler,
+    Task,
+    TaskCoroutine,
+)
+from ryelock.settings import Settings, read_settings
 from ryelock.testing.simulated_time import SimulatedTime
 
 Found = TypeVar("Found")
@@ -49,7 +56,7 @@
         return WALL_ZERO + self.world.time + self.error
 
 
-class SimLink(Link):
+class SimConnection(Connection):
     """One end of a link; `other` is the other end once it stands."""
 
     __slots__ = ("closing", "due", "gone", "node", "other", "reading", "waiting", "was_reset")
@@ -58,7 +65,7 @@
         """Create one end on a node; it stands once `other` is set."""
         super().__init__(node.scheduler, peer)
         self.node = node
-        self.other: SimLink | None = None
+        self.other: SimConnection | None = None
         self.due = 0.0
         self.closing = False
         self.gone = False
@@ -68,21 +75,21 @@
 
     def write(self, data: bytes) -> None:
         """Send bytes, or keep them until the connection stands."""
-        if self.ended or self.closing or not data:
+        if self.closed or self.closing or not data:
             return
-        self.unsent += len(data)
+        self.unsent_bytes += len(data)
         if self.node.inner is not None:
             self.node.world.point(self.node, "send")
-        if not self.opened:
+        if not self.connected:
             self.waiting.append(data)
             return
         self.node.world.carry(self, data)
 
     def close(self) -> None:
         """End in order: the other side gets what was written, then the end."""
-        if self.ended or self.closing:
+        if self.closed or self.closing:
             return
-        if not self.opened:
+        if not self.connected:
             self.abort()
             return
         self.closing = True
@@ -90,17 +97,17 @@
 
     def abort(self) -> None:
         """Reset the connection at once."""
-        if self.ended:
+        if self.closed:
             return
         self.was_reset = True
         self.node.world.reset(self)
-        self.finished()
+        self.connection_lost()
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Stop reading; what comes waits at the other end."""
         self.reading = False
 
-    def release(self) -> None:
+    def resume_reading(self) -> None:
         """Read on."""
         self.reading = True
 
@@ -114,7 +121,7 @@
         """Create the network of a node."""
         self.node = node
 
-    def listen(self, address: str, greeting: Greeting) -> str:
+    def listen(self, address: str, greeting: ConnectionHandler) -> str:
         """Listen at host:port, port 0 for any; raises NetworkError where it is taken."""
         world = self.node.world
         host, _, port = address.rpartition(":")
@@ -132,12 +139,12 @@
         if found is not None and found[0] is self.node:
             del self.node.world.listeners[address]
 
-    def connect(self, address: str) -> Link:
-        """Return a connection that is being opened; see Link.open."""
-        link = SimLink(self.node, address)
-        self.node.links.append(link)
-        self.node.world.try_open(link, address)
-        return link
+    def connect(self, address: str) -> Connection:
+        """Return a connection that is being opened; see Connection.wait_connected."""
+        connection = SimConnection(self.node, address)
+        self.node.connections.append(connection)
+        self.node.world.try_open(connection, address)
+        return connection
 
 
 class SimFolder:
@@ -222,11 +229,11 @@
     __slots__ = (
         "alive",
         "clock",
+        "connections",
         "folder",
         "frozen",
         "host",
         "inner",
-        "links",
         "log",
         "machine",
         "name",
@@ -249,7 +256,7 @@
         self.frozen = False
         self.alive = False
         self.power = True
-        self.links: list[SimLink] = []
+        self.connections: list[SimConnection] = []
         self.log = QuietLog(name)
         self.inner: ControlNode | TrafficNode | None = None
         self.network = SimNetwork(self)
@@ -262,7 +269,7 @@
     def begin(self) -> None:
         """A fresh process: nothing of the old one is left but its disk and its log."""
         self.scheduler = Scheduler(self.clock, self.fault)
-        self.links = []
+        self.connections = []
         self.alive = True
         self.frozen = False
         self.power = True
@@ -308,7 +315,7 @@
         self.random = Random(f"world {seed}")
         self.ports = 0
         self.nodes: dict[str, SimNode] = {}
-        self.listeners: dict[str, tuple[SimNode, Greeting]] = {}
+        self.listeners: dict[str, tuple[SimNode, ConnectionHandler]] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.spikes = 0.005
         self.reset_drops_held_bytes = False
@@ -328,8 +335,8 @@
 
     def start_daemon(self, node: SimNode, role: str, plain: dict[str, object]) -> None:
         """Start a role on a node, as the program does."""
-        env = read_env(role, "", plain)
-        self.start_built(node, lambda: self.build(node, role, env))
+        settings = read_settings(role, "", plain)
+        self.start_built(node, lambda: self.build(node, role, settings))
 
     def start_built(self, node: SimNode, build: Build) -> None:
         """Start whatever `build` makes on a fresh node; a crash while starting ends it."""
@@ -340,22 +347,24 @@
         except Crash:
             self.kill(node.name)
 
-    def build(self, node: SimNode, role: str, env: Env) -> ControlNode | TrafficNode:
+    def build(self, node: SimNode, role: str, settings: Settings) -> ControlNode | TrafficNode:
         """Create what runs a role on a node, without starting it."""
         if role != "core":
-            return TrafficNode(role, env, node.scheduler, node.network, node.log, node.random)
-        return self.open_control(node, env)
+            return TrafficNode(role, settings, node.scheduler, node.network, node.log, node.random)
+        return self.open_control(node, settings)
 
-    def open_control(self, node: SimNode, env: Env) -> ControlNode:
+    def open_control(self, node: SimNode, settings: Settings) -> ControlNode:
         """A control node on the disk of its machine."""
         if node.folder is None:
             node.folder = SimFolder()
         node.folder.node = node
-        found = open_disk(node.folder, node.log, env.segment_bytes, node.random)
+        found = open_disk(node.folder, node.log, settings.segment_bytes, node.random)
         if found.is_error():
             raise AssertionError(found.error.reason)
         disk, journal = found.ok
-        return ControlNode(env, node.scheduler, node.network, node.log, node.random, disk, journal)
+        return ControlNode(
+            settings, node.scheduler, node.network, node.log, node.random, disk, journal
+        )
 
     def kill(self, name: str, power: bool = False) -> None:
         """End a process at once. Without power its machine says nothing more.
@@ -371,12 +380,12 @@
         for address, (owner, _) in list(self.listeners.items()):
             if owner is node:
                 del self.listeners[address]
-        for link in list(node.links):
+        for connection in list(node.connections):
             if not power:
-                self.reset(link)
-            link.ended = True
-            link.gone = True
-        node.links = []
+                self.reset(connection)
+            connection.closed = True
+            connection.gone = True
+        node.connections = []
         if node.folder is not None and power:
             node.folder.lose_power(self.random)
 
@@ -421,32 +430,34 @@
         """Whether messages from one node to another are cut off."""
         return (source.machine, target.machine) in self.cuts
 
-    def try_open(self, link: SimLink, address: str) -> None:
+    def try_open(self, connection: SimConnection, address: str) -> None:
         """A link that is asked for stands after a round trip, is declined, or hangs."""
 
         def act() -> None:
-            if link.ended:
+            if connection.closed:
                 return
             found = self.listeners.get(address)
             owner = found[0] if found is not None else self.owner_of(address)
             if owner is not None and (
-                self.blocked(link.node, owner) or self.blocked(owner, link.node) or not owner.power
+                self.blocked(connection.node, owner)
+                or self.blocked(owner, connection.node)
+                or not owner.power
             ):
                 self.later(0.2, act)
                 return
             if found is None:
-                link.finished()
+                connection.connection_lost()
                 return
             node, greeting = found
-            other = SimLink(node, f"{link.node.host}:{50_000 + self.sequence % 10_000}")
-            node.links.append(other)
-            link.other, other.other = other, link
-            link.opened = other.opened = True
+            other = SimConnection(node, f"{connection.node.host}:{50_000 + self.sequence % 10_000}")
+            node.connections.append(other)
+            connection.other, other.other = other, connection
+            connection.connected = other.connected = True
             greeting(other)
-            link.room.put(True)
-            waiting, link.waiting = link.waiting, []
+            connection.writable.put(True)
+            waiting, connection.waiting = connection.waiting, []
             for data in waiting:
-                self.carry(link, data)
+                self.carry(connection, data)
 
         self.later(self.delay(), act)
 
@@ -455,55 +466,55 @@
         host = address.rpartition(":")[0]
         return next((node for node in self.nodes.values() if node.host == host), None)
 
-    def carry(self, link: SimLink, data: bytes) -> None:
+    def carry(self, connection: SimConnection, data: bytes) -> None:
         """Bring bytes, or the end, to the other side, in order.
 
         Where `reset_drops_held_bytes` is set, bytes that a cut or a full peer holds up are lost
         once their sender resets the connection.
         """
-        other = link.other
+        other = connection.other
         if other is None:
             return
-        when = link.due = max(link.due, self.time + self.delay())
+        when = connection.due = max(connection.due, self.time + self.delay())
 
         def act() -> None:
             if other.gone:
-                if other.node.power and not link.ended and not link.gone:
-                    link.finished()
+                if other.node.power and not connection.closed and not connection.gone:
+                    connection.connection_lost()
                 return
-            if link.gone and not link.node.power and not data:
+            if connection.gone and not connection.node.power and not data:
                 return
-            if self.blocked(link.node, other.node) or not other.reading:
-                if link.was_reset and self.reset_drops_held_bytes:
+            if self.blocked(connection.node, other.node) or not other.reading:
+                if connection.was_reset and self.reset_drops_held_bytes:
                     return
-                link.due = max(link.due, self.time + 0.1)
+                connection.due = max(connection.due, self.time + 0.1)
                 self.at(self.time + 0.1, act)
                 return
             if data:
-                link.unsent = max(0, link.unsent - len(data))
-                if not link.ended and not link.room.items:
-                    link.room.put(True)
-                if not other.ended:
-                    other.arrived(data)
+                connection.unsent_bytes = max(0, connection.unsent_bytes - len(data))
+                if not connection.closed and not connection.writable.items:
+                    connection.writable.put(True)
+                if not other.closed:
+                    other.data_received(data)
             else:
-                if not other.ended:
-                    other.finished()
-                if not link.ended:
-                    link.finished()
+                if not other.closed:
+                    other.connection_lost()
+                if not connection.closed:
+                    connection.connection_lost()
 
         self.at(when, act)
 
-    def reset(self, link: SimLink) -> None:
+    def reset(self, connection: SimConnection) -> None:
         """Tell the other end that this one was reset."""
-        other = link.other
+        other = connection.other
         if other is None:
             return
 
         def act() -> None:
-            if self.blocked(link.node, other.node):
+            if self.blocked(connection.node, other.node):
                 self.later(0.2, act)
-            elif not other.ended:
-                other.finished()
+            elif not other.closed:
+                other.connection_lost()
 
         self.later(self.delay(), act)
 
--- a/packages/testing/ryelock/testing/standins.py
+++ b/packages/testing/ryelock/testing/standins.py
@@ -10,8 +10,8 @@
 import json
 
 from ryelock.events import Log
-from ryelock.http import Exchange, Fields, HttpServer, Limits, field, http_date
-from ryelock.http.reader import Cut, Late
+from ryelock.http import Fields, HttpExchange, HttpServer, Limits, field, http_date
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Network, Scheduler
 
 WHOLE, SLOW, CUT, SHORT, LONG, WRONG, LOST, FAILING, DEAF = (
@@ -143,24 +143,24 @@
             network,
             log,
             address,
-            Limits(links_most=20_000, idle_seconds=60.0, order_seconds=60.0),
+            Limits(connections_most=20_000, idle_seconds=60.0, request_seconds=60.0),
             self.serve,
         )
         self.address = self.listener.address
 
     def close(self) -> None:
         """Gone at once: every link ends where it is."""
-        self.listener.stop_taking()
-        for link, running in list(self.listener.links.items()):
+        self.listener.stop_accepting()
+        for connection, running in list(self.listener.connections.items()):
             running.cancel()
-            link.abort()
+            connection.abort()
 
-    async def serve(self, exchange: Exchange) -> None:
+    async def serve(self, exchange: HttpExchange) -> None:
         """Serve one request as the manner says."""
         head = exchange.head
         try:
-            await exchange.whole_body()
-        except (Cut, Late):
+            await exchange.read_body()
+        except (IncompleteMessageError, ReadTimeoutError):
             return
         if self.manner == DEAF:
             await self.scheduler.sleep(3600)
@@ -185,10 +185,10 @@
         if self.manner == SLOW:
             await self.scheduler.sleep(3.0)
         if self.manner == LOST:
-            exchange.cut()
+            exchange.abort()
             return
         if self.manner == FAILING:
-            await exchange.answer(500, [], b"broken\n")
+            await exchange.respond(500, [], b"broken\n")
             return
         body = body_for(self.service, target, revision, self.objects.size)
         fields = self.fields(target, revision)
@@ -196,28 +196,28 @@
         asked = field(head.fields, b"range")
         tag = field(fields, b"etag")
         if tag is not None and field(head.fields, b"if-none-match") == tag:
-            await exchange.answer(304, fields, b"")
+            await exchange.respond(304, fields, b"")
             return
         if asked == b"bytes=0-1023" and len(body) > 1024:
             status = 206
             fields.append((b"Content-Range", b"bytes 0-1023/%d" % len(body)))
             body = body[:1024]
         if self.manner == WRONG:
-            exchange.link.write(
+            exchange.connection.write(
                 b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\nContent-Length: 12\r\n\r\n" + body
             )
-            exchange.cut()
+            exchange.abort()
             return
         length = len(body)
         if self.manner == LONG:
             body += b"tail that belongs to nothing"
-        exchange.begin(status, b"", fields, length + (50 if self.manner == SHORT else 0))
+        exchange.send_head(status, b"", fields, length + (50 if self.manner == SHORT else 0))
         if self.manner == CUT:
             body = body[: length // 2]
         await exchange.send(body, 30.0)
         if self.manner in (CUT, SHORT):
-            await exchange.link.drain(0, 5.0)
-            exchange.cut()
+            await exchange.connection.drain(0, 5.0)
+            exchange.abort()
         else:
             exchange.finish()
 
@@ -249,7 +249,7 @@
         self.shown_since: list[tuple[float, str, str, bool]] = []
         self.silent = False
         self.listener = HttpServer(
-            scheduler, network, log, address, Limits(links_most=2000), self.serve
+            scheduler, network, log, address, Limits(connections_most=2000), self.serve
         )
         self.address = self.listener.address
 
@@ -271,13 +271,13 @@
         if self.servers.pop(address, None) is not None:
             self.shown_since.append((self.scheduler.now(), "", address, True))
 
-    async def serve(self, exchange: Exchange) -> None:
+    async def serve(self, exchange: HttpExchange) -> None:
         """Serve one request for the list."""
         if self.silent:
-            exchange.cut()
+            exchange.abort()
             return
         if exchange.head.target != b"/servers":
-            await exchange.answer(404, [], b"")
+            await exchange.respond(404, [], b"")
             return
         body = json.dumps({"servers": list(self.servers.values())}).encode()
-        await exchange.answer(200, [(b"Content-Type", b"application/json")], body)
+        await exchange.respond(200, [(b"Content-Type", b"application/json")], body)
--- a/tests/consensus_takeouts.py
+++ b/tests/consensus_takeouts.py
@@ -6,13 +6,13 @@
 from unittest import mock
 
 from ryelock.consensus import Consensus
-from ryelock.consensus.entries import Image
+from ryelock.consensus.entries import Snapshot
 from ryelock.consensus.log import ReplicatedLog
 from ryelock.consensus.types import ConsensusError, Peer
 from ryelock.control_plane.process import ControlNode
-from ryelock.control_plane.voters import VoterKeeper
+from ryelock.control_plane.voters import VoterManager
 from ryelock.journal import Journal, open_journal
-from ryelock.replicated_state import Register
+from ryelock.replicated_state import ReplicatedState
 from ryelock.replicated_state.outcomes import Outcomes
 from ryelock.testing.model.disk import ModelFolder
 
@@ -48,7 +48,7 @@
 def older_epochs_counted() -> Iterator[None]:
     """An entry of an older epoch counts as agreed once it stands on a majority."""
     counting = [False]
-    count, advance, epoch_at = Consensus.count_commit, Consensus.advance, Consensus.epoch_at
+    count, advance, epoch_at = Consensus.count_commit, Consensus.advance, Consensus.term_at
 
     def count_commit(consensus: Consensus) -> None:
         counting[0] = True
@@ -62,12 +62,12 @@
         advance(consensus, commit)
 
     def pretended(consensus: Consensus, index: int) -> int:
-        return consensus.epoch if counting[0] else epoch_at(consensus, index)
+        return consensus.term if counting[0] else epoch_at(consensus, index)
 
     with (
         mock.patch.object(Consensus, "count_commit", count_commit),
         mock.patch.object(Consensus, "advance", advancing),
-        mock.patch.object(Consensus, "epoch_at", pretended),
+        mock.patch.object(Consensus, "term_at", pretended),
     ):
         yield
 
@@ -102,7 +102,7 @@
 @contextmanager
 def disk_names_ignored() -> Iterator[None]:
     with ExitStack() as stack:
-        for method in ("on_vote", "on_beat", "on_image"):
+        for method in ("on_vote", "on_heartbeat", "on_snapshot"):
             stack.enter_context(
                 altered(method, lambda consensus, message: {**message, "to": consensus.disk})
             )
@@ -114,7 +114,7 @@
         await consensus.scheduler.sleep(0)
         return consensus.role == "leader"
 
-    return mock.patch.object(Consensus, "confirm", confirm)
+    return mock.patch.object(Consensus, "confirm_leadership", confirm)
 
 
 def promises_ignored() -> AbstractContextManager[object]:
@@ -140,7 +140,7 @@
 
 
 @contextmanager
-def image_drops_tail() -> Iterator[None]:
+def snapshot_drops_tail() -> Iterator[None]:
     """Entries behind an installed image go, and a follower whose disk failed is offered one.
 
     A leader as it is now offers no image to a follower whose log reaches farther than that.
@@ -149,11 +149,11 @@
 
     def offer_image(consensus: Consensus, peer: Peer, answer: Plain, last: int) -> int:
         if answer.get("failed") is True:
-            return max(1, consensus.base.index)
+            return max(1, consensus.snapshot.index)
         return next_for(consensus, peer, answer, last)
 
-    def install(log: ReplicatedLog, image: Image) -> bool:
-        return log.replace_start(image, [])
+    def install(log: ReplicatedLog, snapshot: Snapshot) -> bool:
+        return log.replace_start(snapshot, [])
 
     with (
         mock.patch.object(ReplicatedLog, "install", install),
@@ -168,15 +168,15 @@
 
 
 def base_unchecked() -> AbstractContextManager[object]:
-    original = Register.change
+    original = ReplicatedState.change
 
-    def change(register: Register, word: Plain) -> Plain:
+    def change(replicated_state: ReplicatedState, word: Plain) -> Plain:
         given = dict(word["change"])
-        given["base"] = min(register.version, given["version"] - 1)
-        register.version = given["base"]
-        return original(register, {**word, "change": given})
+        given["base"] = min(replicated_state.version, given["version"] - 1)
+        replicated_state.version = given["base"]
+        return original(replicated_state, {**word, "change": given})
 
-    return mock.patch.object(Register, "change", change)
+    return mock.patch.object(ReplicatedState, "change", change)
 
 
 @contextmanager
@@ -258,7 +258,7 @@
 
 def leaves_at_once() -> AbstractContextManager[object]:
     """A member that leaves is let go at once."""
-    return mock.patch.object(VoterKeeper, "may_end", lambda _keeper, _disk: True)
+    return mock.patch.object(VoterManager, "may_end", lambda _keeper, _disk: True)
 
 
 def released_members_go_on() -> AbstractContextManager[object]:
@@ -280,7 +280,7 @@
     "unconfirmed reads": unconfirmed_reads,
     "promises ignored": promises_ignored,
     "promises forgotten": promises_forgotten,
-    "image drops tail": image_drops_tail,
+    "image drops tail": snapshot_drops_tail,
     "unchecked voters": unchecked_voters,
     "base unchecked": base_unchecked,
     "outcomes forgotten": outcomes_forgotten,
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -18,7 +18,7 @@
 from readiness import Readiness  # noqa: E402
 from ryelock.control_plane.process import ControlNode  # noqa: E402
 from ryelock.edge.process import TrafficNode  # noqa: E402
-from ryelock.http import Dialect, Fields  # noqa: E402
+from ryelock.http import Fields, ProtocolProfile  # noqa: E402
 from ryelock.testing.hosting_platform import (  # noqa: E402
     Arrival,
     HostingPlatform,
@@ -73,7 +73,7 @@
 
 
 WORDS = Words(
-    Dialect(
+    ProtocolProfile(
         b"Attempt-Id",
         b"Deadline-Remaining",
         b"Server-Seal",
@@ -322,24 +322,26 @@
         node = self.node(name)
         machine, _, role = name.rpartition(".")
         told = settings.Told(self.lines[machine])
-        env = settings.env_of(role, told)
+        process_settings = settings.env_of(role, told)
 
         def build() -> ControlNode | TrafficNode:
-            if role == "core" and not env.data_folder:
-                desk = TrafficNode("desk", env, node.scheduler, node.network, node.log, node.random)
+            if role == "core" and not process_settings.data_folder:
+                control_api = TrafficNode(
+                    "desk", process_settings, node.scheduler, node.network, node.log, node.random
+                )
                 Operators(
                     node.scheduler,
                     node.network,
                     node.log,
-                    desk.control_api,
+                    control_api.control_api,
                     told,
                     told.text("listen_addresses.control"),
                 )
-                return desk
+                return control_api
             if role == "core":
-                core = self.world.open_control(node, env)
+                core = self.world.open_control(node, process_settings)
                 core.platform.read_listing = Instances(
-                    node.scheduler, node.network, env.platform_address
+                    node.scheduler, node.network, process_settings.platform_address
                 ).read
                 Operators(
                     node.scheduler,
@@ -351,7 +353,13 @@
                 )
                 return core
             edge = TrafficNode(
-                "edge", env, node.scheduler, node.network, node.log, node.random, DIALECT
+                "edge",
+                process_settings,
+                node.scheduler,
+                node.network,
+                node.log,
+                node.random,
+                DIALECT,
             )
             Readiness(
                 node.scheduler,
@@ -457,7 +465,7 @@
         caller = client or self.client(f"one{len(self.notes)}")
         return self.world.task(
             self.outside,
-            caller.order(
+            caller.request(
                 kind, method, host, target, body, deadline, fields, tries, edge or self.edges[0]
             ),
             60,
@@ -481,7 +489,7 @@
         while self.callers_on:
             await self.outside.scheduler.sleep(client.random.expovariate(rate))
             kind, method, target = targets(client.random.randrange(1 << 20))
-            await client.order(kind, method, HOST, target, b"body" if method == "POST" else b"")
+            await client.request(kind, method, HOST, target, b"body" if method == "POST" else b"")
 
     # What is held.
 
--- a/tests/observed.py
+++ b/tests/observed.py
@@ -14,9 +14,9 @@
 
 from ryelock.events import Event, QuietLog
 from ryelock.testing.model.adapter import SilentLog
-from ryelock.testing.model.cluster import CarrierLines, Cluster
+from ryelock.testing.model.cluster import Cluster, ModelRpcClients
 from ryelock.testing.model.disk import ModelFolder
-from ryelock.testing.simulated import SimFolder, SimLink, World
+from ryelock.testing.simulated import SimConnection, SimFolder, World
 
 # What this file knows of the simulators' names: a rename inside changes this section only.
 
@@ -54,23 +54,23 @@
 
     def __init__(self) -> None:
         """Create a table without connections."""
-        self.numbers: dict[SimLink, int] = {}
+        self.numbers: dict[SimConnection, int] = {}
         self.count = 0
 
-    def number_of(self, link: SimLink) -> int:
+    def number_of(self, connection: SimConnection) -> int:
         """Return the number that both ends of a connection share."""
-        if link not in self.numbers:
+        if connection not in self.numbers:
             self.count += 1
-            self.numbers[link] = self.count
-            if link.other is not None:
-                self.numbers[link.other] = self.count
-        return self.numbers[link]
+            self.numbers[connection] = self.count
+            if connection.other is not None:
+                self.numbers[connection.other] = self.count
+        return self.numbers[connection]
 
 
-def listener_of(link: SimLink) -> tuple[str, bool]:
+def listener_of(connection: SimConnection) -> tuple[str, bool]:
     """Return the address that was connected to, and whether this is the listener's end."""
-    accepted = int(link.peer.rpartition(":")[2]) >= ACCEPTED_PORTS_FROM
-    other = link.other if accepted else link
+    accepted = int(connection.peer.rpartition(":")[2]) >= ACCEPTED_PORTS_FROM
+    other = connection.other if accepted else connection
     return (other.peer if other is not None else ""), accepted
 
 
@@ -92,15 +92,15 @@
         worlds.append(world)
         create(world, seed)
 
-    def carried(world: World, link: SimLink, data: bytes) -> None:
-        listener, accepted = listener_of(link)
-        observer.sent(world.time, connections.number_of(link), listener, accepted, data)
-        carry(world, link, data)
+    def carried(world: World, connection: SimConnection, data: bytes) -> None:
+        listener, accepted = listener_of(connection)
+        observer.sent(world.time, connections.number_of(connection), listener, accepted, data)
+        carry(world, connection, data)
 
-    def was_reset(world: World, link: SimLink) -> None:
-        listener, accepted = listener_of(link)
-        observer.sent(world.time, connections.number_of(link), listener, accepted, b"")
-        reset(world, link)
+    def was_reset(world: World, connection: SimConnection) -> None:
+        listener, accepted = listener_of(connection)
+        observer.sent(world.time, connections.number_of(connection), listener, accepted, b"")
+        reset(world, connection)
 
     def written(log: QuietLog, event: Event, **fields: object) -> None:
         observer.logged(log.node, event.number, fields)
@@ -110,14 +110,18 @@
         observer.logged(log.node, event.number, fields)
 
     def asked(
-        cluster: Cluster, lines: CarrierLines, address: str, message: dict[str, object], number: int
+        cluster: Cluster,
+        lines: ModelRpcClients,
+        address: str,
+        message: dict[str, object],
+        number: int,
     ) -> None:
         data = frame({**message, "ask": number})
         observer.sent(cluster.world.time, MODEL, address, False, data)
         model_carry(cluster, lines, address, message, number)
 
     def given(
-        cluster: Cluster, lines: CarrierLines, number: int, answer: dict[str, object]
+        cluster: Cluster, lines: ModelRpcClients, number: int, answer: dict[str, object]
     ) -> None:
         data = frame({**answer, "answer": number})
         observer.sent(cluster.world.time, MODEL, "", True, data)
--- a/tests/simulated_client.py
+++ b/tests/simulated_client.py
@@ -6,7 +6,7 @@
 
 from observed import GREETING, frame, frames_in, message_in
 
-from ryelock.runtime import Link, TaskCoroutine
+from ryelock.runtime import Connection, TaskCoroutine
 from ryelock.testing.simulated import SimFolder, SimNode, World
 
 # What this file knows of the simulator's names: a rename inside changes this section only.
@@ -82,24 +82,24 @@
     def __init__(self, world: World, host: str = "10.9.0.9") -> None:
         self.world = world
         self.node = outside(world, host)
-        self.link: Link | None = None
+        self.connection: Connection | None = None
         self.buffer = b""
         self.count = 0
 
-    def connect(self, address: str) -> Link:
+    def connect(self, address: str) -> Connection:
         """Open a connection to an address, in place of one to another."""
-        if self.link is None or self.link.ended or self.link.peer != address:
-            self.link = self.node.network.connect(address)
+        if self.connection is None or self.connection.closed or self.connection.peer != address:
+            self.connection = self.node.network.connect(address)
             self.buffer = b""
-        return self.link
+        return self.connection
 
     def run(self, work: TaskCoroutine[bytes]) -> bytes:
         return self.world.task(self.node, work, 60.0)
 
     async def receive(self) -> bool:
         """Add what comes next to the buffer; False at the end or after too long."""
-        assert self.link is not None
-        data = await self.link.receive(SECONDS)
+        assert self.connection is not None
+        data = await self.connection.receive(SECONDS)
         self.buffer += data or b""
         return bool(data)
 
@@ -116,11 +116,11 @@
         return {"answer": shown_answer(answer), "frame": shown_frame(answer, data)}
 
     async def asking(self, address: str, message: Message) -> bytes:
-        fresh = self.link is None or self.link.ended or self.link.peer != address
-        link = self.connect(address)
+        fresh = self.connection is None or self.connection.closed or self.connection.peer != address
+        connection = self.connect(address)
         if fresh:
-            link.write(GREETING)
-        link.write(frame(message))
+            connection.write(GREETING)
+        connection.write(frame(message))
         while True:
             found, self.buffer = frames_in(self.buffer)
             for piece in found:
@@ -133,7 +133,7 @@
         """Send bytes on a connection of their own and return all that comes until it ends."""
 
         async def sending() -> bytes:
-            self.link = None
+            self.connection = None
             self.connect(address).write(data)
             while await self.receive():
                 pass
@@ -152,14 +152,14 @@
     async def calling(
         self, address: str, method: str, target: str, body: bytes, head: str
     ) -> bytes:
-        self.link = None
-        link = self.connect(address)
+        self.connection = None
+        connection = self.connect(address)
         length = f"Content-Length: {len(body)}\r\n" if body or method == "POST" else ""
         text = f"{method} {target} HTTP/1.1\r\nHost: shop.example\r\n{head}{length}\r\n"
-        link.write(text.encode() + body)
+        connection.write(text.encode() + body)
         while not whole_answer(self.buffer, method) and await self.receive():
             pass
-        link.abort()
+        connection.abort()
         return self.buffer
 
 
--- a/tests/simulated_runs.py
+++ b/tests/simulated_runs.py
@@ -19,7 +19,7 @@
     for number, name in enumerate(scenario.edges[:2]):
         edge = f"{scenario.node(name).host}:3"
         key = [(b"Idempotency-Key", b"one-key")]
-        await caller.order(edge, "POST", "/orders/1", f"claim-{number}", key, b"body")
+        await caller.request(edge, "POST", "/orders/1", f"claim-{number}", key, b"body")
     caller.close()
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -9,8 +9,8 @@
 from answers_page import PAGE, played, with_tables
 
 from ryelock.edge.handler import RequestHandler
-from ryelock.edge.orders import Order
-from ryelock.edge.owner import OwnerAsk, Refusal
+from ryelock.edge.orders import Request
+from ryelock.edge.owner import OwnerRequest, Refusal
 from ryelock.edge.servers import Servers
 from ryelock.testing.answer_cases import (
     RUNS_ONCE,
@@ -60,34 +60,36 @@
                 self.assertEqual([], outcome.faults(), f"seed {seed}")
 
 
-class LinkTests(testtools.TestCase):
+class ConnectionTests(testtools.TestCase):
     """Which connection a request goes by."""
 
-    def links_used(self, fleet: AnswerFleet) -> int:
+    def connections_used(self, fleet: AnswerFleet) -> int:
         """Connections that servers were opened so far."""
         return sum(
-            len(node.links) for name, node in fleet.world.nodes.items() if name.startswith("server")
+            len(node.connections)
+            for name, node in fleet.world.nodes.items()
+            if name.startswith("server")
         )
 
     def test_a_request_with_a_new_name_goes_by_a_kept_connection(self) -> None:
         fleet = AnswerFleet(1)
         for number in range(12):
             fleet.ask_now(f"before{number}", "GET", f"/plain/{number}")
-        before = self.links_used(fleet)
+        before = self.connections_used(fleet)
         for number in range(6):
             self.assertEqual(200, fleet.ask_now(f"new{number}", "POST", "/orders/1").status)
-        self.assertLess(self.links_used(fleet) - before, 3)
+        self.assertLess(self.connections_used(fleet) - before, 3)
 
     def test_a_name_that_was_in_use_lately_gets_a_connection_of_its_own(self) -> None:
         """A late answer to the earlier request would bear the same name."""
         fleet = AnswerFleet(2)
         for number in range(12):
             fleet.ask_now(f"before{number}", "GET", f"/plain/{number}")
-        before = self.links_used(fleet)
+        before = self.connections_used(fleet)
         for number in range(6):
             told = fleet.ask_now(f"before{number}", "POST", "/orders/1")
             self.assertEqual(200, told.status)
-        self.assertEqual(6, self.links_used(fleet) - before)
+        self.assertEqual(6, self.connections_used(fleet) - before)
 
     def test_a_late_refusal_under_the_same_name_is_not_believed(self) -> None:
         """The second request of a name goes where the first one's late answer cannot come."""
@@ -97,9 +99,9 @@
             fleet.forget()
             fleet.ask_now(name, "POST", f"/orders/{number}")
             for server in fleet.servers:
-                for link, arrival in server.last.items():
+                for connection, arrival in server.last.items():
                     if arrival.name == name:
-                        link.write(
+                        connection.write(
                             b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n"
                             + DIALECT.identity
                             + b": "
@@ -122,36 +124,36 @@
 def idle_bytes_are_read() -> list[Patch]:
     def kept_link(_servers: Servers, state: Any) -> Any:
         while state.kept:
-            link, reader, _ = state.kept.pop()
-            if not link.ended:
-                return link, reader
+            connection, reader, _ = state.kept.pop()
+            if not connection.closed:
+                return connection, reader
         return None
 
-    return [mock.patch.object(Servers, "kept_link", kept_link)]
+    return [mock.patch.object(Servers, "kept_connection", kept_link)]
 
 
 def sent_again_after_silence() -> list[Patch]:
     plain = RequestHandler.find_route
 
-    def find_route(way: RequestHandler, order: Any) -> Any:
-        route = plain(way, order)
-        order.klass = "repeatable"
+    def find_route(way: RequestHandler, request: Any) -> Any:
+        route = plain(way, request)
+        request.klass = "repeatable"
         return route
 
     return [mock.patch.object(RequestHandler, "find_route", find_route)]
 
 
 def owners_sends_are_not_counted() -> list[Patch]:
-    return [mock.patch.object(Order, "charge_owner", lambda *_arguments: None)]
+    return [mock.patch.object(Request, "charge_owner", lambda *_arguments: None)]
 
 
 def owners_fetch_unasked() -> list[Patch]:
     """No lookup: the fetch is sent to an owner that may not be there."""
 
-    async def look_up(_ask: OwnerAsk) -> Refusal:
+    async def look_up(_ask: OwnerRequest) -> Refusal:
         return Refusal(504, 0)
 
-    return [mock.patch.object(OwnerAsk, "look_up", look_up)]
+    return [mock.patch.object(OwnerRequest, "look_up", look_up)]
 
 
 TAKEN_OUT: tuple[tuple[str, Callable[[], list[Patch]], str], ...] = (
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -12,8 +12,8 @@
     LISTING_DECLINED,
     LISTING_MISSED,
 )
-from ryelock.rpc import HELLO, encode
-from ryelock.runtime import Link
+from ryelock.rpc import HANDSHAKE, encode_frame
+from ryelock.runtime import Connection
 from ryelock.testing.scenario import Scenario
 
 BAD_ASKS: tuple[dict[str, Any], ...] = (
@@ -62,14 +62,14 @@
     def state(self, scenario: Scenario, name: str) -> list[object]:
         core = scenario.node(name).core
         return [
-            core.register.version,
-            core.register.configuration.plain(),
-            core.register.drains,
-            core.register.purge_number,
-            core.consensus.epoch,
+            core.replicated_state.version,
+            core.replicated_state.configuration.plain(),
+            core.replicated_state.drains,
+            core.replicated_state.purge_number,
+            core.consensus.term,
             sorted(core.consensus.voters),
-            sorted(core.roster.members()),
-            {key: duty.plain() for key, duty in core.register.duties.items()},
+            sorted(core.membership.members()),
+            {key: duty.plain() for key, duty in core.replicated_state.singletons.items()},
         ]
 
     def test_bad_frames_and_asks_move_nothing(self) -> None:
@@ -78,25 +78,25 @@
         scenario.world.run(2)
         leader = scenario.leader()
         before = self.state(scenario, leader)
-        good = HELLO + b"".join(
-            encode({**ask, "ask": number}) for number, ask in enumerate(BAD_ASKS)
+        good = HANDSHAKE + b"".join(
+            encode_frame({**ask, "ask": number}) for number, ask in enumerate(BAD_ASKS)
         )
-        wrong = encode({"protocol": "ryelock", "version": 99})
+        wrong = encode_frame({"protocol": "ryelock", "version": 99})
         for payload in (
             good,
             wrong,
             b"GET / HTTP/1.1\r\n\r\n",
             b"\xff" * 64,
-            HELLO + encode({"kind": "council.who"}),
-            HELLO + b"\x00\x00\x00\x02" + cbor2.dumps([1]),
+            HANDSHAKE + encode_frame({"kind": "council.who"}),
+            HANDSHAKE + b"\x00\x00\x00\x02" + cbor2.dumps([1]),
         ):
 
             async def say(payload: bytes = payload) -> None:
-                link = scenario.operators.network.connect(f"{scenario.node(leader).host}:1")
-                await link.open(1.0)
-                link.write(payload)
+                connection = scenario.operators.network.connect(f"{scenario.node(leader).host}:1")
+                await connection.wait_connected(1.0)
+                connection.write(payload)
                 await scenario.operators.scheduler.sleep(0.5)
-                link.close()
+                connection.close()
 
             scenario.world.task(scenario.operators, say(), 5)
         scenario.world.run(3)
@@ -160,7 +160,7 @@
         consensus = scenario.node(name).core.consensus
         self.assertNotEqual(before, consensus.disk)
         self.assertTrue(scenario.world.run_until(lambda: consensus.disk in consensus.voters, 20))
-        self.assertEqual(1, scenario.node(name).core.register.version)
+        self.assertEqual(1, scenario.node(name).core.replicated_state.version)
         self.assertTrue(any(file.startswith("damaged-") for file in folder.names()))
 
     def test_a_bad_listing_changes_nothing(self) -> None:
@@ -191,11 +191,11 @@
         """Something at an address that sends the same piece for ever, whatever it is asked."""
         node = scenario.platform_node
 
-        def greet(link: Link) -> None:
+        def greet(connection: Connection) -> None:
             async def say() -> None:
-                link.write(b"HTTP/1.1 200 OK\r\nX: ")
-                while not link.ended:
-                    link.write(piece)
+                connection.write(b"HTTP/1.1 200 OK\r\nX: ")
+                while not connection.closed:
+                    connection.write(piece)
                     await node.scheduler.sleep(pause)
 
             node.scheduler.create_task(say(), name="speaks for ever")
@@ -217,9 +217,9 @@
     def test_a_platform_that_answers_byte_by_byte_is_given_up_on(self) -> None:
         scenario = Scenario(7)
         scenario.set_up()
-        scenario.platform.listener.stop_taking()
-        for link in list(scenario.platform.listener.links):
-            link.abort()
+        scenario.platform.listener.stop_accepting()
+        for connection in list(scenario.platform.listener.connections):
+            connection.abort()
         self.speaks(scenario, scenario.platform.address, b"a", 0.2)
         scenario.world.run(4)
         leader = scenario.leader()
--- a/tests/test_caller_leaves.py
+++ b/tests/test_caller_leaves.py
@@ -5,9 +5,9 @@
 
 from deployment import HOST, Deployment
 from ryelock.edge.process import TrafficNode
-from ryelock.http import send_order
-from ryelock.runtime import Link
-from ryelock.runtime.reactor import Reactor, SocketLink
+from ryelock.http import send_request
+from ryelock.runtime import Connection
+from ryelock.runtime.reactor import Reactor, SocketConnection
 from ryelock.testing.hosting_platform import Arrival, Manner
 from ryelock.testing.platform_clients import SAFE
 
@@ -24,7 +24,7 @@
         self.deployment = deployment
         self.edge = edge
         self.identity = identity
-        self.link: Link | None = None
+        self.connection: Connection | None = None
 
     def send(self, method: bytes, target: bytes, body: bytes = b"") -> None:
         """Open a connection, send a request, and let it be worked on for a while."""
@@ -32,18 +32,18 @@
 
     async def sending(self, method: bytes, target: bytes, body: bytes) -> None:
         outside = self.deployment.outside
-        self.link = outside.network.connect(self.deployment.entrance.fronts[self.edge])
-        await self.link.open(1.0)
+        self.connection = outside.network.connect(self.deployment.entrance.fronts[self.edge])
+        await self.connection.wait_connected(1.0)
         fields = [
             (b"Host", HOST.encode()),
             (b"Attempt-Id", self.identity.encode()),
             (b"Deadline-Remaining", b"20000"),
         ]
-        send_order(self.link, method, target, fields, body)
+        send_request(self.connection, method, target, fields, body)
 
     def leave(self) -> None:
-        assert self.link is not None
-        self.link.abort()
+        assert self.connection is not None
+        self.connection.abort()
 
 
 def slow_deployment(seed: int) -> Deployment:
@@ -117,8 +117,8 @@
         assert node.handler is not None
         states = node.handler.servers.by_service["pages"]
         self.assertEqual([0] * len(states), [state.failures for state in states])
-        self.assertEqual([0] * len(states), [state.flight for state in states])
-        self.assertEqual(0, node.handler.gates["pages"].flight)
+        self.assertEqual([0] * len(states), [state.in_flight for state in states])
+        self.assertEqual(0, node.handler.gates["pages"].in_flight)
         deployment.services["pages"].work_seconds = 0.02
         self.assertEqual(200, deployment.ask(SAFE, "GET", "/plain/b", edge=edge).status)
 
@@ -168,12 +168,12 @@
         plain.setblocking(False)
         peer.settimeout(10.0)
         reactor = Reactor(lambda name, error: self.fail(f"{name}: {error!r}"))
-        link = SocketLink(reactor, plain, "peer:1")
-        link.opened = True
-        reactor.links[plain] = link
-        link.want_read(True)
-        link.write(b"a request")
-        getattr(link, ending)()
+        connection = SocketConnection(reactor, plain, "peer:1")
+        connection.connected = True
+        reactor.connections[plain] = connection
+        connection.want_read(True)
+        connection.write(b"a request")
+        getattr(connection, ending)()
         with peer:
             try:
                 while peer.recv(100):
--- a/tests/test_checked.py
+++ b/tests/test_checked.py
@@ -9,17 +9,23 @@
 import testtools
 
 from ryelock.events import CATALOGUE, catalogue_page
-from ryelock.membership import listing_of
-from ryelock.replicated_state import Configuration, Register, encode_word, merge_change, plan_of
-from ryelock.rpc import FrameError, Frames, encode
-from ryelock.settings import Env, EnvError, read_env, settings_of
-from ryelock.singleton import Duty, next_duty
+from ryelock.membership import decode_server_list
+from ryelock.replicated_state import (
+    Configuration,
+    ReplicatedState,
+    encode_command,
+    merge_change,
+    plan_of,
+)
+from ryelock.rpc import FrameDecoder, FrameError, encode_frame
+from ryelock.settings import Settings, SettingsError, declared_settings, read_settings
+from ryelock.singleton import SingletonRole, next_assignment
 from ryelock.testing.cases import CASES
 from ryelock.testing.finals import FINALS
 from ryelock.testing.schedules import run_schedule
 
 ROOT = Path(__file__).parent.parent
-ORDER = [
+REQUEST = [
     "runtime",
     "settings",
     "events",
@@ -66,8 +72,8 @@
 class CheckedTests(testtools.TestCase):
     def test_every_fault_of_settings_is_named(self) -> None:
         error = self.assertRaises(
-            EnvError,
-            read_env,
+            SettingsError,
+            read_settings,
             "core",
             "",
             {
@@ -87,8 +93,8 @@
         )
         for seeds in ("", "1.2.3.4:1,1.2.3.4:2,1.2.3.4:3,1.2.3.4:4", "1.2.3.4"):
             error = self.assertRaises(
-                EnvError,
-                read_env,
+                SettingsError,
+                read_settings,
                 "core",
                 "",
                 {
@@ -157,11 +163,11 @@
         )
 
     def test_the_same_id_gets_the_first_outcome(self) -> None:
-        register = Register()
+        replicated_state = ReplicatedState()
 
         def say(index: int, identity: str, **given: object) -> dict[str, object]:
-            outcome = register.apply(
-                index, encode_word("change", id=identity, change={"id": identity, **given})
+            outcome = replicated_state.apply(
+                index, encode_command("change", id=identity, change={"id": identity, **given})
             )
             assert isinstance(outcome, dict)
             return outcome
@@ -171,10 +177,10 @@
         self.assertEqual("conflict", say(3, "b", base=1, put=GOOD)["status"])
         again = say(4, "a", base=0, put=GOOD)
         self.assertEqual(("accepted", 1, True), (again["status"], again["version"], again["again"]))
-        other = Register()
-        other.restore(register.image())
-        self.assertEqual(register.image(), other.image())
-        self.assertEqual(register.configuration, other.configuration)
+        other = ReplicatedState()
+        other.restore(replicated_state.snapshot())
+        self.assertEqual(replicated_state.snapshot(), other.snapshot())
+        self.assertEqual(replicated_state.configuration, other.configuration)
 
     def test_a_patch_is_planned_and_taken_whole_or_declined(self) -> None:
         current = merge_change(Configuration(), change(put=GOOD)).ok
@@ -206,25 +212,25 @@
         self.assertTrue(merge_change(current, change(patch=patch, put={})).is_error())
 
     def test_words_nobody_can_read_move_nothing(self) -> None:
-        register = Register()
-        before = register.image()
+        replicated_state = ReplicatedState()
+        before = replicated_state.snapshot()
         for number, data in enumerate(
             (
-                encode_word("change"),
-                encode_word("nothing"),
+                encode_command("change"),
+                encode_command("nothing"),
                 b"\x01",
-                encode_word("duty", name="x"),
-                encode_word("purge", scopes=[{"path": 3}]),
-                encode_word("decision", verdict={}),
+                encode_command("duty", name="x"),
+                encode_command("purge", scopes=[{"path": 3}]),
+                encode_command("decision", verdict={}),
             )
         ):
-            register.apply(number, data)
-            register.index = 0
-        self.assertEqual(before, register.image())
+            replicated_state.apply(number, data)
+            replicated_state.index = 0
+        self.assertEqual(before, replicated_state.snapshot())
 
     def test_listings_are_taken_whole_or_not(self) -> None:
         good = b'{"servers":[{"service":"a","address":"1.2.3.4:5","zone":"z","incarnation":1}]}'
-        self.assertTrue(listing_of(good).is_ok())
+        self.assertTrue(decode_server_list(good).is_ok())
         for old, new in (
             (b'"a"', b"3"),
             (b"1.2.3.4:5", b"host:5"),
@@ -233,12 +239,12 @@
             (b"}]}", b',"leaving":2}]}'),
             (b'{"s', b'["s'),
         ):
-            self.assertTrue(listing_of(good.replace(old, new)).is_error(), new)
+            self.assertTrue(decode_server_list(good.replace(old, new)).is_error(), new)
 
     def test_frames_that_are_none_are_declined(self) -> None:
-        whole = encode({"a": 1}) + encode({"b": [2]})
+        whole = encode_frame({"a": 1}) + encode_frame({"b": [2]})
         for size in range(1, len(whole)):
-            frames = Frames()
+            frames = FrameDecoder()
             found = frames.feed(whole[:size]) + frames.feed(whole[size:])
             self.assertEqual([{"a": 1}, {"b": [2]}], found)
         for bad in (
@@ -247,32 +253,34 @@
             b"\x00\x00\x00\x01\x01",
             b"\x00\x00\x00\x03\xa1\x01\x01",
         ):
-            self.assertRaises(FrameError, Frames().feed, bad)
+            self.assertRaises(FrameError, FrameDecoder().feed, bad)
 
     def test_duties_pass_to_the_named_successor(self) -> None:
-        first = next_duty(None, "x", ["b", "a"])
+        first = next_assignment(None, "x", ["b", "a"])
         assert first is not None
-        self.assertEqual(("a", "b", 1), (first.holder, first.successor, first.epoch))
-        self.assertIsNone(next_duty(first, "x", ["a", "b"]))
-        passed = next_duty(first, "x", ["a", "b", "c"], ["a"])
+        self.assertEqual(("a", "b", 1), (first.owner, first.successor, first.fencing_token))
+        self.assertIsNone(next_assignment(first, "x", ["a", "b"]))
+        passed = next_assignment(first, "x", ["a", "b", "c"], ["a"])
         assert passed is not None
-        self.assertEqual(("b", "c", 2), (passed.holder, passed.successor, passed.epoch))
-        lost = next_duty(Duty("x", "a", 4, "b"), "x", ["c"])
+        self.assertEqual(("b", "c", 2), (passed.owner, passed.successor, passed.fencing_token))
+        lost = next_assignment(SingletonRole("x", "a", 4, "b"), "x", ["c"])
         assert lost is not None
-        self.assertEqual(("c", "", 5), (lost.holder, lost.successor, lost.epoch))
-        self.assertIsNone(next_duty(first, "x", []))
+        self.assertEqual(("c", "", 5), (lost.owner, lost.successor, lost.fencing_token))
+        self.assertIsNone(next_assignment(first, "x", []))
 
 
 class KeptToTests(testtools.TestCase):
     def sources(self) -> list[tuple[str, Path]]:
         return [
             (package, file)
-            for package in ORDER
+            for package in REQUEST
             for file in sorted((ROOT / "packages" / package).rglob("*.py"))
         ]
 
     def test_packages_import_only_those_before_them(self) -> None:
-        self.assertEqual(sorted(ORDER), sorted(path.name for path in (ROOT / "packages").iterdir()))
+        self.assertEqual(
+            sorted(REQUEST), sorted(path.name for path in (ROOT / "packages").iterdir())
+        )
         for package, file in self.sources():
             for node in ast.walk(ast.parse(file.read_text())):
                 names = (
@@ -286,7 +294,7 @@
                     if name.startswith("ryelock."):
                         used = name.split(".")[1]
                         self.assertLessEqual(
-                            ORDER.index(used), ORDER.index(package), f"{file} imports {name}"
+                            REQUEST.index(used), REQUEST.index(package), f"{file} imports {name}"
                         )
                     if name.startswith("circuits"):
                         self.assertIn(package, ("runtime", "http"), str(file))
@@ -328,7 +336,7 @@
         numbers = [event.number for event in CATALOGUE]
         self.assertEqual(len(numbers), len(set(numbers)))
         page = (ROOT / "docs" / "settings.md").read_text()
-        for key, setting in settings_of(Env).items():
+        for key, setting in declared_settings(Settings).items():
             self.assertIn(f"| `{key}` |", page)
             self.assertIn(setting.note, page)
 
@@ -354,7 +362,7 @@
                 "RequestHandler.serve",
                 "python -m ryelock.testing finals",
             ):
-                self.assertTrue(name in ORDER or (ROOT / name).exists(), name)
+                self.assertTrue(name in REQUEST or (ROOT / name).exists(), name)
 
 
 class ScheduleTests(testtools.TestCase):
--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -6,7 +6,7 @@
 from test_replication import Lab
 
 from ryelock.consensus.compaction import Compaction, journal_bytes_most
-from ryelock.consensus.entries import WORD, Entry
+from ryelock.consensus.entries import COMMAND, Entry
 from ryelock.consensus.node import Consensus
 from ryelock.journal import FolderError, Journal
 from ryelock.testing.simulated import SimFolder
@@ -43,7 +43,7 @@
         self.word = data[:4]
         return None
 
-    def image(self) -> bytes:
+    def snapshot(self) -> bytes:
         return self.word
 
     def restore(self, data: bytes) -> None:
@@ -52,11 +52,11 @@
 
 def taken(disk_bytes: int, records: int) -> tuple[int, Consensus]:
     """How many large words one member takes before its disk declines one."""
-    lab = Lab(image_records=1000, disk_bytes=disk_bytes)
+    lab = Lab(snapshot_records=1000, disk_bytes=disk_bytes)
     consensus = lab.consensus("follower", SmallDisk())
-    consensus.machine = LastWord()
+    consensus.state_machine = LastWord()
     for index in range(1, records + 1):
-        entry = Entry(index, 1, WORD, index.to_bytes(4, "big") * (RECORD_BYTES // 4))
+        entry = Entry(index, 1, COMMAND, index.to_bytes(4, "big") * (RECORD_BYTES // 4))
         if not consensus.store([entry]):
             return index - 1, consensus
         consensus.advance(index)
@@ -83,21 +83,21 @@
         self.assertEqual(4_194_304, journal_bytes_most(0, 0))
         self.assertEqual(20 * MEGABYTE, journal_bytes_most(10 * MEGABYTE, 0))
         self.assertEqual(12 * MEGABYTE, journal_bytes_most(10 * MEGABYTE, 64 * MEGABYTE))
-        for image in range(0, 14 * MEGABYTE, MEGABYTE):
-            most = journal_bytes_most(image, 64 * MEGABYTE)
-            self.assertTrue(2 * image + most <= 32 * MEGABYTE, image)
+        for snapshot in range(0, 14 * MEGABYTE, MEGABYTE):
+            most = journal_bytes_most(snapshot, 64 * MEGABYTE)
+            self.assertTrue(2 * snapshot + most <= 32 * MEGABYTE, snapshot)
 
     def test_a_failed_image_is_not_tried_again_at_once(self) -> None:
-        lab = Lab(image_records=100)
+        lab = Lab(snapshot_records=100)
         consensus = lab.follower
         tried: list[int] = []
 
-        def write_image(journal: Journal, _image: bytes, _records: list[bytes]) -> object:
+        def write_image(journal: Journal, _snapshot: bytes, _records: list[bytes]) -> object:
             tried.append(journal.written)
             return journal.failed(FolderError("no space left on device"))
 
-        with mock.patch.object(Journal, "write_image", write_image):
+        with mock.patch.object(Journal, "write_snapshot", write_image):
             for index in range(1, 201):
-                self.assertTrue(consensus.store([Entry(index, 1, WORD, b"word")]))
+                self.assertTrue(consensus.store([Entry(index, 1, COMMAND, b"word")]))
                 consensus.advance(index)
         self.assertTrue(1 < len(tried) < 12, tried)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -37,7 +37,7 @@
     return handler
 
 
-class CouncilTests(testtools.TestCase):
+class ConsensusTests(testtools.TestCase):
     def lost_disk_and_leader(self, seed: int) -> tuple[Scenario, str]:
         """One voter behind, one disk lost, the leader away: no majority knows the last word."""
         scenario = Scenario(seed, edges=1, probers=0)
@@ -74,8 +74,8 @@
     def test_without_disk_names_the_last_word_is_lost(self) -> None:
         with (
             mock.patch.object(Consensus, "on_vote", deaf_to_names(Consensus.on_vote)),
-            mock.patch.object(Consensus, "on_beat", deaf_to_names(Consensus.on_beat)),
-            mock.patch.object(Consensus, "on_image", deaf_to_names(Consensus.on_image)),
+            mock.patch.object(Consensus, "on_heartbeat", deaf_to_names(Consensus.on_heartbeat)),
+            mock.patch.object(Consensus, "on_snapshot", deaf_to_names(Consensus.on_snapshot)),
         ):
             scenario, _ = self.lost_disk_and_leader(1)
             self.assertNotEqual("", scenario.leader())
@@ -127,8 +127,8 @@
             scenario.set_up()
             scenario.world.run(3)
             leader = scenario.leader()
-            duty = scenario.node(leader).core.register.duties["aggregator"]
-            for name in dict.fromkeys([duty.holder, leader]):
+            duty = scenario.node(leader).core.replicated_state.singletons["aggregator"]
+            for name in dict.fromkeys([duty.owner, leader]):
                 node = scenario.node(name)
                 scenario.world.task(node, node.core.stop(), 20)
                 scenario.world.kill(name)
@@ -141,11 +141,14 @@
                     ),
                     f"seed {seed}: no leader at once",
                 )
-                register = scenario.node(scenario.leader()).core.register
-                if name == duty.holder:
+                replicated_state = scenario.node(scenario.leader()).core.replicated_state
+                if name == duty.owner:
                     self.assertEqual(
-                        (duty.successor, duty.epoch + 1),
-                        (register.duties["aggregator"].holder, register.duties["aggregator"].epoch),
+                        (duty.successor, duty.fencing_token + 1),
+                        (
+                            replicated_state.singletons["aggregator"].owner,
+                            replicated_state.singletons["aggregator"].fencing_token,
+                        ),
                     )
                 scenario.start(name)
                 scenario.world.run(4)
--- a/tests/test_consensus_model.py
+++ b/tests/test_consensus_model.py
@@ -140,13 +140,13 @@
 @given(
     seed=st.integers(0, 1 << 20),
     machines=st.integers(2, 5),
-    image_records=st.sampled_from((8, 30, 1000)),
+    snapshot_records=st.sampled_from((8, 30, 1000)),
     steps=STEPS,
 )
 def test_drawn_steps_break_no_invariant(
-    seed: int, machines: int, image_records: int, steps: list[Step]
+    seed: int, machines: int, snapshot_records: int, steps: list[Step]
 ) -> None:
-    violation = run_schedule(Schedule(seed, machines, image_records, tuple(steps)))
+    violation = run_schedule(Schedule(seed, machines, snapshot_records, tuple(steps)))
     assert violation is None, violation
 
 
--- a/tests/test_control_cases.py
+++ b/tests/test_control_cases.py
@@ -9,9 +9,9 @@
 
 from ryelock.consensus import Consensus
 from ryelock.control_plane import renewals
-from ryelock.control_plane.leading import Leading
+from ryelock.control_plane.leading import OperatorRequests
 from ryelock.journal import FolderError
-from ryelock.replicated_state import Register, outcomes
+from ryelock.replicated_state import ReplicatedState, outcomes
 from ryelock.replicated_state.outcomes import Outcomes
 from ryelock.testing.control_cases import CONTROL_CASES, ISOLATIONS, route_change
 from ryelock.testing.scenario import Scenario
@@ -22,7 +22,7 @@
 DISK_WRITES = ("append", "sync", "truncate", "write_whole")
 
 
-async def confirmed_at_once(_council: Consensus, _seconds: float) -> bool:
+async def confirmed_at_once(_consensus: Consensus, _seconds: float) -> bool:
     """A leader that trusts its own word instead of a majority's answer."""
     return True
 
@@ -33,17 +33,17 @@
     def held_since(consensus: Consensus) -> float:
         return consensus.scheduler.now()
 
-    return [mock.patch.object(Consensus, "held_since", held_since)]
+    return [mock.patch.object(Consensus, "majority_contact_at", held_since)]
 
 
 def refusals_without_confirmation() -> list[Patch]:
-    plain = Leading.drain
+    plain = OperatorRequests.drain
 
-    async def drain(leading: Leading, on: bool, given: Any) -> Any:
-        with mock.patch.object(Consensus, "confirm", confirmed_at_once):
+    async def drain(leading: OperatorRequests, on: bool, given: Any) -> Any:
+        with mock.patch.object(Consensus, "confirm_leadership", confirmed_at_once):
             return await plain(leading, on, given)
 
-    return [mock.patch.object(Leading, "drain", drain)]
+    return [mock.patch.object(OperatorRequests, "drain", drain)]
 
 
 class CaseTests(testtools.TestCase):
@@ -72,7 +72,7 @@
             self.assertEqual([], self.found("isolated-follower", seed, []))
 
     def test_reads_without_confirmation_are_served_in_isolation(self) -> None:
-        patches = [mock.patch.object(Consensus, "confirm", confirmed_at_once)]
+        patches = [mock.patch.object(Consensus, "confirm_leadership", confirmed_at_once)]
         self.breaks("isolated-leader", lambda: [*never_deposed(), *patches], "isolated answers")
 
     def test_a_leader_that_is_never_deposed_hands_out_old_state(self) -> None:
@@ -84,15 +84,15 @@
 
 def no_version_check() -> list[Patch]:
     """A change is taken whatever version it builds on."""
-    plain = Register.change
+    plain = ReplicatedState.change
 
-    def change(register: Register, word: Any) -> Any:
+    def change(replicated_state: ReplicatedState, word: Any) -> Any:
         asked = dict(word["change"])
-        asked["base"] = register.version
-        asked["version"] = register.version + 1
-        return plain(register, {**word, "change": asked})
+        asked["base"] = replicated_state.version
+        asked["version"] = replicated_state.version + 1
+        return plain(replicated_state, {**word, "change": asked})
 
-    return [mock.patch.object(Register, "change", change)]
+    return [mock.patch.object(ReplicatedState, "change", change)]
 
 
 def no_memory() -> list[Patch]:
--- a/tests/test_derived.py
+++ b/tests/test_derived.py
@@ -12,16 +12,16 @@
 from ryelock.edge.servers import Servers
 from ryelock.edge.targets import Probing
 from ryelock.events import WATCH_DERIVED, WATCH_ENDED
-from ryelock.health import History, Row, Rules, Target, gone_watches, judge, watch_mark
-from ryelock.http import Dialect, Exchange, Fields, field
-from ryelock.membership import Listing, Server, Session
-from ryelock.replicated_state import Register, Watch, encode_word
-from ryelock.settings import read_env
+from ryelock.health import History, ProbeResult, Rules, Target, evaluate, gone_watches, watch_mark
+from ryelock.http import Fields, HttpExchange, ProtocolProfile, field
+from ryelock.membership import Server, ServerList, Session
+from ryelock.replicated_state import ReplicatedState, Watch, encode_command
+from ryelock.settings import read_settings
 from ryelock.testing.scenario import CONFIGURATION, Scenario
 from ryelock.testing.simulated import SimNode, World
 from ryelock.testing.standins import ServerStandIn
 
-DIALECT = Dialect(
+DIALECT = ProtocolProfile(
     identity=b"X-Order-Identity",
     deadline=b"Deadline-Remaining",
     seal=b"Server-Seal",
@@ -55,10 +55,10 @@
 plain_serve = ServerStandIn.serve
 
 
-def speaking_build(world: World, node: SimNode, role: str, env: Any) -> Any:
+def speaking_build(world: World, node: SimNode, role: str, settings: Any) -> Any:
     if role == "core":
-        return build(world, node, role, env)
-    return TrafficNode(role, env, node.scheduler, node.network, node.log, node.random, DIALECT)
+        return build(world, node, role, settings)
+    return TrafficNode(role, settings, node.scheduler, node.network, node.log, node.random, DIALECT)
 
 
 def sealed_fields(server: ServerStandIn, target: str, revision: int) -> Fields:
@@ -92,11 +92,11 @@
         scenario.start_callers(callers, 3.0, 0)
 
     @property
-    def register(self) -> Register:
-        return self.scenario.node(self.scenario.leader()).core.register
+    def replicated_state(self) -> ReplicatedState:
+        return self.scenario.node(self.scenario.leader()).core.replicated_state
 
     def word(self, zone: str) -> str:
-        zones: Any = self.register.verdict.get("zones", {})
+        zones: Any = self.replicated_state.verdict.get("zones", {})
         return str(zones.get(zone, {}).get("verdict", ""))
 
     def until(self, done: Any, seconds: float) -> bool:
@@ -105,13 +105,13 @@
         )
 
     def change(self, **parts: object) -> None:
-        version = self.register.version
+        version = self.replicated_state.version
         status, answer = self.scenario.ask_now(
             "POST", "/changes", {"id": f"derived-{version}", "base": version, **parts}
         )
         assert status == 200, answer
 
-    def rows(self) -> list[tuple[str, Row]]:
+    def rows(self) -> list[tuple[str, ProbeResult]]:
         found = []
         for name in self.scenario.edges:
             prober = self.scenario.node(name).traffic.prober
@@ -156,11 +156,11 @@
 class MadeUpTests(DerivedCase):
     def test_a_watch_is_made_up_of_what_was_served(self) -> None:
         fleet = Derived(1)
-        self.assertTrue(fleet.until(lambda: fleet.register.derived, 10))
-        watch = fleet.register.derived["covers"]
+        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
+        watch = fleet.replicated_state.derived["covers"]
         self.assertEqual(("covers", "etag"), (watch.route, watch.dating))
         self.assertTrue(watch.object.startswith("/covers/"))
-        self.assertEqual(["covers"], list(fleet.register.derived))
+        self.assertEqual(["covers"], list(fleet.replicated_state.derived))
         self.assertTrue(
             fleet.until(
                 lambda: fleet.word("zone0") == "healthy" and fleet.word("zone1") == "healthy", 20
@@ -172,7 +172,14 @@
             for name in fleet.scenario.alive(fleet.scenario.cores + fleet.scenario.edges)
         ]
         self.assertEqual(
-            1, len({repr(node.inner.register.watches) for node in nodes if node.inner is not None})
+            1,
+            len(
+                {
+                    repr(node.inner.replicated_state.watches)
+                    for node in nodes
+                    if node.inner is not None
+                }
+            ),
         )
         for name in fleet.scenario.edges:
             way = fleet.scenario.node(name).traffic.handler
@@ -187,49 +194,49 @@
     def test_nothing_is_made_up_where_it_is_not_wanted(self) -> None:
         fleet = Derived(2, derive_watches=False)
         fleet.scenario.world.run(8)
-        self.assertEqual({}, fleet.register.derived)
+        self.assertEqual({}, fleet.replicated_state.derived)
         self.assertEqual([], fleet.rows())
         self.holds(fleet)
 
     def test_a_watch_ends_with_its_route_and_gives_way_to_an_operators(self) -> None:
         fleet = Derived(3)
-        self.assertTrue(fleet.until(lambda: fleet.register.derived, 10))
-        first = watch_mark(fleet.register.derived["covers"])
+        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
+        first = watch_mark(fleet.replicated_state.derived["covers"])
         fleet.change(put={"routes": {"plain": {**ROUTES["plain"], "share": 0.9}}})
-        self.assertEqual(first, watch_mark(fleet.register.derived["covers"]))
+        self.assertEqual(first, watch_mark(fleet.replicated_state.derived["covers"]))
         fleet.change(put={"routes": {"covers": {**ROUTES["covers"], "lifetime_seconds": 3}}})
-        self.assertTrue(fleet.until(lambda: fleet.register.derived, 10))
-        self.assertNotEqual(first, watch_mark(fleet.register.derived["covers"]))
+        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
+        self.assertNotEqual(first, watch_mark(fleet.replicated_state.derived["covers"]))
         fleet.change(put={"watches": {"own": {"route": "plain", "object": "/plain/1"}}})
         fleet.scenario.world.run(3)
-        self.assertEqual(["own"], list(fleet.register.watches))
+        self.assertEqual(["own"], list(fleet.replicated_state.watches))
         fleet.change(remove={"watches": ["own"]})
-        self.assertTrue(fleet.until(lambda: fleet.register.derived, 10))
+        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
         fleet.change(put={"routes": {"covers": {"path": "/covers", "service": "pages"}}})
         fleet.scenario.world.run(3)
-        self.assertEqual({}, fleet.register.watches)
+        self.assertEqual({}, fleet.replicated_state.watches)
         self.holds(fleet)
 
     def test_an_object_that_is_gone_is_replaced_and_no_zone_is_down(self) -> None:
         gone: set[str] = set()
 
-        async def serve(server: ServerStandIn, exchange: Exchange) -> None:
+        async def serve(server: ServerStandIn, exchange: HttpExchange) -> None:
             if exchange.head.target.decode() in gone:
                 identity = field(exchange.head.fields, b"x-order-identity") or b""
                 named = [(b"X-Order-Identity", identity)] if identity else []
-                await exchange.answer(404, named, b"")
+                await exchange.respond(404, named, b"")
                 return
             await plain_serve(server, exchange)
 
         with mock.patch.object(ServerStandIn, "serve", serve):
             fleet = Derived(4)
             self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "healthy", 20))
-            gone.add(fleet.register.derived["covers"].object)
+            gone.add(fleet.replicated_state.derived["covers"].object)
             self.assertTrue(
                 fleet.until(
                     lambda: (
-                        fleet.register.derived
-                        and fleet.register.derived["covers"].object not in gone
+                        fleet.replicated_state.derived
+                        and fleet.replicated_state.derived["covers"].object not in gone
                     ),
                     30,
                 )
@@ -252,7 +259,7 @@
         for name in fleet.scenario.edges:
             prober = fleet.scenario.node(name).traffic.prober
             assert prober is not None
-            prober.dialect = Dialect(seal=b"Another-Seal")
+            prober.dialect = ProtocolProfile(seal=b"Another-Seal")
         fleet.scenario.world.run(6)
         late = [
             row
@@ -266,13 +273,13 @@
         )
 
     def test_a_crowd_at_the_servers_makes_no_zone_down(self) -> None:
-        async def serve(server: ServerStandIn, exchange: Exchange) -> None:
+        async def serve(server: ServerStandIn, exchange: HttpExchange) -> None:
             if server.manner != "full":
                 await plain_serve(server, exchange)
                 return
             identity = field(exchange.head.fields, b"x-order-identity") or b""
             named = [(b"X-Order-Identity", identity)] if identity else []
-            await exchange.answer(503, [*named, (b"Not-Executed", b"1")], b"")
+            await exchange.respond(503, [*named, (b"Not-Executed", b"1")], b"")
 
         for tells, wanted in ((True, "healthy"), (False, "down")):
             with (
@@ -325,8 +332,8 @@
         )
         for server in fleet.scenario.servers.values():
             server.lifetime = "max-age=3"
-        self.assertTrue(fleet.until(lambda: fleet.register.derived, 10))
-        target = fleet.register.derived["covers"].object
+        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
+        target = fleet.replicated_state.derived["covers"].object
         fleet.scenario.world.run(8)
         self.assertNotEqual("stale", fleet.word("zone0"))
         with mock.patch("ryelock.edge.handler.may_use", never_ends):
@@ -334,12 +341,12 @@
             self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "stale", 30))
 
 
-class RegisterTests(testtools.TestCase):
-    def register(self) -> Register:
-        register = Register()
-        register.apply(
+class ReplicatedStateTests(testtools.TestCase):
+    def replicated_state(self) -> ReplicatedState:
+        replicated_state = ReplicatedState()
+        replicated_state.apply(
             1,
-            encode_word(
+            encode_command(
                 "change",
                 id="a",
                 change={
@@ -361,7 +368,7 @@
                 },
             ),
         )
-        return register
+        return replicated_state
 
     def test_a_word_comes_to_the_same_everywhere(self) -> None:
         places = {
@@ -371,24 +378,24 @@
             "none": ["", "/none"],
             "hosted": ["", "/h/1"],
         }
-        one, other = self.register(), self.register()
-        one.apply(2, encode_word("derived", places=places))
-        other.apply(2, encode_word("derived", places=dict(reversed(places.items()))))
+        one, other = self.replicated_state(), self.replicated_state()
+        one.apply(2, encode_command("derived", places=places))
+        other.apply(2, encode_command("derived", places=dict(reversed(places.items()))))
         self.assertEqual(["albums"], list(one.derived))
-        self.assertEqual(one.image(), other.image())
-        restored = Register()
-        restored.restore(one.image())
+        self.assertEqual(one.snapshot(), other.snapshot())
+        restored = ReplicatedState()
+        restored.restore(one.snapshot())
         self.assertEqual(
-            (one.image(), one.watches, one.derivable),
-            (restored.image(), restored.watches, restored.derivable),
+            (one.snapshot(), one.watches, one.derivable),
+            (restored.snapshot(), restored.watches, restored.derivable),
         )
-        one.apply(3, encode_word("derived", places={"hosted": ["shop.example", "/h/1"]}))
+        one.apply(3, encode_command("derived", places={"hosted": ["shop.example", "/h/1"]}))
         self.assertEqual(({"hosted"}, {"covers", "albums"}), (set(one.derived), one.derivable))
 
     def test_a_word_nobody_can_read_moves_nothing(self) -> None:
-        register = self.register()
-        register.apply(2, encode_word("derived", places={"covers": ["", "/covers/1"]}))
-        before = register.image()
+        replicated_state = self.replicated_state()
+        replicated_state.apply(2, encode_command("derived", places={"covers": ["", "/covers/1"]}))
+        before = replicated_state.snapshot()
         unreadable: tuple[object, ...] = (
             None,
             3,
@@ -398,27 +405,28 @@
             {"covers": []},
         )
         for places in unreadable:
-            register.apply(2, encode_word("derived", places=places))
-            self.assertEqual(before, register.image())
+            replicated_state.apply(2, encode_command("derived", places=places))
+            self.assertEqual(before, replicated_state.snapshot())
 
     def test_an_image_of_before_has_no_made_up_watches(self) -> None:
-        register = self.register()
-        shared = register.shared
+        replicated_state = self.replicated_state()
+        shared = replicated_state.shared
         with mock.patch.object(
-            Register,
+            ReplicatedState,
             "shared",
             lambda _register: {key: value for key, value in shared().items() if key != "derived"},
         ):
-            image = register.image()
-        register.restore(image)
+            snapshot = replicated_state.snapshot()
+        replicated_state.restore(snapshot)
         self.assertEqual(
-            ({}, {"albums", "covers", "hosted"}), (register.derived, register.derivable)
+            ({}, {"albums", "covers", "hosted"}),
+            (replicated_state.derived, replicated_state.derivable),
         )
 
 
 class JudgeTests(testtools.TestCase):
-    def row(self, number: int, edge: str, error: str, outside: bool = False) -> Row:
-        row = Row(
+    def row(self, number: int, edge: str, error: str, outside: bool = False) -> ProbeResult:
+        row = ProbeResult(
             f"p{number % 2}",
             f"m{number % 2}",
             number,
@@ -435,7 +443,7 @@
         row.error = error
         return row
 
-    def history(self, *rows: Row) -> History:
+    def history(self, *rows: ProbeResult) -> History:
         history = History(600.0)
         for row in rows:
             history.add(row)
@@ -449,7 +457,7 @@
 
         def found() -> str:
             return (
-                judge({"a": ["e"]}, {"w": WATCH}, {"a": 1.0}, False, history, Rules(), 12.0)
+                evaluate({"a": ["e"]}, {"w": WATCH}, {"a": 1.0}, False, history, Rules(), 12.0)
                 .zones["a"]
                 .verdict
             )
@@ -572,7 +580,7 @@
         )
 
     def picked(self, verdicts: dict[str, str], spread: bool, *zones: str) -> set[str]:
-        env = read_env(
+        settings = read_settings(
             "edge",
             "",
             {
@@ -588,10 +596,10 @@
         )
         world = World(1)
         node = world.add("e", "e", "10.0.0.9")
-        servers = Servers(node.scheduler, node.log, env, node.random)
+        servers = Servers(node.scheduler, node.log, settings, node.random)
         names = dict(zip(("10.0.1.1:80", "10.0.1.2:80"), ("near", "other"), strict=True))
         servers.take(
-            Listing(
+            ServerList(
                 "s",
                 1,
                 [
--- a/tests/test_edge_catchup.py
+++ b/tests/test_edge_catchup.py
@@ -8,10 +8,10 @@
 import testtools
 from test_replication import Lab
 
-from ryelock.consensus.entries import NOTE, WORD, Entry
+from ryelock.consensus.entries import COMMAND, INTERNAL, Entry
 from ryelock.consensus.node import Consensus
-from ryelock.control_plane.renewals import WORDS_BYTES_SMALL, Renewals
-from ryelock.replicated_state import Register, encode_word
+from ryelock.control_plane.renewals import WORDS_BYTES_SMALL, LeaseRenewals
+from ryelock.replicated_state import ReplicatedState, encode_command
 
 
 def route_change(number: int, routes: int) -> dict[str, object]:
@@ -33,24 +33,24 @@
 def leader_with(changes: int, routes: int) -> Consensus:
     lab = Lab()
     consensus = lab.leader
-    consensus.machine = Register()
+    consensus.state_machine = ReplicatedState()
     for number in range(changes):
-        word = encode_word("change", id=f"c{number}", change=route_change(number, routes))
-        assert consensus.store([Entry(number + 1, 1, WORD, word)])
+        word = encode_command("change", id=f"c{number}", change=route_change(number, routes))
+        assert consensus.store([Entry(number + 1, 1, COMMAND, word)])
         consensus.advance(number + 1)
-    assert isinstance(consensus.machine, Register)
-    assert consensus.machine.version == changes
+    assert isinstance(consensus.state_machine, ReplicatedState)
+    assert consensus.state_machine.version == changes
     return consensus
 
 
-def renewals_of(consensus: Consensus) -> Renewals:
+def renewals_of(consensus: Consensus) -> LeaseRenewals:
     """The leader's answers, with nothing of it but consensus and register."""
-    renewals = object.__new__(Renewals)
+    renewals = object.__new__(LeaseRenewals)
     renewals.consensus = consensus
-    assert isinstance(consensus.machine, Register)
-    renewals.register = consensus.machine
-    renewals.last_edge_image = b""
-    renewals.last_edge_image_index = 0
+    assert isinstance(consensus.state_machine, ReplicatedState)
+    renewals.replicated_state = consensus.state_machine
+    renewals.last_edge_snapshot = b""
+    renewals.last_edge_snapshot_index = 0
     return renewals
 
 
@@ -59,10 +59,10 @@
         renewals = renewals_of(leader_with(60, 50))
         since_one: Any = renewals.words({"register": 1})
         self.assertIn("image", since_one)
-        edge = Register()
+        edge = ReplicatedState()
         edge.restore(since_one["image"])
         self.assertEqual(60, edge.version)
-        words = renewals.consensus.words_since(1) or []
+        words = renewals.consensus.commands_since(1) or []
         self.assertLess(len(cbor2.dumps(since_one)) * 10, sum(len(data) for _, data in words))
 
     def test_a_few_words_come_as_words(self) -> None:
@@ -73,37 +73,37 @@
     def test_many_small_words_come_as_words_where_the_image_is_larger(self) -> None:
         consensus = leader_with(1, 1500)
         for index in range(2, 900):
-            word = encode_word("drain", id=f"d{index}", target=f"edge{index % 2}", on=True)
-            self.assertTrue(consensus.store([Entry(index, 1, WORD, word)]))
+            word = encode_command("drain", id=f"d{index}", target=f"edge{index % 2}", on=True)
+            self.assertTrue(consensus.store([Entry(index, 1, COMMAND, word)]))
             consensus.advance(index)
         renewals = renewals_of(consensus)
-        words = consensus.words_since(1) or []
+        words = consensus.commands_since(1) or []
         size = sum(len(data) for _, data in words)
-        self.assertTrue(WORDS_BYTES_SMALL // 2 < size < len(renewals.edge_image()), size)
+        self.assertTrue(WORDS_BYTES_SMALL // 2 < size < len(renewals.edge_snapshot()), size)
         self.assertIn("words", renewals.words({"register": 1}))
 
     def test_an_image_is_made_once_for_all_edges_that_return_together(self) -> None:
         renewals = renewals_of(leader_with(60, 50))
         made = SimpleNamespace(count=0)
-        plain = Register.image_for_edges
+        plain = ReplicatedState.edge_snapshot
 
-        def counted(register: Register) -> bytes:
+        def counted(replicated_state: ReplicatedState) -> bytes:
             made.count += 1
-            return plain(register)
+            return plain(replicated_state)
 
-        with mock.patch.object(Register, "image_for_edges", counted):
+        with mock.patch.object(ReplicatedState, "edge_snapshot", counted):
             for _ in range(20):
                 self.assertIn("image", renewals.words({"register": 1}))
             consensus = renewals.consensus
-            note = encode_word("claim", key=b"key", order="order")
-            self.assertTrue(consensus.store([Entry(consensus.last_index + 1, 1, NOTE, note)]))
+            note = encode_command("claim", key=b"key", order="order")
+            self.assertTrue(consensus.store([Entry(consensus.last_index + 1, 1, INTERNAL, note)]))
             consensus.advance(consensus.last_index)
             answer = renewals.words({"register": 1})
-            self.assertEqual((1, consensus.applied), (made.count, answer["index"]))
-            word = encode_word("drain", id="d", target="edge", on=True)
-            self.assertTrue(consensus.store([Entry(consensus.last_index + 1, 1, WORD, word)]))
+            self.assertEqual((1, consensus.applied_index), (made.count, answer["index"]))
+            word = encode_command("drain", id="d", target="edge", on=True)
+            self.assertTrue(consensus.store([Entry(consensus.last_index + 1, 1, COMMAND, word)]))
             consensus.advance(consensus.last_index)
-            edge = Register()
+            edge = ReplicatedState()
             answer = renewals.words({"register": 1})
             assert isinstance(answer["image"], bytes)
             edge.restore(answer["image"])
--- a/tests/test_egress.py
+++ b/tests/test_egress.py
@@ -4,11 +4,11 @@
 
 import testtools
 
-from ryelock.runtime.egress import LINK_SHARE, TURN_BYTES_LEAST, EgressPacer
-from ryelock.runtime.reactor import Reactor, SocketLink
+from ryelock.runtime.egress import TURN_BYTES_LEAST, USED_LINK_FRACTION, EgressPacer
+from ryelock.runtime.reactor import Reactor, SocketConnection
 from ryelock.runtime.tasks import Scheduler
 
-LINK_BYTES_PER_SECOND = 500_000.0
+CONNECTION_BYTES_PER_SECOND = 500_000.0
 STEP_SECONDS = 0.001
 
 
@@ -51,7 +51,7 @@
         super().setUp()
         self.clock = SteppedClock()
         self.scheduler = Scheduler(self.clock, raise_fault)
-        self.pacer = EgressPacer(self.scheduler, LINK_BYTES_PER_SECOND)
+        self.pacer = EgressPacer(self.scheduler, CONNECTION_BYTES_PER_SECOND)
 
     def run_seconds(self, seconds: float) -> None:
         until = self.clock.time + seconds
@@ -63,7 +63,7 @@
         sender = Sender(10_000_000)
         self.pacer.submit(sender)
         self.run_seconds(2.0)
-        allowed = LINK_BYTES_PER_SECOND * LINK_SHARE * 2.0
+        allowed = CONNECTION_BYTES_PER_SECOND * USED_LINK_FRACTION * 2.0
         self.assertLessEqual(sender.sent, allowed + 2 * self.pacer.turn)
         self.assertGreaterEqual(sender.sent, 0.97 * allowed)
 
@@ -85,7 +85,7 @@
         before = sender.sent
         self.pacer.count(40_000)
         self.run_seconds(0.5)
-        allowed = LINK_BYTES_PER_SECOND * LINK_SHARE * 0.5 - 40_000
+        allowed = CONNECTION_BYTES_PER_SECOND * USED_LINK_FRACTION * 0.5 - 40_000
         self.assertLessEqual(sender.sent - before, allowed + 2 * self.pacer.turn)
 
     def test_bulk_is_never_starved_by_one_large_message(self) -> None:
@@ -112,25 +112,25 @@
         self.assertEqual(TURN_BYTES_LEAST, slow.turn)
 
 
-class SocketLinkTests(testtools.TestCase):
+class SocketConnectionTests(testtools.TestCase):
     """Connections over a pair of sockets; the clock isn't moved, so no tokens come."""
 
-    def pair(self, reactor: Reactor, bulk: bool) -> tuple[SocketLink, socket.socket]:
+    def pair(self, reactor: Reactor, bulk: bool) -> tuple[SocketConnection, socket.socket]:
         ours, theirs = socket.socketpair()
         self.addCleanup(theirs.close)
         ours.setblocking(False)
         theirs.setblocking(False)
-        link = SocketLink(reactor, ours, "peer:1")
-        link.opened = True
-        link.bulk = bulk
-        reactor.links[ours] = link
-        self.addCleanup(link.abort)
-        return link, theirs
+        connection = SocketConnection(reactor, ours, "peer:1")
+        connection.connected = True
+        connection.bulk = bulk
+        reactor.connections[ours] = connection
+        self.addCleanup(connection.abort)
+        return connection, theirs
 
     def paced_reactor(self) -> Reactor:
         reactor = Reactor(raise_fault)
         reactor.scheduler.clock = SteppedClock()
-        reactor.pacer = EgressPacer(reactor.scheduler, LINK_BYTES_PER_SECOND)
+        reactor.pacer = EgressPacer(reactor.scheduler, CONNECTION_BYTES_PER_SECOND)
         return reactor
 
     def test_a_heartbeat_passes_a_queued_answer(self) -> None:
@@ -140,7 +140,7 @@
         answer.write(bytes(200_000))
         received = len(caller.recv(200_000))
         self.assertLessEqual(received, 2 * TURN_BYTES_LEAST)
-        self.assertEqual(200_000 - received, answer.unsent)
+        self.assertEqual(200_000 - received, answer.unsent_bytes)
         heartbeat.write(b"heartbeat")
         self.assertEqual(b"heartbeat", leader.recv(100))
 
@@ -157,7 +157,7 @@
         answer, caller = self.pair(reactor, bulk=True)
         answer.write(bytes(20_000))
         answer.close()
-        self.assertFalse(answer.ended)
+        self.assertFalse(answer.closed)
         received = 0
         for _ in range(200):
             clock.time += STEP_SECONDS
@@ -167,7 +167,7 @@
             except BlockingIOError:
                 continue
         self.assertEqual(20_000, received)
-        self.assertTrue(answer.ended)
+        self.assertTrue(answer.closed)
 
     def test_an_ended_connection_loses_its_turn(self) -> None:
         reactor = self.paced_reactor()
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -4,19 +4,19 @@
 
 import testtools
 
-from ryelock.cache import Copy, answer_from, copy_of, may_use
+from ryelock.cache import StoredResponse, answer_from, copy_of, may_use
 from ryelock.http import (
-    AnswerHead,
-    Exchange,
     FramingError,
+    HttpExchange,
     HttpServer,
     Limits,
-    OrderHead,
     Reader,
+    RequestHead,
+    ResponseHead,
     end_to_end,
-    parse_answer_head,
-    parse_order_head,
-    read_answer,
+    parse_request_head,
+    parse_response_head,
+    read_response,
 )
 from ryelock.http.heads import content_length, is_chunked
 from ryelock.replicated_state import Route
@@ -61,7 +61,7 @@
 class HeadTests(testtools.TestCase):
     def test_bad_heads_are_declined(self) -> None:
         for head in BAD_HEADS:
-            self.assertRaises(FramingError, parse_order_head, head)
+            self.assertRaises(FramingError, parse_request_head, head)
 
     def test_doubtful_lengths_are_declined(self) -> None:
         for fields in BAD_FRAMING:
@@ -74,10 +74,10 @@
 
     def test_bytes_of_a_head_stay_as_they_are(self) -> None:
         value = b'a\\n \\x41 \xff "quoted"'
-        head = parse_order_head(b"PURGE /%7Ea//b?x=%0a&&y HTTP/1.1\r\nHost: a\r\nX-Odd: " + value)
+        head = parse_request_head(b"PURGE /%7Ea//b?x=%0a&&y HTTP/1.1\r\nHost: a\r\nX-Odd: " + value)
         self.assertEqual((b"PURGE", b"/%7Ea//b?x=%0a&&y"), (head.method, head.target))
         self.assertEqual((b"X-Odd", value), head.fields[1])
-        answer = parse_answer_head(b"HTTP/1.1 203 Non-Authoritative Information\r\nA: b")
+        answer = parse_response_head(b"HTTP/1.1 203 Non-Authoritative Information\r\nA: b")
         self.assertEqual(b"Non-Authoritative Information", answer.reason)
 
     def test_hop_by_hop_fields_are_not_passed_on(self) -> None:
@@ -92,7 +92,7 @@
         self.assertEqual([(b"Host", b"a"), (b"X-Kept", b"2")], end_to_end(fields))
 
 
-class DoorTests(testtools.TestCase):
+class ServerTests(testtools.TestCase):
     """A door in the simulator, spoken to in raw bytes."""
 
     def setUp(self) -> None:
@@ -110,22 +110,22 @@
             self.serve,
         )
 
-    async def serve(self, exchange: Exchange) -> None:
-        body = await exchange.whole_body()
+    async def serve(self, exchange: HttpExchange) -> None:
+        body = await exchange.read_body()
         self.taken.append((exchange.head.target, body))
-        await exchange.answer(200, [], b"<" + body + b">")
+        await exchange.respond(200, [], b"<" + body + b">")
 
     def say(self, *pieces: bytes, seconds: float = 8.0) -> bytes:
         async def work() -> bytes:
-            link = self.client.network.connect("10.0.0.1:80")
-            await link.open(1.0)
+            connection = self.client.network.connect("10.0.0.1:80")
+            await connection.wait_connected(1.0)
             for piece in pieces:
-                link.write(piece)
+                connection.write(piece)
                 await self.client.scheduler.sleep(0.05)
             found = b""
             until = self.client.scheduler.now() + seconds
             while True:
-                data = await link.receive(until - self.client.scheduler.now())
+                data = await connection.receive(until - self.client.scheduler.now())
                 if not data:
                     return found
                 found += data
@@ -162,7 +162,7 @@
         self.say(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc", seconds=0.5)
         self.world.run(10)
         self.assertEqual([], self.taken)
-        self.assertEqual({}, self.listener.links)
+        self.assertEqual({}, self.listener.connections)
 
     def test_an_order_that_takes_too_long_is_told(self) -> None:
         found = self.say(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc")
@@ -193,15 +193,15 @@
             (b"HTTP/1.1 204 No Content\r\n\r\n", b""),
             (b"HTTP/1.1 101 Switching\r\n\r\n", None),
         ):
-            link = self.client.network.connect("10.0.0.1:80")
-            reader = Reader(self.client.scheduler, link)
+            connection = self.client.network.connect("10.0.0.1:80")
+            reader = Reader(self.client.scheduler, connection)
             reader.buffer += answer
 
             async def work(reader: Reader = reader) -> bytes | None:
-                found = await read_answer(reader, b"GET", 1000, reader.scheduler.now() + 1)
+                found = await read_response(reader, b"GET", 1000, reader.scheduler.now() + 1)
                 if found.is_error():
                     return None
-                return await found.ok.body.whole(100, reader.scheduler.now() + 1)
+                return await found.ok.body.read_all(100, reader.scheduler.now() + 1)
 
             self.assertEqual(whole, self.world.task(self.client, work(), 5), repr(answer))
 
@@ -209,15 +209,15 @@
 CACHED = Route("/c", "pages", cached=True, lifetime_seconds=10.0)
 
 
-def order(*fields: tuple[bytes, bytes]) -> OrderHead:
-    return OrderHead(b"GET", b"/c/1", 1, [(b"Host", b"a"), *fields])
+def request(*fields: tuple[bytes, bytes]) -> RequestHead:
+    return RequestHead(b"GET", b"/c/1", 1, [(b"Host", b"a"), *fields])
 
 
 def kept(
-    *fields: tuple[bytes, bytes], asked: OrderHead | None = None, status: int = 200
-) -> Copy | None:
-    head = AnswerHead(status, b"OK", 1, list(fields))
-    return copy_of(asked or order(), CACHED, head, list(fields), b"0123456789", 100.0, 100.5)
+    *fields: tuple[bytes, bytes], asked: RequestHead | None = None, status: int = 200
+) -> StoredResponse | None:
+    head = ResponseHead(status, b"OK", 1, list(fields))
+    return copy_of(asked or request(), CACHED, head, list(fields), b"0123456789", 100.0, 100.5)
 
 
 class CacheTests(testtools.TestCase):
@@ -232,11 +232,11 @@
             [(b"Expires", b"0")],
         ):
             self.assertIsNone(kept(*fields), repr(fields))
-        self.assertIsNone(kept(asked=order((b"Authorization", b"x"))))
+        self.assertIsNone(kept(asked=request((b"Authorization", b"x"))))
         self.assertIsNotNone(
-            kept((control, b"public, max-age=5"), asked=order((b"Authorization", b"x")))
+            kept((control, b"public, max-age=5"), asked=request((b"Authorization", b"x")))
         )
-        self.assertIsNone(kept(asked=order((control, b"no-store"))))
+        self.assertIsNone(kept(asked=request((control, b"no-store"))))
         self.assertIsNone(kept(status=500))
         self.assertIsNone(kept(status=206))
 
@@ -287,8 +287,8 @@
             ((b"If-None-Match", b'"0", W/"1"'), 304, b""),
             ((b"If-None-Match", b'"2"'), 200, b"0123456789"),
         ):
-            found = answer_from(copy, order(asked), 103.0)
+            found = answer_from(copy, request(asked), 103.0)
             self.assertEqual((status, body), (found[0], found[3]), repr(asked))
-        fields = dict(answer_from(copy, order(), 103.6)[2])
+        fields = dict(answer_from(copy, request(), 103.6)[2])
         self.assertEqual(b"3", fields[b"Age"])
         self.assertEqual(b"Tue, 01 Dec 2026 00:00:00 GMT", fields[b"Date"])
--- a/tests/test_finals.py
+++ b/tests/test_finals.py
@@ -10,8 +10,8 @@
 from ryelock.control_plane.process import ControlNode
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.process import TrafficNode
-from ryelock.membership import Listing
-from ryelock.testing.finals import FINALS, order_once, run_final
+from ryelock.membership import ServerList
+from ryelock.testing.finals import FINALS, request_once, run_final
 from ryelock.testing.scenario import Scenario
 
 
@@ -25,16 +25,16 @@
             self.assertIn("final", self.broken("listing-out-of-leaders-reach"))
 
     def test_an_edge_that_lost_its_term_must_not_say_ready(self) -> None:
-        plain = RequestHandler.decline
+        plain = RequestHandler.reject
 
-        async def decline(way: RequestHandler, exchange: Any, order: Any, failure: Any) -> Any:
+        async def decline(way: RequestHandler, exchange: Any, request: Any, failure: Any) -> Any:
             if failure.reason == "no term: cut off":
                 await way.scheduler.sleep(20.0)
-            await plain(way, exchange, order, failure)
+            await plain(way, exchange, request, failure)
 
         with (
             mock.patch.object(TrafficNode, "not_ready_for", property(lambda _node: "")),
-            mock.patch.object(RequestHandler, "decline", decline),
+            mock.patch.object(RequestHandler, "reject", decline),
         ):
             self.assertIn("final", self.broken("edge-cut-off"))
 
@@ -70,14 +70,14 @@
             for target in ("/covers/1", "/lookups/1"):
                 scenario.world.task(
                     scenario.outside,
-                    order_once(
+                    request_once(
                         scenario, f"{scenario.node(edge).host}:3", "GET", target, f"m{number}"
                     ),
                     10,
                 )
             scenario.world.task(
                 scenario.outside,
-                order_once(
+                request_once(
                     scenario, f"{scenario.node(edge).host}:3", "POST", "/orders/1", f"o{number}"
                 ),
                 10,
@@ -96,8 +96,8 @@
         self.assertEqual([], scenario.findings().violations)
 
     def test_a_late_reading_brings_no_server_back(self) -> None:
-        def listing(since: float, seen: float, version: int = 0) -> Listing:
-            return Listing("a", version, [], 9.0, since, seen)
+        def listing(since: float, seen: float, version: int = 0) -> ServerList:
+            return ServerList("a", version, [], 9.0, since, seen)
 
         self.assertTrue(listing(2.0, 2.1).follows(listing(1.0, 1.9)))
         self.assertFalse(listing(1.8, 2.1).follows(listing(1.0, 1.9)))
--- a/tests/test_golden_http.py
+++ b/tests/test_golden_http.py
@@ -50,23 +50,25 @@
     return set(re.findall(r'b"(/[a-z/]+)"', source))
 
 
-def start_desk(site: Deployment, node: SimNode, lines: dict[str, str]) -> None:
+def start_control_api(site: Deployment, node: SimNode, lines: dict[str, str]) -> None:
     """Start the platform's control role on a machine without a disk."""
     told = settings.Told(lines)
-    env = settings.env_of("core", told)
+    process_settings = settings.env_of("core", told)
 
     def build() -> TrafficNode:
-        desk = TrafficNode("desk", env, node.scheduler, node.network, node.log, node.random)
+        control_api = TrafficNode(
+            "desk", process_settings, node.scheduler, node.network, node.log, node.random
+        )
         address = told.text("listen_addresses.control")
-        Operators(node.scheduler, node.network, node.log, desk.control_api, told, address)
-        return desk
+        Operators(node.scheduler, node.network, node.log, control_api.control_api, told, address)
+        return control_api
 
     site.world.start_built(node, build)
 
 
 # The outside: requests and how answers are shown, which must never change.
 
-CORE, SECOND, EDGE, PROBER, DESK = (f"10.1.0.{number}" for number in range(1, 6))
+CORE, SECOND, EDGE, PROBER, CONTROL_API = (f"10.1.0.{number}" for number in range(1, 6))
 METRICS_PORT = 9
 CONFIGURATION: Message = {
     "services": {
@@ -93,7 +95,7 @@
         self.server = self.add_server(world, "pages", "10.8.0.1:80")
         lists.show("pages", "10.8.0.1:80", "north", 1)
         lists.show("desks", "10.8.0.2:80", "north", 1)
-        self.desk_server = self.add_server(world, "desks", "10.8.0.2:80")
+        self.control_api_server = self.add_server(world, "desks", "10.8.0.2:80")
         common: Message = {
             "seeds": f"{CORE}:1",
             "probe_seconds": 1.0,
@@ -108,7 +110,7 @@
         edge = {**common, "metrics_address": f"{EDGE}:{METRICS_PORT}"}
         self.edge = start(world, "edge0", "edge", EDGE, edge)
         start(world, "prober0", "prober", PROBER, common)
-        start(world, "desk0", "desk", DESK, common)
+        start(world, "desk0", "desk", CONTROL_API, common)
         self.client = Client(world)
         assert world.run_until(lambda: leads(self.core), 10)
         world.run(2.0)
@@ -250,18 +252,18 @@
         body = b"body" if method == "POST" else b""
         found[name] = client.call(front, method, target, body, head)
         world.run(0.3)
-    deployed.desk_server.manner = "failing"
+    deployed.control_api_server.manner = "failing"
     found["a failing server"] = client.call(front, "GET", "/none/1")
-    deployed.desk_server.manner = "lost"
+    deployed.control_api_server.manner = "lost"
     found["a lost answer to a post"] = client.call(front, "POST", "/orders/3", b"body")
-    deployed.desk_server.manner = "deaf"
+    deployed.control_api_server.manner = "deaf"
     found["a deaf server"] = client.call(front, "GET", "/none/2")
     accounts: Message = {}
     for name, answer in found.items():
         assert isinstance(answer, dict)
-        order = dict(answer["fields"]).get("X-Ryelock-Order")
-        if order is not None:
-            account = deployed.call(EDGE, "GET", f"/explain?order={order}")
+        request = dict(answer["fields"]).get("X-Ryelock-Order")
+        if request is not None:
+            account = deployed.call(EDGE, "GET", f"/explain?order={request}")
             accounts[name] = account["body"]
     for method, target, host in (
         ("GET", "/covers/1", "shop.example"),
@@ -440,8 +442,8 @@
     machine = lines_for(
         "desk", "10.1.0.99", "a", site.zones, ["10.1.0.1:8146"], "control_plane", False
     )
-    desk = world.add("desk.core", "desk", "10.1.0.99")
-    start_desk(site, desk, {**machine, "limits.disk_mb": "0"})
+    control_api = world.add("desk.core", "desk", "10.1.0.99")
+    start_control_api(site, control_api, {**machine, "limits.disk_mb": "0"})
     world.run(2.0)
     found: Message = {}
     readiness = "10.1.0.1:8140"
@@ -501,7 +503,7 @@
     "http-control-leader.json": lambda: control_answers(CORE),
     "http-control-spare.json": lambda: control_answers(SECOND),
     "http-control-edge.json": lambda: control_answers(EDGE),
-    "http-control-desk.json": lambda: control_answers(DESK),
+    "http-control-desk.json": lambda: control_answers(CONTROL_API),
     "http-callers.json": caller_answers,
     "http-metrics.json": metric_lines,
     "http-heads.json": own_heads,
@@ -530,7 +532,7 @@
         self.assert_golden("http-control-edge.json", control_answers(EDGE))
 
     def test_a_desk_answers_as_ever(self) -> None:
-        self.assert_golden("http-control-desk.json", control_answers(DESK))
+        self.assert_golden("http-control-desk.json", control_answers(CONTROL_API))
 
     def test_callers_are_answered_and_accounts_given_as_ever(self) -> None:
         self.assert_golden("http-callers.json", caller_answers())
--- a/tests/test_golden_lists.py
+++ b/tests/test_golden_lists.py
@@ -23,7 +23,7 @@
 from ryelock import control_api, events, settings
 from ryelock.control_plane.metrics import ControlMetrics
 from ryelock.edge.metrics import EdgeMetrics
-from ryelock.http import Dialect
+from ryelock.http import ProtocolProfile
 from ryelock.membership import sessions
 from ryelock.metrics import Metrics
 from ryelock.replicated_state import configuration as register_configuration
@@ -43,7 +43,7 @@
 
 def declared_settings() -> Iterator[tuple[str, object, Callable[[object], object]]]:
     """Yield key, default and check of each setting, in their order."""
-    for key, setting in settings.settings_of(settings.Env).items():
+    for key, setting in settings.declared_settings(settings.Settings).items():
         yield key, setting.default, setting.check
 
 
@@ -55,8 +55,8 @@
 def read_settings(role: str, file: str, flags: dict[str, object]) -> dict[str, object]:
     """Return the settings of a process, or its faults."""
     try:
-        return dict(settings.read_env(role, file, flags).values)
-    except settings.EnvError as error:
+        return dict(settings.read_settings(role, file, flags).values)
+    except settings.SettingsError as error:
         return {"faults": error.faults}
 
 
@@ -96,7 +96,7 @@
     return found.error if found.is_error() else "fine"
 
 
-def dialect_words(dialect: Dialect) -> dict[str, object]:
+def dialect_words(dialect: ProtocolProfile) -> dict[str, object]:
     """Return the header fields of a deployment by their meaning."""
     return {
         "name of a request": dialect.identity,
@@ -113,11 +113,11 @@
     """Return the product's settings for lines of the platform, or their faults."""
     try:
         return dict(platform_settings.env_of(role, platform_settings.Told(lines)).values)
-    except settings.EnvError as error:
+    except settings.SettingsError as error:
         return {"faults": error.faults}
 
 
-def platform_dialect() -> tuple[Dialect, bytes]:
+def platform_dialect() -> tuple[ProtocolProfile, bytes]:
     """Return the platform's header fields, and the one of a version a change builds on."""
     return platform_words.DIALECT, platform_words.BASE_VERSION
 
@@ -295,7 +295,7 @@
         "fields": sorted(names),
         "platform": dialect_words(dialect),
         "base version": base_version,
-        "own": dialect_words(Dialect()),
+        "own": dialect_words(ProtocolProfile()),
     }
 
 
--- a/tests/test_golden_questions.py
+++ b/tests/test_golden_questions.py
@@ -51,13 +51,13 @@
     }
 
 
-def renewal(who: Message, sequence: int, register: int, **more: object) -> Message:
+def renewal(who: Message, sequence: int, replicated_state: int, **more: object) -> Message:
     return {
         "kind": "renew",
         "hold": 0.05,
         "session": who,
         "sequence": sequence,
-        "vector": {"register": register},
+        "vector": {"register": replicated_state},
         "demand": {"pages": 3.5},
         "holding": {"pages": 0.0, "desks": 0.0},
         "wanted": {"desks": 1},
@@ -224,7 +224,9 @@
 VOTE = {"kind": "council.vote", "to": DISK, "disk": "d5", "trial": False, "handed": False}
 
 
-def beat(previous: int, term: int, entries: list[object], commit: int, **more: object) -> Message:
+def heartbeat(
+    previous: int, term: int, entries: list[object], commit: int, **more: object
+) -> Message:
     return {
         "kind": "council.beat",
         **LED,
@@ -243,9 +245,9 @@
 
 def stored_state() -> bytes:
     """Return the state in the golden snapshot, as a leader sends it: the file's first record."""
-    image = next(STORED.glob("image-*")).read_bytes()
-    (size,) = struct.unpack(">I", image[10:14])
-    state = cbor2.loads(image[14 : 14 + size])[3]
+    snapshot = next(STORED.glob("image-*")).read_bytes()
+    (size,) = struct.unpack(">I", snapshot[10:14])
+    state = cbor2.loads(snapshot[14 : 14 + size])[3]
     assert isinstance(state, bytes)
     return state
 
@@ -262,20 +264,22 @@
         ("claim where no leader is known", {"kind": "claim", "key": KEY, "order": "a"}),
         ("leave where no leader is known", {"kind": "council.leave", "disk": "d1"}),
         ("decision where no leader is known", {"kind": "decision", "holder": "core0"}),
-        ("beat while a promise stands", beat(last, 4, [], 30)),
+        ("beat while a promise stands", heartbeat(last, 4, [], 30)),
         ("pause", 2.0),
-        ("beat of an older term", beat(last, 4, [], 0, epoch=1)),
-        ("beat far ahead", beat(99, 5, [], 0)),
-        ("beat on another term", beat(30, 2, [], 0)),
-        ("beat before the snapshot", beat(3, 2, [], 0)),
-        ("beat", beat(last, 4, [], 30)),
+        ("beat of an older term", heartbeat(last, 4, [], 0, epoch=1)),
+        ("beat far ahead", heartbeat(99, 5, [], 0)),
+        ("beat on another term", heartbeat(30, 2, [], 0)),
+        ("beat before the snapshot", heartbeat(3, 2, [], 0)),
+        ("beat", heartbeat(last, 4, [], 30)),
         (
             "beat with entries",
-            beat(last, 4, [[47, 5, "nothing", b""], [48, 5, "voters", cbor2.dumps(VOTERS)]], 48),
+            heartbeat(
+                last, 4, [[47, 5, "nothing", b""], [48, 5, "voters", cbor2.dumps(VOTERS)]], 48
+            ),
         ),
-        ("beat with faulty entries", beat(48, 5, [[49, 5, "nothing"]], 48)),
-        ("beat with an entry of another term", beat(48, 5, [[49, 5, "note", b"\xa0"]], 48)),
-        ("beat that cuts the tail", beat(48, 5, [[49, 6, "word", b"\xa0"]], 48, epoch=6)),
+        ("beat with faulty entries", heartbeat(48, 5, [[49, 5, "nothing"]], 48)),
+        ("beat with an entry of another term", heartbeat(48, 5, [[49, 5, "note", b"\xa0"]], 48)),
+        ("beat that cuts the tail", heartbeat(48, 5, [[49, 6, "word", b"\xa0"]], 48, epoch=6)),
         ("renewal where the leader does not answer", renewal(EDGE, 1, 0)),
         ("image that is old", {**piece(40, 10, 0, b"12345"), "epoch": 6}),
         ("image out of bounds", {**piece(60, 10, 8, b"12345"), "epoch": 6}),
@@ -298,7 +302,7 @@
         ("promise", {"kind": "council.promise", "seconds": 1.0, "vector": {}}),
         ("promise that is too long", {"kind": "council.promise", "seconds": 9.0, "vector": {}}),
         ("vote after a promise", {**VOTE, "epoch": 99, "last_epoch": 98, "last_index": 999}),
-        ("beat after a promise", beat(60, 5, [], 60, epoch=99)),
+        ("beat after a promise", heartbeat(60, 5, [], 60, epoch=99)),
         ("image after a promise", {**piece(70, 3, 0, b"1"), "epoch": 99}),
     ]
 
@@ -317,10 +321,10 @@
         else:
             found[name] = client.ask(WIRE, question)
     world.run(2.0)
-    found["beat of a new leader"] = client.ask(WIRE, beat(60, 5, [], 60, epoch=99))
+    found["beat of a new leader"] = client.ask(WIRE, heartbeat(60, 5, [], 60, epoch=99))
     fill_disk(node)
     entries: list[object] = [[61, 99, "nothing", b""]]
-    found["beat on a full disk"] = client.ask(WIRE, beat(60, 5, entries, 60, epoch=99))
+    found["beat on a full disk"] = client.ask(WIRE, heartbeat(60, 5, entries, 60, epoch=99))
     return found
 
 
--- a/tests/test_golden_stored.py
+++ b/tests/test_golden_stored.py
@@ -21,15 +21,15 @@
 from golden import DATA, GoldenTest
 
 from ryelock.consensus import entries as entry_forms
-from ryelock.consensus.entries import Entry, Image
+from ryelock.consensus.entries import Entry, Snapshot
 from ryelock.consensus.log import ReplicatedLog
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
 from ryelock.events import QuietLog
 from ryelock.journal import Journal, MachineFolder
-from ryelock.replicated_state import Register, encode_word
+from ryelock.replicated_state import ReplicatedState, encode_command
 from ryelock.replicated_state import state as state_machine
-from ryelock.settings import read_env
+from ryelock.settings import read_settings
 from ryelock.testing.simulated import World
 
 # What this file knows of the product's names: a rename inside changes this section only.
@@ -40,7 +40,7 @@
 
 def state_machine_kinds() -> set[str]:
     """Return the kinds of entries in the state machine's own table of handlers."""
-    tree = ast.parse(textwrap.dedent(inspect.getsource(Register.apply)))
+    tree = ast.parse(textwrap.dedent(inspect.getsource(ReplicatedState.apply)))
     tables = [node for node in ast.walk(tree) if isinstance(node, ast.Dict) and len(node.keys) > 2]
     (table,) = tables
     return {str(key.value) for key in table.keys if isinstance(key, ast.Constant)}
@@ -67,44 +67,46 @@
 
 def encoded(kind: str, fields: Plain) -> bytes:
     """Return an entry of the state machine as the product encodes it."""
-    return encode_word(kind, **fields)
+    return encode_command(kind, **fields)
 
 
-def state_of(register: Register) -> Plain:
+def state_of(replicated_state: ReplicatedState) -> Plain:
     """Return all that a state machine holds, by terms of the field."""
     covered = {
-        "index": register.index,
-        "version": register.version,
-        "configuration": register.configuration.plain(),
-        "purge_number": register.purge_number,
-        "purges": [purge.plain() for purge in register.purges],
-        "drains": register.drains,
+        "index": replicated_state.index,
+        "version": replicated_state.version,
+        "configuration": replicated_state.configuration.plain(),
+        "purge_number": replicated_state.purge_number,
+        "purges": [purge.plain() for purge in replicated_state.purges],
+        "drains": replicated_state.drains,
         "duties": [
-            [name, duty.name, duty.holder, duty.epoch, duty.successor]
-            for name, duty in register.duties.items()
+            [name, duty.name, duty.owner, duty.fencing_token, duty.successor]
+            for name, duty in replicated_state.singletons.items()
         ],
-        "decisions": register.decisions,
-        "verdict": register.verdict,
+        "decisions": replicated_state.decisions,
+        "verdict": replicated_state.verdict,
         "derived": [
             [name, watch.route, watch.object, watch.host, watch.dating, watch.stale_seconds]
-            for name, watch in register.derived.items()
+            for name, watch in replicated_state.derived.items()
         ],
-        "derivable": register.derivable,
-        "outcomes": register.outcomes.plain(),
-        "claims": list(register.claims.items()),
+        "derivable": replicated_state.derivable,
+        "outcomes": replicated_state.outcomes.plain(),
+        "claims": list(replicated_state.claims.items()),
     }
-    assert len(covered) == len(Register.__slots__), "a field of the state machine is not compared"
-    return {**covered, "watches": list(register.watches)}
+    assert len(covered) == len(ReplicatedState.__slots__), (
+        "a field of the state machine is not compared"
+    )
+    return {**covered, "watches": list(replicated_state.watches)}
 
 
-def snapshot_of(register: Register) -> bytes:
+def snapshot_of(replicated_state: ReplicatedState) -> bytes:
     """Return the snapshot that control nodes keep."""
-    return register.image()
+    return replicated_state.snapshot()
 
 
-def edge_snapshot_of(register: Register) -> bytes:
+def edge_snapshot_of(replicated_state: ReplicatedState) -> bytes:
     """Return the snapshot that edges are sent."""
-    return register.image_for_edges()
+    return replicated_state.edge_snapshot()
 
 
 class Member:
@@ -128,7 +130,7 @@
     def open_log(self) -> None:
         """Replay the journal into the log alone, to write on."""
         self.log = ReplicatedLog(self.journal)
-        self.register = Register()
+        self.replicated_state = ReplicatedState()
 
     def found(self, voters: dict[str, str]) -> None:
         """Write the first term and entry."""
@@ -151,22 +153,22 @@
 
     def apply(self, last: int) -> list[object]:
         """Apply entries up to an index; return the outcomes."""
-        first = self.register.index + 1
+        first = self.replicated_state.index + 1
         found = [self.apply_entry(self.log.entry_at(index)) for index in range(first, last + 1)]
-        self.register.index = last
+        self.replicated_state.index = last
         return found
 
     def apply_entry(self, entry: Entry) -> object:
         """Apply one entry where it is the state machine's."""
         known = entry.kind in ("word", "note")
-        return self.register.apply(entry.index, entry.data) if known else None
+        return self.replicated_state.apply(entry.index, entry.data) if known else None
 
     def compact(self, index: int) -> None:
         """Write a snapshot of all up to an index, which was just applied."""
         last = max(at for at in range(1, index + 1) if self.log.entry_at(at).kind == "word")
-        term, voters = self.log.epoch_at(index), self.log.voters_at(index)
-        image = Image(index, term, voters, self.register.image(), last)
-        assert self.log.compact(image)
+        term, voters = self.log.term_at(index), self.log.voters_at(index)
+        snapshot = Snapshot(index, term, voters, self.replicated_state.snapshot(), last)
+        assert self.log.compact(snapshot)
 
     def restart(self) -> None:
         """Build the whole control node on the folder, in a simulated network."""
@@ -179,44 +181,50 @@
             "control_address": "10.1.0.1:2",
             "data_folder": "unused",
         }
-        env = read_env("core", "", flags)
+        settings = read_settings("core", "", flags)
         self.node = ControlNode(
-            env, node.scheduler, node.network, self.events, node.random, self.disk, self.journal
+            settings,
+            node.scheduler,
+            node.network,
+            self.events,
+            node.random,
+            self.disk,
+            self.journal,
         )
         self.log = self.node.consensus.replicated_log
-        self.register = self.node.register
+        self.replicated_state = self.node.replicated_state
 
     def commit_all(self) -> None:
         """Have the node learn that all entries of its log are committed."""
         consensus = self.node.consensus
         consensus.advance(consensus.last_index)
-        while consensus.applied < consensus.commit:
+        while consensus.applied_index < consensus.commit_index:
             consensus.apply_committed()
 
     def write_snapshot(self) -> None:
         """Have the node write a snapshot of all that it applied."""
-        self.node.consensus.write_image()
+        self.node.consensus.write_snapshot()
 
     def log_state(self) -> Plain:
         """Return the durable state of consensus, by terms of the field."""
         log = self.log
         return {
             "disk": self.disk,
-            "term": log.epoch,
+            "term": log.term,
             "vote": log.voted,
             "promise_noted": log.promise_noted,
             "snapshot": {
-                "index": log.image.index,
-                "term": log.image.epoch,
-                "voters": log.image.voters,
-                "last_state_machine_entry": log.image.word,
-                "state": cbor2.loads(log.image.machine) if log.image.machine else None,
+                "index": log.snapshot.index,
+                "term": log.snapshot.term,
+                "voters": log.snapshot.voters,
+                "last_state_machine_entry": log.snapshot.command_index,
+                "state": cbor2.loads(log.snapshot.state) if log.snapshot.state else None,
             },
             "last_index": log.last_index,
             "entries": [
                 {
                     "index": entry.index,
-                    "term": entry.epoch,
+                    "term": entry.term,
                     "kind": entry.kind,
                     "data": decoded(entry.data),
                     "bytes": entry.data,
@@ -230,14 +238,14 @@
         """Return what the whole node makes of the log."""
         consensus = self.node.consensus
         return {
-            "applied": consensus.applied,
-            "last_applied_state_machine_entry": consensus.applied_word,
-            "commit": consensus.commit,
+            "applied": consensus.applied_index,
+            "last_applied_state_machine_entry": consensus.applied_command_index,
+            "commit": consensus.commit_index,
             "voters": consensus.voters,
             "role": consensus.role,
             "promise_ends_after": round(consensus.promised, 3),
             "entries_for_edges": [
-                index for index, _ in consensus.words_since(consensus.base.index) or ()
+                index for index, _ in consensus.commands_since(consensus.snapshot.index) or ()
             ],
         }
 
@@ -450,10 +458,10 @@
         "decisions": [],
         "outcomes": [["change:c1", {"status": "accepted", "version": 1, "index": 3}]],
     }
-    image = cbor2.dumps([4, 2, FOUNDERS, cbor2.dumps(state)])
+    snapshot = cbor2.dumps([4, 2, FOUNDERS, cbor2.dumps(state)])
     path.mkdir(parents=True, exist_ok=True)
     (path / "image-0000000003").write_bytes(
-        single_frame(image) + single_frame(cbor2.dumps(["vote", 2, "d1"]))
+        single_frame(snapshot) + single_frame(cbor2.dumps(["vote", 2, "d1"]))
     )
     tail = [["entry", 5, 2, *words(FIRST_WORDS[:1])[0]], ["entry", 6, 2, *notes(NOTES[:1])[0]]]
     frames = b"".join(single_frame(cbor2.dumps(record)) for record in tail)
@@ -479,8 +487,11 @@
     member = Member(path)
     member.restart()
     log = member.log_state()
-    found: Plain = {"restored": state_of(member.register), "node_before": member.node_state()}
-    first = member.log.image.index
+    found: Plain = {
+        "restored": state_of(member.replicated_state),
+        "node_before": member.node_state(),
+    }
+    first = member.log.snapshot.index
     outcomes = outcomes_of(path)
     member.commit_all()
     repeated = [entry["index"] for entry in entries_in(member) if entry["repeated"]]
@@ -493,8 +504,8 @@
         "outcomes": outcomes,
         "repeated": repeated,
         "node": member.node_state(),
-        "state": state_of(member.register),
-        "snapshot_for_edges": cbor2.loads(edge_snapshot_of(member.register)),
+        "state": state_of(member.replicated_state),
+        "snapshot_for_edges": cbor2.loads(edge_snapshot_of(member.replicated_state)),
     }
 
 
@@ -606,7 +617,7 @@
             self.assertEqual(files_of(STORED / name), files_of(path), name)
 
     def test_the_same_entries_give_the_same_snapshot(self) -> None:
-        image = next((STORED / "snapshot").glob("image-*")).read_bytes()
+        snapshot = next((STORED / "snapshot").glob("image-*")).read_bytes()
         for name in ("journal", "snapshot"):
             path = self.folder() / name
             shutil.copytree(STORED / name, path)
@@ -614,7 +625,7 @@
             member.restart()
             if name == "journal":
                 member.apply(SNAPSHOT_AT)
-            self.assertIn(snapshot_of(member.register), image, name)
+            self.assertIn(snapshot_of(member.replicated_state), snapshot, name)
 
     def test_a_restarted_node_writes_the_same_snapshot_file(self) -> None:
         for name in ("journal", "snapshot", "torn", "older"):
--- a/tests/test_golden_wire.py
+++ b/tests/test_golden_wire.py
@@ -14,14 +14,14 @@
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
-HELLO = wire.HELLO
+HELLO = wire.HANDSHAKE
 PACKAGES = Path(__file__).parent.parent / "packages"
 NOT_ON_THE_WIRE = ("replicated_state", "journal", "cache", "testing")
 
 
 def encoded(message: dict[str, object]) -> bytes:
     """Return a message as the product's frame."""
-    return wire.encode(message)
+    return wire.encode_frame(message)
 
 
 def kinds_in_code() -> set[str]:
