--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -5,8 +5,8 @@
 
 import testtools
 
-from ryelock.control_plane.leading import Leading
-from ryelock.edge.gate import Gate
+from ryelock.control_plane.leading import OperatorRequests
+from ryelock.edge.gate import AdmissionQueue
 from ryelock.events import DUTY_FENCED
 from ryelock.health.evaluation import TargetVerdict
 from ryelock.testing.checks import Down, Findings, Probed, check_downs
@@ -17,7 +17,7 @@
 
 def verdict(scenario: Scenario) -> Plain:
     leader = scenario.leader()
-    return dict(scenario.node(leader).core.register.verdict) if leader else {}
+    return dict(scenario.node(leader).core.replicated_state.verdict) if leader else {}
 
 
 def word(scenario: Scenario, zone: str) -> str:
@@ -35,7 +35,7 @@
 
 
 def apply(scenario: Scenario, **parts: object) -> None:
-    version = scenario.node(scenario.leader()).core.register.version
+    version = scenario.node(scenario.leader()).core.replicated_state.version
     found = scenario.world.task(
         scenario.operators, scenario.change(f"health-{version}", version, dict(parts)), 20
     )
@@ -99,7 +99,7 @@
         scenario.world.kill(scenario.edges[0])
         scenario.world.run(8)
         for name in scenario.cores:
-            self.assertEqual({}, scenario.node(name).core.roster.lost())
+            self.assertEqual({}, scenario.node(name).core.membership.lost())
         self.holds(scenario)
 
     def test_one_dead_edge_of_four_does_not_make_a_zone_down(self) -> None:
@@ -120,7 +120,7 @@
         for _ in range(15):
             scenario.world.run(1)
             self.assertEqual("healthy", word(scenario, "zone0"))
-        version = scenario.node(scenario.leader()).core.register.version
+        version = scenario.node(scenario.leader()).core.replicated_state.version
         status, _ = scenario.ask_now(
             "POST",
             "/changes",
@@ -254,17 +254,17 @@
     def test_the_aggregator_is_replaced_and_fenced(self) -> None:
         for seed in (12, 13, 14):
             scenario = standing(seed)
-            register = scenario.node(scenario.leader()).core.register
-            duty = register.duties["aggregator"]
-            scenario.world.freeze(duty.holder, True)
+            replicated_state = scenario.node(scenario.leader()).core.replicated_state
+            duty = replicated_state.singletons["aggregator"]
+            scenario.world.freeze(duty.owner, True)
             self.assertTrue(
                 scenario.world.run_until(
                     lambda scenario=scenario,  # type: ignore
-                    epoch=duty.epoch: (
+                    epoch=duty.fencing_token: (
                         scenario.leader() != ""
                         and scenario.node(scenario.leader())
-                        .core.register.duties["aggregator"]
-                        .epoch
+                        .core.replicated_state.singletons["aggregator"]
+                        .fencing_token
                         > epoch
                     ),
                     20,
@@ -273,8 +273,8 @@
             scenario.world.run(5)
             self.assertEqual("healthy", word(scenario, "zone0"))
             before = verdict(scenario)["epoch"]
-            old = scenario.node(duty.holder)
-            scenario.world.freeze(duty.holder, False)
+            old = scenario.node(duty.owner)
+            scenario.world.freeze(duty.owner, False)
             scenario.world.run(0.2)
             leads = scenario.node(scenario.leader())
             found = scenario.world.task(
@@ -283,8 +283,8 @@
                     {
                         "clock": [leads.core.consensus.disk, leads.scheduler.now()],
                         "kind": "decision",
-                        "holder": duty.holder,
-                        "epoch": duty.epoch,
+                        "holder": duty.owner,
+                        "epoch": duty.fencing_token,
                         "verdict": {"network": "down", "zones": {}},
                     }
                 ),
@@ -337,7 +337,8 @@
         status, _ = scenario.ask_now("POST", "/drains", {"id": "d3", "target": scenario.edges[0]})
         self.assertEqual(200, status)
         kinds = [
-            record["kind"] for record in scenario.node(scenario.leader()).core.register.decisions
+            record["kind"]
+            for record in scenario.node(scenario.leader()).core.replicated_state.decisions
         ]
         self.assertEqual(
             ["drain", "recover", "drain"], [kind for kind in kinds if kind != "verdict"]
@@ -378,12 +379,14 @@
 
     def test_probes_go_before_a_crowd(self) -> None:
         failed = sum(self.failed_in_a_crowd(seed) for seed in (1, 2, 3))
-        plain = Gate.enter
+        plain = AdmissionQueue.acquire
 
-        async def enter(gate: Gate, route: str, share: float, patience: float, _first: bool) -> Any:
-            return await plain(gate, route, share, patience, False)
+        async def enter(
+            gate: AdmissionQueue, route: str, share: float, queue_timeout: float, _first: bool
+        ) -> Any:
+            return await plain(gate, route, share, queue_timeout, False)
 
-        with mock.patch.object(Gate, "enter", enter):
+        with mock.patch.object(AdmissionQueue, "acquire", enter):
             behind = sum(self.failed_in_a_crowd(seed) for seed in (1, 2, 3))
         self.assertGreater(behind, 5 * max(1, failed))
 
@@ -447,7 +450,9 @@
         """The aggregator's word hangs on a cut path, within its epoch."""
         for late, wanted in ((True, False), (False, True)):
             with mock.patch.object(
-                Leading, "in_time", Leading.in_time if late else lambda *_arguments: True
+                OperatorRequests,
+                "in_time",
+                OperatorRequests.in_time if late else lambda *_arguments: True,
             ):
                 broken = any(self.late_verdict(seed) for seed in range(30, 36))
             self.assertEqual(wanted, broken)
@@ -456,13 +461,13 @@
         scenario = standing(seed)
         scenario.late_most = 0.5
         leads = scenario.leader()
-        holder = scenario.node(leads).core.register.duties["aggregator"].holder
+        holder = scenario.node(leads).core.replicated_state.singletons["aggregator"].owner
         if holder == leads:
             return False
         for name in scenario.edges[:2]:
             scenario.world.kill(name)
         aggregator = scenario.node(holder).core.aggregator
-        scenario.world.run_until(lambda: aggregator.judge().zones["zone0"].verdict == "down", 9)
+        scenario.world.run_until(lambda: aggregator.evaluate().zones["zone0"].verdict == "down", 9)
         scenario.world.cut(holder, leads, False)
         scenario.world.run(2.95)
         scenario.world.heal()
--- a/tests/test_http_server_stop.py
+++ b/tests/test_http_server_stop.py
@@ -3,9 +3,9 @@
 import testtools
 
 from ryelock.events import QuietLog
-from ryelock.http import Exchange, HttpServer, Limits
+from ryelock.http import HttpExchange, HttpServer, Limits
 from ryelock.http.server import IDLE_GRACE_SECONDS
-from ryelock.runtime import Link
+from ryelock.runtime import Connection
 from ryelock.testing.simulated import World
 
 SLOW_SECONDS = 3.0
@@ -29,7 +29,7 @@
             self.serve,
         )
 
-    async def serve(self, exchange: Exchange) -> None:
+    async def serve(self, exchange: HttpExchange) -> None:
         self.taken.append(exchange.head.target)
         if exchange.head.target == b"/waits":
             exchange.may_refuse = True
@@ -38,28 +38,28 @@
             await self.node.scheduler.sleep(2 * STOP_SECONDS)
         if exchange.head.target == b"/slow":
             await self.node.scheduler.sleep(SLOW_SECONDS)
-        await exchange.answer(200, [], b"answer")
+        await exchange.respond(200, [], b"answer")
 
-    def connection(self) -> Link:
-        link = self.client.network.connect("10.0.0.1:80")
-        self.assertTrue(self.world.run_until(lambda: link.opened, 1))
-        return link
+    def connection(self) -> Connection:
+        connection = self.client.network.connect("10.0.0.1:80")
+        self.assertTrue(self.world.run_until(lambda: connection.connected, 1))
+        return connection
 
-    def send(self, link: Link, target: bytes) -> None:
-        link.write(b"GET " + target + b" HTTP/1.1\r\nHost: here\r\n\r\n")
+    def send(self, connection: Connection, target: bytes) -> None:
+        connection.write(b"GET " + target + b" HTTP/1.1\r\nHost: here\r\n\r\n")
 
     def begin_stop(self) -> list[bool]:
         done: list[bool] = []
 
         async def stop() -> None:
-            self.server.stop_taking()
+            self.server.stop_accepting()
             done.append(await self.server.finish(STOP_SECONDS))
 
         self.node.scheduler.create_task(stop(), name="stop")
         return done
 
-    def received(self, link: Link) -> bytes:
-        return b"".join(link.inbox.items)
+    def received(self, connection: Connection) -> bytes:
+        return b"".join(connection.received.items)
 
     def test_an_idle_connection_ends_though_another_request_is_open(self) -> None:
         busy, idle = self.connection(), self.connection()
@@ -67,7 +67,7 @@
         self.world.run(0.1)
         done = self.begin_stop()
         self.world.run(IDLE_GRACE_SECONDS + 0.5)
-        self.assertTrue(idle.ended)
+        self.assertTrue(idle.closed)
         self.send(idle, b"/late")
         self.world.run(SLOW_SECONDS)
         self.assertEqual([b"/slow"], self.taken)
@@ -91,7 +91,7 @@
         done = self.begin_stop()
         self.world.run(IDLE_GRACE_SECONDS + 0.1)
         self.assertEqual([True], done)
-        self.assertTrue(idle.ended)
+        self.assertTrue(idle.closed)
 
     def test_a_request_that_still_waits_is_refused_before_the_end(self) -> None:
         waiting, once = self.connection(), self.connection()
@@ -103,5 +103,5 @@
         self.assertIn(b"503 Service Unavailable", self.received(waiting))
         self.assertIn(b"Retry-After", self.received(waiting))
         self.assertIn(b"Connection: close", self.received(waiting))
-        self.assertTrue(waiting.ended)
+        self.assertTrue(waiting.closed)
         self.assertEqual(b"", self.received(once), "nothing is promised of what may run once")
--- a/tests/test_journal_faults.py
+++ b/tests/test_journal_faults.py
@@ -196,10 +196,10 @@
             self.acknowledged += records
             self.unsure = []
 
-    def write_image(self, journal: Journal) -> None:
+    def write_snapshot(self, journal: Journal) -> None:
         """The image has all acknowledged records but the last two, which are carried over."""
-        image, kept = self.acknowledged[:-2], self.acknowledged[-2:]
-        if journal.write_image(cbor2.dumps(image), kept).is_ok():
+        snapshot, kept = self.acknowledged[:-2], self.acknowledged[-2:]
+        if journal.write_snapshot(cbor2.dumps(snapshot), kept).is_ok():
             self.unsure = []
 
     def play(self) -> None:
@@ -210,15 +210,15 @@
             if step == "w":
                 self.write(journal, [b"%d first" % number, b"%d second" % number])
             else:
-                self.write_image(journal)
+                self.write_snapshot(journal)
 
     def expected(self) -> list[Records]:
         return [self.acknowledged, *(self.acknowledged + batch for batch in self.unsure)]
 
 
 def state_of(journal: Journal) -> Records:
-    image = cbor2.loads(journal.image) if journal.image is not None else []
-    return [*image, *journal.records]
+    snapshot = cbor2.loads(journal.snapshot) if journal.snapshot is not None else []
+    return [*snapshot, *journal.records]
 
 
 def folder_of(files: Files) -> ModelFolder:
@@ -269,9 +269,9 @@
         if found not in writer.expected():
             self.fail(f"{told}: found {found}, acknowledged {writer.acknowledged}")
         again.acknowledged = list(found)
-        journal.image, journal.records = None, []
+        journal.snapshot, journal.records = None, []
         again.write(journal, [b"later"])
-        again.write_image(journal)
+        again.write_snapshot(journal)
         again.write(journal, [b"last"])
         once_more = again.open()
         assert once_more is not None
@@ -332,16 +332,16 @@
             journal.folder.write_whole(f"segment-{journal.segment + 1:010d}", b"")
             journal.size = 0
 
-        def deletes_first(journal: Journal, image: bytes, records: Records) -> object:
+        def deletes_first(journal: Journal, snapshot: bytes, records: Records) -> object:
             journal.delete_before(journal.segment + 1)
-            return plain_image(journal, image, records)
+            return plain_snapshot(journal, snapshot, records)
 
-        plain_start, plain_image = Journal.start_segment, Journal.write_image
+        plain_start, plain_snapshot = Journal.start_segment, Journal.write_snapshot
         for name, taken_out in (
             ("repair", no_repair),
             ("start_segment", never_due),
             ("start_segment", goes_on_in_old),
-            ("write_image", deletes_first),
+            ("write_snapshot", deletes_first),
         ):
             with mock.patch.object(Journal, name, taken_out):
                 try:
--- a/tests/test_lapse.py
+++ b/tests/test_lapse.py
@@ -13,8 +13,8 @@
 import testtools
 
 from ryelock.consensus import Consensus
-from ryelock.http import call
-from ryelock.rate_limit import Divider
+from ryelock.http import fetch
+from ryelock.rate_limit import QuotaAllocator
 from ryelock.testing.scenario import Scenario
 
 
@@ -40,7 +40,7 @@
 def status_of(scenario: Scenario, edge: str, target: str) -> int:
     found = scenario.world.task(
         scenario.outside,
-        call(
+        fetch(
             scenario.outside.scheduler,
             scenario.outside.network,
             f"{scenario.node(edge).host}:3",
@@ -161,7 +161,7 @@
 class SpareShareTests(testtools.TestCase):
     def test_a_spare_share_fits_beside_what_others_hold(self) -> None:
         """100 a second, held by one edge; nine that hold nothing, for 0.6 s, within 5 s x 1.1."""
-        divider = Divider()
+        divider = QuotaAllocator()
         edges = [f"edge{number}" for number in range(10)]
         divider.share("s", 100.0, 0.2, "edge0", edges, 100.0, 0.0, 1.5, False, True)
         spare = sum(
@@ -172,7 +172,9 @@
         self.assertLessEqual(100.0 * 5 + spare * 0.6, 100.0 * 5 * 1.1)
 
     def test_without_it_an_edge_that_holds_nothing_gets_nothing(self) -> None:
-        self.assertEqual(0.0, Divider().share("s", 100.0, 0.2, "a", ["a"], 0.0, 0.0, 1.5, False))
+        self.assertEqual(
+            0.0, QuotaAllocator().share("s", 100.0, 0.2, "a", ["a"], 0.0, 0.0, 1.5, False)
+        )
 
 
 class StopTests(testtools.TestCase):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,7 +6,7 @@
 
 from ryelock.consensus import majority_of
 from ryelock.consensus.entries import Voters
-from ryelock.consensus.membership import VOTERS_MOST, Membership, Spare, next_voters
+from ryelock.consensus.membership import VOTERS_MOST, Standby, VoterSet, next_voters
 
 STEPS_MOST = 20
 
@@ -20,39 +20,39 @@
     return [f"{prefix}{number}" for number in range(count)]
 
 
-def every_membership() -> list[Membership]:
+def every_membership() -> list[VoterSet]:
     """Each mix of live, lost and leaving voters with up to four spares; the leader is alive."""
-    found: list[Membership] = []
+    found: list[VoterSet] = []
     for count in range(1, VOTERS_MOST + 2):
         voters = disks(count, "voter")
         for states in product(("live", "lost", "leaving"), repeat=count - 1):
             state = dict(zip(voters[1:], states, strict=True))
             for spares in range(5):
                 found.append(
-                    Membership(
+                    VoterSet(
                         {disk: disk for disk in voters},
                         voters[0],
                         frozenset(disk for disk in state if state[disk] == "lost"),
                         frozenset(disk for disk in state if state[disk] == "leaving"),
-                        tuple(Spare(disk, disk) for disk in disks(spares, "spare")),
+                        tuple(Standby(disk, disk) for disk in disks(spares, "spare")),
                     )
                 )
     return found
 
 
-def after(membership: Membership, voters: Voters) -> Membership:
-    return Membership(
+def after(membership: VoterSet, voters: Voters) -> VoterSet:
+    return VoterSet(
         voters,
         membership.own,
         membership.lost,
         membership.leaving,
-        tuple(spare for spare in membership.spares if spare.disk not in voters),
+        tuple(spare for spare in membership.standbys if spare.disk not in voters),
     )
 
 
 class StepTests(testtools.TestCase):
-    def alive(self, membership: Membership) -> set[str]:
-        known = {*membership.voters, *(spare.disk for spare in membership.spares)}
+    def alive(self, membership: VoterSet) -> set[str]:
+        known = {*membership.voters, *(spare.disk for spare in membership.standbys)}
         return known - membership.lost
 
     def test_each_step_is_one_voter_and_keeps_the_leader(self) -> None:
@@ -93,15 +93,15 @@
                 self.fail(f"no end from {membership}")
             self.assert_ended_well(membership, step)
 
-    def assert_ended_well(self, first: Membership, last: Membership) -> None:
+    def assert_ended_well(self, first: VoterSet, last: VoterSet) -> None:
         alive = self.alive(first)
         staying = alive - first.leaving
         if len(staying) >= VOTERS_MOST:
             self.assertTrue(bearable(last.voters, alive) >= 2, (first, last))
         elif len(staying) >= 3:
             self.assertTrue(bearable(last.voters, alive) >= 1, (first, last))
-        if first.spares and len(staying) >= 3:
+        if first.standbys and len(staying) >= 3:
             self.assertEqual(set(), set(last.voters) & first.lost, str((first, last)))
             remaining = set(last.voters) & first.leaving
-            without_spare = len(first.leaving_voters) - len(first.spares)
+            without_spare = len(first.leaving_voters) - len(first.standbys)
             self.assertTrue(len(remaining) <= max(0, without_spare), (first, last))
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -3,7 +3,7 @@
 import unittest
 
 from deployment import Deployment
-from ryelock.http import read_answer, send_order
+from ryelock.http import read_response, send_request
 from ryelock.http.reader import Reader
 from ryelock.metrics import Metrics
 from ryelock.testing.platform_clients import SAFE
@@ -16,14 +16,14 @@
     address = f"{deployment.node(edge).host}:{METRICS_PORT}"
 
     async def fetch() -> bytes:
-        link = deployment.outside.network.connect(address)
-        await link.open(1.0)
-        reader = Reader(deployment.outside.scheduler, link)
-        send_order(link, b"GET", b"/metrics", [(b"Host", b"figures")], b"")
+        connection = deployment.outside.network.connect(address)
+        await connection.wait_connected(1.0)
+        reader = Reader(deployment.outside.scheduler, connection)
+        send_request(connection, b"GET", b"/metrics", [(b"Host", b"figures")], b"")
         until = deployment.outside.scheduler.now() + 1.0
-        found = await read_answer(reader, b"GET", 32_768, until)
-        body = await found.ok.body.whole(1 << 20, until)
-        link.close()
+        found = await read_response(reader, b"GET", 32_768, until)
+        body = await found.ok.body.read_all(1 << 20, until)
+        connection.close()
         return body
 
     return deployment.world.task(deployment.outside, fetch(), 10).decode()
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from ryelock.replicated_state import Register, encode_word
+from ryelock.replicated_state import ReplicatedState, encode_command
 from ryelock.replicated_state.outcomes import REMEMBERED_MOST, outcomes_of
 
 PURGE = [{"path": "/covers/1"}]
@@ -10,41 +10,43 @@
 
 
 def change_word(identity: str, base: int) -> bytes:
-    return encode_word(
+    return encode_command(
         "change", id=identity, change={"id": identity, "base": base, "put": {"services": SERVICE}}
     )
 
 
 class OutcomeTests(testtools.TestCase):
-    def register_with_change(self) -> Register:
-        register = Register()
-        outcome = register.apply(1, change_word("the change", 0))
+    def replicated_state_with_change(self) -> ReplicatedState:
+        replicated_state = ReplicatedState()
+        outcome = replicated_state.apply(1, change_word("the change", 0))
         self.assertEqual("accepted", outcome["status"])
-        return register
+        return replicated_state
 
-    def assert_known(self, register: Register, index: int) -> None:
-        again = register.apply(index, change_word("the change", 0))
+    def assert_known(self, replicated_state: ReplicatedState, index: int) -> None:
+        again = replicated_state.apply(index, change_word("the change", 0))
         self.assertEqual(
             ("accepted", 1, True), (again["status"], again["version"], again.get("again"))
         )
 
     def test_a_stream_of_purges_does_not_push_out_the_standing_change(self) -> None:
-        register = self.register_with_change()
+        replicated_state = self.replicated_state_with_change()
         for number in range(REMEMBERED_MOST + 1):
-            register.apply(2 + number, encode_word("purge", id=f"purge {number}", scopes=PURGE))
-        self.assert_known(register, 3 + REMEMBERED_MOST)
+            replicated_state.apply(
+                2 + number, encode_command("purge", id=f"purge {number}", scopes=PURGE)
+            )
+        self.assert_known(replicated_state, 3 + REMEMBERED_MOST)
 
     def test_refused_changes_do_not_push_it_out_either(self) -> None:
-        register = self.register_with_change()
+        replicated_state = self.replicated_state_with_change()
         for number in range(REMEMBERED_MOST + 1):
-            outcome = register.apply(2 + number, change_word(f"late {number}", 0))
+            outcome = replicated_state.apply(2 + number, change_word(f"late {number}", 0))
             self.assertEqual("conflict", outcome["status"])
-        self.assert_known(register, 3 + REMEMBERED_MOST)
+        self.assert_known(replicated_state, 3 + REMEMBERED_MOST)
 
     def test_a_snapshot_keeps_it(self) -> None:
-        register = self.register_with_change()
-        copy = Register()
-        copy.restore(register.image())
+        replicated_state = self.replicated_state_with_change()
+        copy = ReplicatedState()
+        copy.restore(replicated_state.snapshot())
         for number in range(REMEMBERED_MOST + 1):
             copy.apply(2 + number, change_word(f"late {number}", 0))
         self.assert_known(copy, 3 + REMEMBERED_MOST)
@@ -58,7 +60,7 @@
         self.assertRaises(ValueError, outcomes_of, {"change": 1})
 
     def test_room_is_bounded_for_each_kind(self) -> None:
-        register = self.register_with_change()
+        replicated_state = self.replicated_state_with_change()
         for number in range(REMEMBERED_MOST + 10):
-            register.apply(2 + number, change_word(f"late {number}", 0))
-        self.assertEqual(REMEMBERED_MOST, len(register.outcomes.by_kind["change"]))
+            replicated_state.apply(2 + number, change_word(f"late {number}", 0))
+        self.assertEqual(REMEMBERED_MOST, len(replicated_state.outcomes.by_kind["change"]))
--- a/tests/test_owner_asks.py
+++ b/tests/test_owner_asks.py
@@ -54,7 +54,7 @@
 
 
 async def ask_one(client: Any, edge: str, target: str) -> None:
-    await client.order(CACHEABLE, "GET", HOST, target, b"", 1.0, None, 1, edge)
+    await client.request(CACHEABLE, "GET", HOST, target, b"", 1.0, None, 1, edge)
 
 
 class SilenceTests(testtools.TestCase):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,10 +7,10 @@
 import testtools
 from test_egress import SteppedClock, raise_fault
 
-from ryelock.control_plane.renewals import Renewals
+from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.peers import Peers, owner_of
-from ryelock.http import call, field
+from ryelock.http import fetch, field
 from ryelock.membership import Session
 from ryelock.rpc import Message
 from ryelock.runtime import Scheduler
@@ -57,11 +57,11 @@
     return scenario
 
 
-def fetch(scenario: Scenario, edge: str, target: str) -> tuple[int, bytes]:
+def fetch_object(scenario: Scenario, edge: str, target: str) -> tuple[int, bytes]:
     """One order at one edge: status and the way its answer came."""
     found = scenario.world.task(
         scenario.outside,
-        call(
+        fetch(
             scenario.outside.scheduler,
             scenario.outside.network,
             f"{scenario.node(edge).host}:3",
@@ -103,20 +103,20 @@
     def test_one_fetch_serves_all_edges_of_a_zone(self) -> None:
         scenario = shared(1)
         for edge in scenario.edges:
-            self.assertEqual(200, fetch(scenario, edge, "/covers/1")[0])
+            self.assertEqual(200, fetch_object(scenario, edge, "/covers/1")[0])
         self.assertEqual(1, self.arrivals(scenario, "/covers/1"))
 
     def test_without_sharing_each_edge_fetches(self) -> None:
         scenario = shared(1, share_copies=False)
         for edge in scenario.edges:
-            fetch(scenario, edge, "/covers/1")
+            fetch_object(scenario, edge, "/covers/1")
         self.assertEqual(len(scenario.edges), self.arrivals(scenario, "/covers/1"))
 
     def test_an_owner_that_died_is_passed_by(self) -> None:
         scenario = shared(2)
         target = owned_by(scenario, scenario.edges[0], scenario.edges[1])
         scenario.world.kill(scenario.edges[1], True)
-        status, cache = fetch(scenario, scenario.edges[0], target)
+        status, cache = fetch_object(scenario, scenario.edges[0], target)
         self.assertEqual((200, b"miss"), (status, cache))
 
     def test_a_purge_reaches_copies_that_came_from_the_owner(self) -> None:
@@ -141,11 +141,11 @@
         way = scenario.node(scenario.edges[0]).traffic.handler
         assert way is not None
         target = owned_by(scenario, scenario.edges[0], scenario.edges[1])
-        self.assertEqual(200, fetch(scenario, scenario.edges[0], target)[0])
-        way.store.copies.clear()
+        self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
+        way.store.responses.clear()
         way.store.purged += 1
         before = self.arrivals(scenario, target)
-        self.assertEqual(200, fetch(scenario, scenario.edges[0], target)[0])
+        self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
         return self.arrivals(scenario, target) == before
 
     def purged_run(self, seed: int) -> Findings:
@@ -175,21 +175,23 @@
         """Nodes that follow by changes know what one that was told all knows."""
         scenario = shared(5, edges=4)
         told: list[bool] = []
-        plain = Renewals.members_since
+        plain = LeaseRenewals.members_since
 
-        def noted(renewals: Renewals, version: int | None) -> Message:
+        def noted(renewals: LeaseRenewals, version: int | None) -> Message:
             found = plain(renewals, version)
             told.append("since" in found)
             return found
 
-        with mock.patch.object(Renewals, "members_since", noted):
+        with mock.patch.object(LeaseRenewals, "members_since", noted):
             scenario.world.kill(scenario.edges[0], True)
             scenario.world.run(5.0)
             scenario.start(scenario.edges[0])
             scenario.world.run(3.0)
         self.assertIn(True, told)
         leader = scenario.node(scenario.leader()).core
-        expected = {name: session.incarnation for name, session in leader.roster.members().items()}
+        expected = {
+            name: session.incarnation for name, session in leader.membership.members().items()
+        }
         for name in scenario.edges:
             members = scenario.node(name).traffic.member.members
             self.assertEqual(
@@ -237,13 +239,13 @@
             for target in (f"/covers/{number}" for number in range(100))
             if owner_of((HOST, target), sorted(scenario.edges)) == owner
         ][:3]
-        self.assertEqual(200, fetch(scenario, asking, first)[0])
+        self.assertEqual(200, fetch_object(scenario, asking, first)[0])
         scenario.world.freeze(owner, True)
         before = scenario.world.time
-        self.assertEqual((200, b"miss"), fetch(scenario, asking, second))
+        self.assertEqual((200, b"miss"), fetch_object(scenario, asking, second))
         self.assertLess(scenario.world.time - before, 0.5)
         before = scenario.world.time
-        self.assertEqual((200, b"miss"), fetch(scenario, asking, third))
+        self.assertEqual((200, b"miss"), fetch_object(scenario, asking, third))
         self.assertLess(scenario.world.time - before, 0.2)
 
 
--- a/tests/test_platform_listing.py
+++ b/tests/test_platform_listing.py
@@ -266,7 +266,7 @@
             deployment.world.run(3)
             self.assertTrue(any(arrival.status == 421 for arrival in deployment.history))
             self.assertEqual([], deployment.broken())
-            last = {note.order: note for note in deployment.notes}
+            last = {note.request: note for note in deployment.notes}
             served = sum(note.served for note in last.values()) / len(last)
             self.assertGreater(served, 0.95, f"seed {seed}")
 
--- a/tests/test_platform_orders.py
+++ b/tests/test_platform_orders.py
@@ -6,7 +6,7 @@
 import testtools
 
 from deployment import HOST, WORDS, Deployment, route, service_item
-from ryelock.http import Reader, field, read_answer
+from ryelock.http import Reader, field, read_response
 from ryelock.testing.hosting_platform import Manner
 from ryelock.testing.platform_clients import (
     CACHEABLE,
@@ -145,7 +145,7 @@
 
         async def send() -> None:
             notes.append(
-                await client.order(
+                await client.request(
                     UNSAFE,
                     "POST",
                     HOST,
@@ -180,7 +180,7 @@
                 self.assertTrue(note.served)
                 self.assertEqual([], deployment.broken())
             arrivals = deployment.history[-12:]
-            self.assertLess(len({arrival.link for arrival in arrivals}), 12)
+            self.assertLess(len({arrival.connection for arrival in arrivals}), 12)
 
     def test_a_late_second_answer_of_one_order_does_not_harm_the_next_unsafe_one(self) -> None:
         deployment = one_server(26)
@@ -266,13 +266,13 @@
         deployment = one_server(34)
         for number in range(10):
             self.get(deployment, f"/plain/{number}")
-        self.assertLess(len({arrival.link for arrival in deployment.history}), 4)
+        self.assertLess(len({arrival.connection for arrival in deployment.history}), 4)
         before = len(deployment.history)
         for number in range(4):
             deployment.world.run(deployment.services["pages"].idle_seconds - 0.01)
             self.assertTrue(self.post(deployment, number).served)
         fresh = deployment.history[before:]
-        self.assertEqual(len(fresh), len({arrival.link for arrival in fresh}))
+        self.assertEqual(len(fresh), len({arrival.connection for arrival in fresh}))
 
     def test_a_server_that_never_answers_when_full_holds_no_order_past_its_time(self) -> None:
         deployment = Deployment(35).set_up()
@@ -385,20 +385,20 @@
         told: list[int] = []
 
         async def send() -> None:
-            link = outside.network.connect(front)
-            await link.open(1.0)
-            link.write(
+            connection = outside.network.connect(front)
+            await connection.wait_connected(1.0)
+            connection.write(
                 b"POST /orders/1 HTTP/1.1\r\nHost: " + HOST.encode() + b"\r\nAttempt-Id: x1"
                 b"\r\nDeadline-Remaining: 5000\r\nTransfer-Encoding: chunked\r\n\r\n"
             )
             for start in range(0, len(whole), 10_000):
                 piece = whole[start : start + 10_000]
-                link.write(b"%x\r\n" % len(piece) + piece + b"\r\n")
-            link.write(b"0\r\n\r\n")
-            reader = Reader(outside.scheduler, link)
-            found = await read_answer(reader, b"POST", 65_536, outside.scheduler.now() + 5)
+                connection.write(b"%x\r\n" % len(piece) + piece + b"\r\n")
+            connection.write(b"0\r\n\r\n")
+            reader = Reader(outside.scheduler, connection)
+            found = await read_response(reader, b"POST", 65_536, outside.scheduler.now() + 5)
             told.append(found.ok.head.status)
-            link.close()
+            connection.close()
 
         outside.scheduler.create_task(send(), name="chunks")
         deployment.world.run(4)
@@ -791,7 +791,7 @@
         self.assertEqual([], deployment.broken())
 
     async def ask_once(self, client: Any, edge: str) -> None:
-        await client.order(CACHEABLE, "GET", HOST, "/covers/1", b"", 1.0, None, 1, edge)
+        await client.request(CACHEABLE, "GET", HOST, "/covers/1", b"", 1.0, None, 1, edge)
 
 
 class ChangedMidwayTests(Orders):
@@ -819,7 +819,7 @@
         self.assertEqual([], deployment.world.faults)
 
     async def ask_midway(self, client: Any, kind: str, target: str, edge: str) -> None:
-        await client.order(kind, "GET", HOST, target, b"", 2.0, None, 1, edge)
+        await client.request(kind, "GET", HOST, target, b"", 2.0, None, 1, edge)
 
 
 class LoadTests(Orders):
@@ -927,7 +927,7 @@
             deployment.world.run(3)
             since = deployment.world.time
             deployment.world.run(8)
-            last = {note.order: note for note in deployment.notes if note.at > since}
+            last = {note.request: note for note in deployment.notes if note.at > since}
             self.assertGreater(sum(note.served for note in last.values()) / 8, 0.75 * most)
             self.assertEqual(
                 [], over_budget(deployment.notes, deployment.history, name, deployment.allowed)
@@ -952,14 +952,14 @@
         outside, front = deployment.outside, deployment.entrance.fronts[deployment.edges[0]]
 
         async def leave(number: int) -> None:
-            link = outside.network.connect(front)
-            await link.open(1.0)
-            link.write(
+            connection = outside.network.connect(front)
+            await connection.wait_connected(1.0)
+            connection.write(
                 b"GET /plain/%d HTTP/1.1\r\nHost: %s\r\nAttempt-Id: left-%d\r\n"
                 b"Deadline-Remaining: 800\r\n\r\n" % (number, HOST.encode(), number)
             )
             await outside.scheduler.sleep(0.0001 * (number % 40))
-            link.abort()
+            connection.abort()
 
         for number in range(200):
             outside.scheduler.create_task(leave(number), name="leaves")
--- a/tests/test_platform_schedules.py
+++ b/tests/test_platform_schedules.py
@@ -264,7 +264,7 @@
         deployment.callers_on = False
         deployment.world.run(3)
         told = f"seed {seed}: {schedule.happened}"
-        last = {note.order: note for note in deployment.notes if since < note.at < since + 4}
+        last = {note.request: note for note in deployment.notes if since < note.at < since + 4}
         self.assertEqual([], deployment.broken(schedule.allowed), told)
         for name in deployment.services:
             self.assertEqual(
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -7,7 +7,7 @@
 
 import deployment
 import settings
-from ryelock.settings import Env, EnvError
+from ryelock.settings import Settings, SettingsError
 
 THREE = {"a": "north", "b": "north", "c": "south"}
 SEEDS = ["10.1.0.1:8146", "10.2.0.1:8146", "10.3.0.1:8146"]
@@ -23,13 +23,13 @@
     return {**found, **{key.replace("__", "."): value for key, value in changed.items()}}
 
 
-def env_of(role: str, plain: dict[str, str]) -> Env:
+def env_of(role: str, plain: dict[str, str]) -> Settings:
     return settings.env_of(role, settings.Told(plain))
 
 
 class SettingsTests(testtools.TestCase):
     def faults(self, role: str, plain: dict[str, str]) -> list[str]:
-        return self.assertRaises(EnvError, env_of, role, plain).faults
+        return self.assertRaises(SettingsError, env_of, role, plain).faults
 
     def test_a_file_as_the_platform_writes_it_is_taken(self) -> None:
         text = "".join(f"{key}={value}\n" for key, value in lines().items())
@@ -39,8 +39,8 @@
             told = settings.read_told(str(path))
             core, edge = settings.env_of("core", told), settings.env_of("edge", told)
             path.write_bytes(b"zone=\xff\xfe")
-            self.assertRaises(EnvError, settings.read_told, str(path))
-            self.assertRaises(EnvError, settings.read_told, str(path / "none"))
+            self.assertRaises(SettingsError, settings.read_told, str(path))
+            self.assertRaises(SettingsError, settings.read_told, str(path / "none"))
         self.assertEqual(("edge-a-0.core", "edge-a-0", "a"), (core.name, core.machine, core.zone))
         self.assertEqual(
             ("10.1.0.1:8144", "/data/my-role", "10.200.0.4:8142"),
@@ -54,14 +54,14 @@
         core, edge = env_of("core", lines()), env_of("edge", lines())
         ports = [
             int(address.rpartition(":")[2])
-            for env in (core, edge)
-            for address in (env.wire_address, env.control_address)
+            for settings in (core, edge)
+            for address in (settings.wire_address, settings.control_address)
         ]
         self.assertEqual(4, len(set(ports)))
         self.assertTrue(all(7660 <= port <= 7675 for port in ports), ports)
-        for env in (core, edge):
+        for found in (core, edge):
             self.assertEqual(
-                tuple(f"10.{number}.0.1:{ports[0]}" for number in (1, 2, 3)), env.seeds
+                tuple(f"10.{number}.0.1:{ports[0]}" for number in (1, 2, 3)), found.seeds
             )
 
     def test_only_a_first_start_may_found(self) -> None:
@@ -141,14 +141,14 @@
         five = {zone: "north" if zone in "ab" else "south" for zone in "abcde"}
         for zones, seeds in ((one, SEEDS), (two, SEEDS), (regions, SEEDS), (five, SEEDS)):
             for role in ("core", "edge"):
-                env = env_of(role, lines(zones, seeds))
-                self.assertEqual(zones, env.regions)
+                settings = env_of(role, lines(zones, seeds))
+                self.assertEqual(zones, settings.regions)
 
     def test_fewer_seeds_where_fewer_nodes_are_control_nodes(self) -> None:
         for count in (1, 2):
             for role in ("core", "edge"):
-                env = env_of(role, lines({"a": "north"}, SEEDS[:count]))
-                self.assertEqual(count, len(set(env.seeds)))
+                settings = env_of(role, lines({"a": "north"}, SEEDS[:count]))
+                self.assertEqual(count, len(set(settings.seeds)))
 
     def test_a_range_without_room_for_all_ports_is_a_fault(self) -> None:
         for given in ("7660,7662", "7660,7660", "7675,7660", "", "7660", "7660,7665,7675", "a,b"):
@@ -159,8 +159,8 @@
 
     def test_a_lists_rate_is_kept_to_also_where_it_is_low(self) -> None:
         for rate in ("0.5", "1", "4", "52.0"):
-            env = env_of("core", lines(cloud_api__rate_per_s=rate))
-            self.assertLessEqual(1.0 / env.listing_seconds, float(rate))
+            settings = env_of("core", lines(cloud_api__rate_per_s=rate))
+            self.assertLessEqual(1.0 / settings.listing_seconds, float(rate))
 
     def test_faults_stand_once_each(self) -> None:
         plain = lines(internal_port_range="7660,7661")
--- a/tests/test_platform_shapes.py
+++ b/tests/test_platform_shapes.py
@@ -34,7 +34,7 @@
         deployment.callers_on = False
         deployment.world.run(3)
         self.assertEqual([], deployment.broken())
-        last = {note.order: note for note in deployment.notes if note.at >= since}
+        last = {note.request: note for note in deployment.notes if note.at >= since}
         self.assertGreater(len(last), clients * seconds * 2)
         return sum(note.served for note in last.values()) / len(last)
 
@@ -181,7 +181,7 @@
         deployment.callers_on = False
         deployment.world.run(3)
         self.assertEqual([], deployment.broken())
-        last = {note.order: note for note in deployment.notes}
+        last = {note.request: note for note in deployment.notes}
         self.assertGreater(sum(note.served for note in last.values()), 0.95 * len(last))
 
     def test_edges_that_are_cut_off_from_the_core_go_on_serving(self) -> None:
--- a/tests/test_platform_standin.py
+++ b/tests/test_platform_standin.py
@@ -56,7 +56,7 @@
         return self.deployment.notes[before:]
 
     async def one(self, client: Client, deadline: float) -> None:
-        await client.order(SAFE, "GET", HOST, "/plain/1", b"", deadline, None, 1, "direct")
+        await client.request(SAFE, "GET", HOST, "/plain/1", b"", deadline, None, 1, "direct")
 
 
 class ServerTests(Direct):
@@ -198,7 +198,7 @@
             "expected": "",
             "deadline": 1.0,
             "body": note.body,
-            "link": "",
+            "connection": "",
             "ran": ran,
             "status": 200,
             **changed,
--- a/tests/test_platform_takeouts.py
+++ b/tests/test_platform_takeouts.py
@@ -9,9 +9,9 @@
 
 from deployment import HOST, Deployment
 from header_fields import DIALECT
-from ryelock.cache import Store
+from ryelock.cache import CacheStore
 from ryelock.edge.handler import RequestHandler
-from ryelock.http import CallError
+from ryelock.http import ClientError
 from ryelock.rate_limit import RetryBudget, TokenBucket
 from ryelock.testing.hosting_platform import Manner
 from ryelock.testing.platform_clients import CACHEABLE, SAFE, UNSAFE, over_budget, over_ceiling
@@ -92,17 +92,17 @@
     return over_ceiling(deployment.history, "desks", 40.0)
 
 
-def as_repeatable(self: Any, order: Any) -> Any:
-    route = ROUTE_OF(self, order)
-    order.klass = "repeatable"
+def as_repeatable(self: Any, request: Any) -> Any:
+    route = ROUTE_OF(self, request)
+    request.klass = "repeatable"
     return route
 
 
-def any_503(self: Any, order: Any, head: Any) -> CallError | None:
+def any_503(self: Any, request: Any, head: Any) -> ClientError | None:
     if head.status == 503:
-        return CallError("believed", False, 503)
-    error = UNFIT(self, order, head)
-    return error if error is None or isinstance(error, CallError) else None
+        return ClientError("believed", False, 503)
+    error = UNFIT(self, request, head)
+    return error if error is None or isinstance(error, ClientError) else None
 
 
 ROUTE_OF = RequestHandler.find_route
@@ -133,7 +133,7 @@
         "unfit",
         any_503,
     ),
-    "purges": (purged, Store, "take_purges", lambda _self, _purges, _number: None),
+    "purges": (purged, CacheStore, "take_purges", lambda _self, _purges, _number: None),
     "budgets": (failing, RetryBudget, "repeat", lambda _self: True),
     "rates": (limited, TokenBucket, "allow", lambda _self, _now: True),
 }
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -2,11 +2,11 @@
 
 import testtools
 
-from ryelock.edge.promises import Promise, are_enough, promise_of
+from ryelock.edge.promises import QuorumLeaseVote, are_enough, decode_vote
 
 
-def promise(disk: str, voters: str, index: int) -> Promise:
-    return Promise(disk, 0, frozenset(voters), (1, index))
+def promise(disk: str, voters: str, index: int) -> QuorumLeaseVote:
+    return QuorumLeaseVote(disk, 0, frozenset(voters), (1, index))
 
 
 class PromiseTests(testtools.TestCase):
@@ -27,8 +27,8 @@
         self.assertFalse(are_enough([promise("a", "abcd", 5), promise("b", "abcd", 5)]))
 
     def test_a_later_epoch_is_newer_than_a_later_index(self) -> None:
-        older = Promise("a", 0, frozenset("abc"), (1, 20))
-        newer = Promise("d", 0, frozenset("def"), (2, 10))
+        older = QuorumLeaseVote("a", 0, frozenset("abc"), (1, 20))
+        newer = QuorumLeaseVote("d", 0, frozenset("def"), (2, 10))
         self.assertFalse(are_enough([older, newer]))
 
     def test_only_granted_answers_are_promises(self) -> None:
@@ -39,6 +39,6 @@
             "voters": ["a", "b"],
             "configuration": [1, 2],
         }
-        self.assertEqual(Promise("a", 4, frozenset("ab"), (1, 2)), promise_of(answer))
-        self.assertIsNone(promise_of({**answer, "granted": False}))
-        self.assertIsNone(promise_of({**answer, "configuration": None}))
+        self.assertEqual(QuorumLeaseVote("a", 4, frozenset("ab"), (1, 2)), decode_vote(answer))
+        self.assertIsNone(decode_vote({**answer, "granted": False}))
+        self.assertIsNone(decode_vote({**answer, "configuration": None}))
--- a/tests/test_rate_sharing.py
+++ b/tests/test_rate_sharing.py
@@ -51,7 +51,7 @@
     """The part of the requests whose last try was refused."""
     last: dict[str, Note] = {}
     for note in notes:
-        last[note.order] = note
+        last[note.request] = note
     return sum(note.status == 503 for note in last.values()) / len(last)
 
 
@@ -90,7 +90,7 @@
             node = deployment.node(name).inner
             assert isinstance(node, TrafficNode)
             planned += sum(
-                1.0 / max(node.env.probe_seconds, target.seconds)
+                1.0 / max(node.settings.probe_seconds, target.seconds)
                 for target in node.probe_targets.all()
                 if not target.outside
             )
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -62,7 +62,7 @@
         (self.path / "image-0000000003").write_bytes(frame(b"image"))
         (self.path / "segment-0000000003").write_bytes(frame(b"kept") + frame(b"second"))
         journal = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
-        self.assertEqual((b"image", [b"kept", b"second"]), (journal.image, journal.records))
+        self.assertEqual((b"image", [b"kept", b"second"]), (journal.snapshot, journal.records))
         self.assertTrue(journal.write([b"third", b"fourth"]).is_ok())
         again = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
         self.assertEqual([b"kept", b"second", b"third", b"fourth"], again.records)
@@ -84,10 +84,10 @@
         for number in range(400):
             journal.write([b"record %d" % number + b"x" * 50])
         self.assertTrue(journal.segment > 1)
-        journal.write_image(b"all of it", [b"kept"])
+        journal.write_snapshot(b"all of it", [b"kept"])
         journal.write([b"after"])
         again = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
-        self.assertEqual(b"all of it", again.image)
+        self.assertEqual(b"all of it", again.snapshot)
         self.assertEqual([b"kept", b"after"], again.records)
 
     def test_a_missing_folder_is_plain(self) -> None:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -48,7 +48,7 @@
 
     def test_a_release_by_an_older_leader_does_not_count(self) -> None:
         """Between the answer and its arrival this node may have stored a newer leader's entries."""
-        node = cast(Any, SimpleNamespace(consensus=SimpleNamespace(epoch=7)))
+        node = cast(Any, SimpleNamespace(consensus=SimpleNamespace(term=7)))
         cases: tuple[tuple[Message, bool], ...] = (
             ({"may_end": True, "epoch": 7}, True),
             ({"may_end": True, "epoch": 6}, False),
--- a/tests/test_replicated_log.py
+++ b/tests/test_replicated_log.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from ryelock.consensus.entries import VOTERS, WORD, Entry, Image
+from ryelock.consensus.entries import COMMAND, VOTERS, Entry, Snapshot
 from ryelock.consensus.log import ReplicatedLog
 from ryelock.events import QuietLog
 from ryelock.journal import FolderError, Journal, open_journal
@@ -10,14 +10,14 @@
 
 
 def word(index: int, epoch: int) -> Entry:
-    return Entry(index, epoch, WORD, b"%d in %d" % (index, epoch))
+    return Entry(index, epoch, COMMAND, b"%d in %d" % (index, epoch))
 
 
 def positions(log: ReplicatedLog) -> list[tuple[int, int]]:
-    return [(entry.index, entry.epoch) for entry in log.entries]
+    return [(entry.index, entry.term) for entry in log.entries]
 
 
-class NoImageFolder(SimFolder):
+class NoSnapshotFolder(SimFolder):
     """A disk that has room for small files only."""
 
     def write_whole(self, name: str, data: bytes) -> None:
@@ -44,12 +44,12 @@
         self.assertTrue(self.log.save_vote(epoch, "disk"))
         self.assertTrue(self.log.append([word(index, epoch) for index in range(1, last + 1)]))
 
-    def snapshot(self, index: int, epoch: int = 1) -> Image:
-        return Image(index, epoch, {"disk": "address"}, b"state", index)
+    def snapshot(self, index: int, epoch: int = 1) -> Snapshot:
+        return Snapshot(index, epoch, {"disk": "address"}, b"state", index)
 
     def test_a_new_log_is_empty_until_something_is_written(self) -> None:
         self.assertTrue(self.log.empty)
-        self.assertEqual((0, 0), (self.log.last_index, self.log.epoch_at(0)))
+        self.assertEqual((0, 0), (self.log.last_index, self.log.term_at(0)))
         self.fill(3)
         self.assertFalse(self.log.empty)
         self.assertFalse(self.reopened().empty)
@@ -71,7 +71,7 @@
         self.assertFalse(self.log.compact(self.snapshot(3)))
         self.assertFalse(self.log.install(self.snapshot(9)))
         self.assertEqual([(index, 1) for index in range(1, 6)], positions(self.log))
-        self.assertEqual((1, "disk", 0), (self.log.epoch, self.log.voted, self.log.image.index))
+        self.assertEqual((1, "disk", 0), (self.log.term, self.log.voted, self.log.snapshot.index))
 
     def test_compaction_keeps_the_entries_behind_and_the_vote(self) -> None:
         self.fill(5, epoch=3)
@@ -79,8 +79,8 @@
         self.assertTrue(self.log.compact(self.snapshot(3, 3)))
         for log in (self.log, self.reopened()):
             self.assertEqual([(4, 3), (5, 3)], positions(log))
-            self.assertEqual((3, 3, 5), (log.image.index, log.epoch_at(3), log.last_index))
-            self.assertEqual((3, "disk", True), (log.epoch, log.voted, log.promise_noted))
+            self.assertEqual((3, 3, 5), (log.snapshot.index, log.term_at(3), log.last_index))
+            self.assertEqual((3, "disk", True), (log.term, log.voted, log.promise_noted))
 
     def test_voters_are_those_of_the_last_entry_that_names_some(self) -> None:
         self.fill(2)
@@ -89,19 +89,19 @@
         self.assertEqual({}, self.log.voters_at(2))
         self.assertEqual({"a": "b"}, self.log.voters_at(3))
         self.assertEqual({"a": "b"}, self.log.voters_at(self.log.last_index))
-        self.assertTrue(self.log.compact(Image(4, 1, {"a": "b"}, b"", 4)))
+        self.assertTrue(self.log.compact(Snapshot(4, 1, {"a": "b"}, b"", 4)))
         self.assertEqual({"a": "b"}, self.reopened().voters_at(4))
 
     def test_a_snapshot_that_failed_brings_back_no_older_vote_or_entry(self) -> None:
-        self.folder = NoImageFolder()
+        self.folder = NoSnapshotFolder()
         self.log = self.reopened()
         self.fill(5, epoch=3)
         self.assertFalse(self.log.compact(self.snapshot(3, 3)))
         self.assertTrue(self.log.save_vote(8, "another"))
         self.assertTrue(self.log.append([word(6, 8), word(7, 8)]))
         again = self.reopened()
-        self.assertEqual((8, "another"), (again.epoch, again.voted))
-        self.assertEqual([3, 3, 3, 3, 3, 8, 8], [entry.epoch for entry in again.entries])
+        self.assertEqual((8, "another"), (again.term, again.voted))
+        self.assertEqual([3, 3, 3, 3, 3, 8, 8], [entry.term for entry in again.entries])
 
     def test_an_image_keeps_the_acknowledged_entries_behind_it(self) -> None:
         """Of entries to 10 and an image at 7, entries 8 to 10 stay: a leader may count on them."""
@@ -109,14 +109,14 @@
         self.assertTrue(self.log.install(self.snapshot(7, 2)))
         for log in (self.log, self.reopened()):
             self.assertEqual([(8, 2), (9, 2), (10, 2)], positions(log))
-            self.assertEqual((7, 10), (log.image.index, log.last_index))
+            self.assertEqual((7, 10), (log.snapshot.index, log.last_index))
 
     def test_an_image_of_another_epoch_at_its_end_replaces_the_log(self) -> None:
         self.fill(10, epoch=2)
         self.assertTrue(self.log.install(self.snapshot(7, 3)))
         for log in (self.log, self.reopened()):
             self.assertEqual([], log.entries)
-            self.assertEqual((7, 3), (log.last_index, log.epoch_at(7)))
+            self.assertEqual((7, 3), (log.last_index, log.term_at(7)))
 
     def test_an_image_beyond_the_log_replaces_it(self) -> None:
         self.fill(5, epoch=2)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -7,15 +7,15 @@
 import testtools
 from expression import Error, Ok
 
-from ryelock.consensus.entries import WORD, Entry, Image
+from ryelock.consensus.entries import COMMAND, Entry, Snapshot
 from ryelock.consensus.log import RETAINED_BYTES, ReplicatedLog
 from ryelock.consensus.node import Consensus
-from ryelock.consensus.transfer import IMAGE_PIECE_BYTES, piece_of
-from ryelock.consensus.types import BATCH_BYTES, BATCH_BYTES_LEAST, Pace, Peer
+from ryelock.consensus.transfer import SNAPSHOT_PIECE_BYTES, piece_of
+from ryelock.consensus.types import BATCH_BYTES, BATCH_BYTES_LEAST, ConsensusSettings, Peer
 from ryelock.events import QuietLog
 from ryelock.journal import open_journal
-from ryelock.replicated_state import Register, encode_word
-from ryelock.rpc import WireError
+from ryelock.replicated_state import ReplicatedState, encode_command
+from ryelock.rpc import RpcError
 from ryelock.runtime import Scheduler
 from ryelock.testing.simulated import SimFolder
 
@@ -45,7 +45,7 @@
         self.words.append(data)
         return len(self.words)
 
-    def image(self) -> bytes:
+    def snapshot(self) -> bytes:
         return b"\n".join(self.words)
 
     def restore(self, data: bytes) -> None:
@@ -79,13 +79,13 @@
             disk,
             f"{disk}:1",
             (),
-            Pace(**self.pace),
+            ConsensusSettings(**self.pace),
             Random(disk),
         )
 
     def words(self, consensus: Consensus) -> list[bytes]:
-        assert isinstance(consensus.machine, CountingMachine)
-        return consensus.machine.words
+        assert isinstance(consensus.state_machine, CountingMachine)
+        return consensus.state_machine.words
 
     def lead(self, epoch: int) -> None:
         """The leader's role as it is after an election, without its tasks."""
@@ -93,34 +93,34 @@
         self.leader.role = "leader"
         self.leader.voters = {"leader": "leader:1", "follower": "follower:1"}
         self.leader.peers = {"follower": self.peer}
-        self.peer.next = self.leader.last_index + 1
+        self.peer.next_index = self.leader.last_index + 1
 
     def round(self, limit: int = 1 << 30) -> Message:
         """One message and its answer; a message over `limit` bytes of entries comes too late."""
         leader, peer = self.leader, self.peer
         message = leader.next_message(peer)
-        image = message["kind"] == "council.image"
-        handler = self.follower.on_image if image else self.follower.on_beat
-        carried: Any = message["piece"] if image else message["entries"]
-        size = len(carried[-1]) if image else sum(len(entry[3]) for entry in carried)
+        snapshot = message["kind"] == "council.image"
+        handler = self.follower.on_snapshot if snapshot else self.follower.on_heartbeat
+        carried: Any = message["piece"] if snapshot else message["entries"]
+        size = len(carried[-1]) if snapshot else sum(len(entry[3]) for entry in carried)
         now = self.clock.time
         answer = handler(message)
         if size > limit:
-            leader.heard_peer(peer, leader.epoch, now, Error(WireError("late", True)))
+            leader.heard_peer(peer, leader.term, now, Error(RpcError("late", True)))
         else:
-            leader.heard_peer(peer, leader.epoch, now, Ok(answer))
+            leader.heard_peer(peer, leader.term, now, Ok(answer))
         return message
 
     def rounds_until_level(self, most: int, limit: int = 1 << 30) -> int:
         for number in range(most):
-            if self.peer.match == self.leader.last_index:
+            if self.peer.match_index == self.leader.last_index:
                 return number
             self.round(limit)
         return most
 
 
 def entries(first: int, last: int, epoch: int, size: int = 10) -> list[Entry]:
-    return [Entry(index, epoch, WORD, b"%d" % epoch * size) for index in range(first, last + 1)]
+    return [Entry(index, epoch, COMMAND, b"%d" % epoch * size) for index in range(first, last + 1)]
 
 
 class ReplicationTests(testtools.TestCase):
@@ -135,13 +135,13 @@
             lab.lead(5)
             self.assertLess(lab.rounds_until_level(1000), 5, f"{theirs} against {ours}")
             self.assertEqual(
-                [(one.epoch, one.data) for one in lab.leader.entries],
-                [(one.epoch, one.data) for one in lab.follower.entries],
+                [(one.term, one.data) for one in lab.leader.entries],
+                [(one.term, one.data) for one in lab.follower.entries],
             )
 
     def test_without_the_conflict_each_divergent_entry_costs_a_round(self) -> None:
         def one_back(_leader: Consensus, peer: Peer, _answer: Message, _last: int) -> int:
-            return max(1, peer.next - 1)
+            return max(1, peer.next_index - 1)
 
         with mock.patch.object(Consensus, "next_for", one_back):
             lab = Lab()
@@ -169,10 +169,10 @@
             self.assertTrue(consensus.replicated_log.append(entries(1, 300, 1)))
         lab.lead(2)
         lab.follower.advance(200)
-        while lab.follower.applied < 200:
+        while lab.follower.applied_index < 200:
             lab.follower.apply_committed()
-        self.assertTrue(lab.follower.replicated_log.compact(Image(200, 1, {}, b"", 200)))
-        lab.peer.next = 100
+        self.assertTrue(lab.follower.replicated_log.compact(Snapshot(200, 1, {}, b"", 200)))
+        lab.peer.next_index = 100
         self.assertLess(lab.rounds_until_level(1000), 4)
 
     def test_entries_too_many_for_a_slow_link_come_in_smaller_batches(self) -> None:
@@ -180,7 +180,7 @@
         lab = Lab()
         self.assertTrue(lab.leader.replicated_log.append(entries(1, 200, 1, 5000)))
         lab.lead(2)
-        lab.peer.next = 1
+        lab.peer.next_index = 1
         self.assertLess(lab.rounds_until_level(200, limit=100_000), 30)
 
     def test_batches_of_one_size_never_cross_a_slow_link(self) -> None:
@@ -191,18 +191,20 @@
             lab = Lab()
             self.assertTrue(lab.leader.replicated_log.append(entries(1, 200, 1, 5000)))
             lab.lead(2)
-            lab.peer.next = 1
+            lab.peer.next_index = 1
             self.assertEqual(200, lab.rounds_until_level(200, limit=100_000))
 
-    def with_image(self, size: int) -> Lab:
+    def with_snapshot(self, size: int) -> Lab:
         """A leader with an image of that size up to entry 100, a follower with nothing."""
         lab = Lab()
         self.assertTrue(lab.leader.replicated_log.append(entries(1, 120, 1)))
-        image = Image(100, 1, {"leader": "leader:1", "follower": "follower:1"}, b"w" * size, 100)
-        self.assertTrue(lab.leader.replicated_log.compact(image))
-        lab.leader.commit = lab.leader.applied = 100
+        snapshot = Snapshot(
+            100, 1, {"leader": "leader:1", "follower": "follower:1"}, b"w" * size, 100
+        )
+        self.assertTrue(lab.leader.replicated_log.compact(snapshot))
+        lab.leader.commit_index = lab.leader.applied_index = 100
         lab.lead(2)
-        lab.peer.next = 1
+        lab.peer.next_index = 1
         return lab
 
     def test_a_replica_a_little_behind_a_new_image_gets_entries(self) -> None:
@@ -211,71 +213,73 @@
         for consensus in (lab.leader, lab.follower):
             self.assertTrue(consensus.replicated_log.append(entries(1, 200, 1)))
         lab.lead(2)
-        lab.leader.commit = 200
-        while lab.leader.applied < 200:
+        lab.leader.commit_index = 200
+        while lab.leader.applied_index < 200:
             lab.leader.apply_committed()
-        lab.peer.next = 199
-        lab.leader.write_image()
-        self.assertEqual((200, []), (lab.leader.base.index, lab.leader.entries))
-        since = lab.leader.words_since(197)
+        lab.peer.next_index = 199
+        lab.leader.write_snapshot()
+        self.assertEqual((200, []), (lab.leader.snapshot.index, lab.leader.entries))
+        since = lab.leader.commands_since(197)
         self.assertEqual([198, 199, 200], [index for index, _ in since or []])
         self.assertEqual("council.beat", lab.round()["kind"])
-        self.assertEqual(200, lab.peer.match)
+        self.assertEqual(200, lab.peer.match_index)
 
     def test_retained_entries_are_bounded_and_end_with_a_restart(self) -> None:
         lab = Lab()
         log = lab.leader.replicated_log
         for last in range(100, 1100, 100):
             self.assertTrue(log.append(entries(last - 99, last, 1, 10_000)))
-            self.assertTrue(log.compact(Image(last, 1, {}, b"", last)))
+            self.assertTrue(log.compact(Snapshot(last, 1, {}, b"", last)))
         size = sum(len(entry.data) for entry in log.retained)
         self.assertTrue(RETAINED_BYTES // 2 < size < RETAINED_BYTES, size)
         self.assertEqual(1000, log.retained[-1].index)
         self.assertEqual(log.retained_from, log.retained[0].index)
         self.assertFalse(log.reaches_back(log.retained_from - 1))
         self.assertTrue(log.reaches_back(log.retained_from))
-        self.assertIsNone(lab.leader.words_since(log.retained_from - 2))
+        self.assertIsNone(lab.leader.commands_since(log.retained_from - 2))
         again = lab.consensus("leader", lab.leader.journal.folder)  # type: ignore[arg-type]
-        self.assertEqual((1000, []), (again.base.index, again.replicated_log.retained))
+        self.assertEqual((1000, []), (again.snapshot.index, again.replicated_log.retained))
         self.assertTrue(again.replicated_log.reaches_back(1000))
         self.assertFalse(again.replicated_log.reaches_back(999))
 
     def test_an_image_crosses_in_pieces_also_over_a_slow_link(self) -> None:
-        lab = self.with_image(3_000_000)
+        lab = self.with_snapshot(3_000_000)
         pieces: list[int] = []
-        while lab.peer.match < lab.leader.last_index:
+        while lab.peer.match_index < lab.leader.last_index:
             message: Any = lab.round(limit=100_000)
             if message["kind"] == "council.image":
                 pieces.append(len(message["piece"][-1]))
-        self.assertLess(max(pieces), IMAGE_PIECE_BYTES + 1)
+        self.assertLess(max(pieces), SNAPSHOT_PIECE_BYTES + 1)
         self.assertLess(len(pieces), 80)
         self.assertEqual([b"w" * 3_000_000], lab.words(lab.follower))
-        self.assertEqual((100, 120), (lab.follower.base.index, lab.follower.last_index))
+        self.assertEqual((100, 120), (lab.follower.snapshot.index, lab.follower.last_index))
 
     def test_an_image_goes_on_where_it_was_when_an_answer_is_lost(self) -> None:
-        lab = self.with_image(1_000_000)
+        lab = self.with_snapshot(1_000_000)
         lab.round()
         before = lab.peer.outgoing
         assert before is not None
         lab.round(limit=0)
         lab.round()
-        self.assertEqual(IMAGE_PIECE_BYTES * 2, before.received)
+        self.assertEqual(SNAPSHOT_PIECE_BYTES * 2, before.received)
         self.assertLess(lab.rounds_until_level(20), 12)
 
     def test_an_image_is_finished_though_a_newer_one_was_written(self) -> None:
         """Else a follower that is slower than the leader's images never has one."""
-        lab = self.with_image(1_000_000)
+        lab = self.with_snapshot(1_000_000)
         lab.round()
-        self.assertTrue(lab.leader.replicated_log.compact(Image(110, 1, {}, b"x" * 900_000, 110)))
+        self.assertTrue(
+            lab.leader.replicated_log.compact(Snapshot(110, 1, {}, b"x" * 900_000, 110))
+        )
         lab.leader.replicated_log.retained = []
-        while lab.follower.applied == 0:
+        while lab.follower.applied_index == 0:
             lab.round()
-        self.assertEqual(100, lab.follower.base.index)
+        self.assertEqual(100, lab.follower.snapshot.index)
         self.assertLess(lab.rounds_until_level(20), 12)
         self.assertEqual([b"x" * 900_000], lab.words(lab.follower))
 
     def test_a_follower_that_restarts_midway_is_given_the_image_anew(self) -> None:
-        lab = self.with_image(1_000_000)
+        lab = self.with_snapshot(1_000_000)
         lab.round()
         lab.round()
         lab.follower = lab.consensus("follower", lab.folder)
@@ -295,12 +299,14 @@
     def test_a_word_sent_again_counts_once_on_an_edge_that_has_an_image(self) -> None:
         """An edge's image has no outcomes, so the leader passes by words that had no effect."""
         lab = Lab()
-        consensus, register, edge = lab.leader, Register(), Register()
-        consensus.machine = register
+        consensus, replicated_state, edge = lab.leader, ReplicatedState(), ReplicatedState()
+        consensus.state_machine = replicated_state
 
         def put(kind: str, **fields: object) -> None:
             index = consensus.last_index + 1
-            self.assertTrue(consensus.store([Entry(index, 1, WORD, encode_word(kind, **fields))]))
+            self.assertTrue(
+                consensus.store([Entry(index, 1, COMMAND, encode_command(kind, **fields))])
+            )
             consensus.advance(index)
 
         purge = {"id": "same", "scopes": [{"route": "a"}]}
@@ -308,26 +314,26 @@
         put("purge", **purge)
         put("drain", **drain)
         put("drain", id="back", target="edge", on=False)
-        edge.restore(register.image_for_edges())
+        edge.restore(replicated_state.edge_snapshot())
         put("purge", **purge)
         put("drain", **drain)
         put("purge", id="other", scopes=[{"route": "b"}])
-        for index, data in consensus.words_since(edge.index) or []:
+        for index, data in consensus.commands_since(edge.index) or []:
             edge.apply(index, data)
-        self.assertEqual((2, {}), (register.purge_number, register.drains))
+        self.assertEqual((2, {}), (replicated_state.purge_number, replicated_state.drains))
         self.assertEqual((2, {}), (edge.purge_number, edge.drains))
 
     def test_a_long_catch_up_is_applied_in_bounded_batches(self) -> None:
         lab = Lab()
         self.assertTrue(lab.leader.replicated_log.append(entries(1, 300, 1)))
         lab.lead(2)
-        lab.peer.next = 1
-        lab.leader.commit = 300
+        lab.peer.next_index = 1
+        lab.leader.commit_index = 300
         lab.round()
-        self.assertEqual((300, 64), (lab.follower.commit, lab.follower.applied))
+        self.assertEqual((300, 64), (lab.follower.commit_index, lab.follower.applied_index))
         for _ in range(4):
             lab.follower.apply_committed()
-        self.assertEqual(300, lab.follower.applied)
+        self.assertEqual(300, lab.follower.applied_index)
         self.assertEqual(300, len(lab.words(lab.follower)))
 
     def test_an_entry_that_takes_long_ends_its_batch(self) -> None:
@@ -340,7 +346,7 @@
 
         with mock.patch.object(CountingMachine, "apply", slow):
             lab.follower.advance(30)
-        self.assertEqual(2, lab.follower.applied)
+        self.assertEqual(2, lab.follower.applied_index)
 
     def test_a_leader_is_not_settled_before_it_applied_what_was_agreed(self) -> None:
         """Reads, terms and voters rest on `settled`."""
@@ -349,8 +355,8 @@
         lab.lead(2)
         self.assertTrue(lab.leader.replicated_log.append(entries(201, 201, 2)))
         lab.leader.advance(201)
-        self.assertEqual((201, False), (lab.leader.commit, lab.leader.settled))
-        while lab.leader.applied < 201:
+        self.assertEqual((201, False), (lab.leader.commit_index, lab.leader.settled))
+        while lab.leader.applied_index < 201:
             self.assertFalse(lab.leader.settled)
             lab.leader.apply_committed()
         self.assertTrue(lab.leader.settled)
@@ -359,7 +365,7 @@
         lab = Lab()
         self.assertTrue(lab.leader.replicated_log.append(entries(1, 3, 1, 4 * BATCH_BYTES_LEAST)))
         lab.lead(2)
-        lab.peer.next = 1
+        lab.peer.next_index = 1
         lab.peer.batch_bytes = BATCH_BYTES_LEAST
         self.assertLess(lab.rounds_until_level(20), 10)
 
@@ -370,7 +376,7 @@
     def drawn(self, seed: int) -> None:
         """Drawn batches, images of the leader, own images and losses of power."""
         random = Random(f"acknowledged {seed}")
-        lab = Lab(image_records=random.choice((5, 40, 1000)))
+        lab = Lab(snapshot_records=random.choice((5, 40, 1000)))
         lab.lead(1)
         acknowledged = (0, 0)
         for _ in range(30):
@@ -378,22 +384,24 @@
             first = lab.leader.last_index + 1
             self.assertTrue(log.append(entries(first, first + random.randrange(1, 6), 1)))
             if random.random() < 0.7:
-                lab.leader.advance(random.randint(lab.leader.commit, lab.leader.last_index))
-            while lab.leader.applied < lab.leader.commit:
+                lab.leader.advance(random.randint(lab.leader.commit_index, lab.leader.last_index))
+            while lab.leader.applied_index < lab.leader.commit_index:
                 lab.leader.apply_committed()
-            if random.random() < 0.2 and lab.leader.applied > lab.leader.base.index:
-                lab.leader.write_image()
-            lab.peer.next = max(1, min(lab.peer.next, random.randint(0, first)))
+            if random.random() < 0.2 and lab.leader.applied_index > lab.leader.snapshot.index:
+                lab.leader.write_snapshot()
+            lab.peer.next_index = max(1, min(lab.peer.next_index, random.randint(0, first)))
             for _ in range(random.randrange(4)):
                 lab.round()
-            acknowledged = max(acknowledged, (1, lab.peer.match)) if lab.peer.match else (0, 0)
+            acknowledged = (
+                max(acknowledged, (1, lab.peer.match_index)) if lab.peer.match_index else (0, 0)
+            )
             if random.random() < 0.3:
                 lab.folder.lose_power(random)
                 lab.follower = lab.consensus("follower", lab.folder)
             self.check(lab.follower, acknowledged)
 
     def check(self, member: Consensus, acknowledged: tuple[int, int]) -> None:
-        mine = (member.epoch_at(member.last_index), member.last_index)
+        mine = (member.term_at(member.last_index), member.last_index)
         self.assertTrue(mine >= acknowledged, f"{mine} after {acknowledged}")
         for last_epoch, last_index in ((0, 0), (1, max(0, acknowledged[1] - 1))):
             if (last_epoch, last_index) >= acknowledged:
@@ -402,7 +410,7 @@
                 {
                     "to": "follower",
                     "disk": "candidate",
-                    "epoch": member.epoch + 1,
+                    "epoch": member.term + 1,
                     "trial": True,
                     "handed": True,
                     "last_index": last_index,
@@ -420,8 +428,8 @@
             self.assertRaises(AssertionError, self.forgets)
 
     def test_an_image_that_drops_the_entries_behind_it_forgets(self) -> None:
-        def install(log: ReplicatedLog, image: Image) -> bool:
-            return log.replace_start(image, [])
+        def install(log: ReplicatedLog, snapshot: Snapshot) -> bool:
+            return log.replace_start(snapshot, [])
 
         with mock.patch.object(ReplicatedLog, "install", install):
             self.assertRaises(AssertionError, self.forgets)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,18 +8,18 @@
 import testtools
 from expression import Ok
 
-from ryelock.cache import Store
+from ryelock.cache import CacheStore
 from ryelock.consensus import Consensus
 from ryelock.consensus.transfer import IncomingImage
-from ryelock.control_plane.voters import VoterKeeper
+from ryelock.control_plane.voters import VoterManager
 from ryelock.edge.handler import RequestHandler
-from ryelock.edge.member import Member
+from ryelock.edge.member import EdgeSession
 from ryelock.edge.orders import Failed
 from ryelock.edge.servers import Servers
-from ryelock.http.reader import Body, Cut
+from ryelock.http.reader import Body, IncompleteMessageError
 from ryelock.http.server import HttpServer
-from ryelock.rate_limit import Divider, RetryBudget
-from ryelock.replicated_state import Register
+from ryelock.rate_limit import QuotaAllocator, RetryBudget
+from ryelock.replicated_state import ReplicatedState
 from ryelock.testing.cases import CASES
 from ryelock.testing.simulated import SimFolder
 
@@ -31,35 +31,37 @@
 
 
 def no_terms() -> list[Patch]:
-    return [mock.patch.object(Member, "serving", property(always(True)))]
+    return [mock.patch.object(EdgeSession, "serving", property(always(True)))]
 
 
 def redispatched() -> list[Patch]:
     plain = RequestHandler.find_route
 
-    def find_route(way: RequestHandler, order: Any) -> Any:
-        route = plain(way, order)
-        order.klass = "repeatable"
+    def find_route(way: RequestHandler, request: Any) -> Any:
+        route = plain(way, request)
+        request.klass = "repeatable"
         return route
 
     return [mock.patch.object(RequestHandler, "find_route", find_route)]
 
 
 def cut_taken_for_whole() -> list[Patch]:
-    plain = Body.piece
+    plain = Body.read_chunk
 
     async def piece(body: Body, until: float) -> bytes:
         try:
             return await plain(body, until)
-        except Cut:
-            body.over = True
+        except IncompleteMessageError:
+            body.complete = True
             return b""
 
-    return [mock.patch.object(Body, "piece", piece)]
+    return [mock.patch.object(Body, "read_chunk", piece)]
 
 
 def whole_rate_to_each() -> list[Patch]:
-    return [mock.patch.object(Divider, "share", lambda _divider, _service, rate, *_rest: rate)]
+    return [
+        mock.patch.object(QuotaAllocator, "share", lambda _divider, _service, rate, *_rest: rate)
+    ]
 
 
 def boundless_repeats() -> list[Patch]:
@@ -83,16 +85,16 @@
 
 
 def no_purges() -> list[Patch]:
-    return [mock.patch.object(Store, "take_purges", always(0))]
+    return [mock.patch.object(CacheStore, "take_purges", always(0))]
 
 
 def fills_outlive_purges() -> list[Patch]:
-    def take_purges(store: Store, purges: Any, newest: int) -> int:
+    def take_purges(store: CacheStore, purges: Any, newest: int) -> int:
         if newest > store.purged:
-            store.copies.clear()
+            store.responses.clear()
         return 0
 
-    return [mock.patch.object(Store, "take_purges", take_purges)]
+    return [mock.patch.object(CacheStore, "take_purges", take_purges)]
 
 
 def no_lifetime() -> list[Patch]:
@@ -104,12 +106,14 @@
 
 
 def reads_from_memory() -> list[Patch]:
-    async def confirm(_council: Consensus, _seconds: float) -> bool:
+    async def confirm(_consensus: Consensus, _seconds: float) -> bool:
         return True
 
     return [
-        mock.patch.object(Consensus, "confirm", confirm),
-        mock.patch.object(Consensus, "held_since", lambda consensus: consensus.scheduler.now()),
+        mock.patch.object(Consensus, "confirm_leadership", confirm),
+        mock.patch.object(
+            Consensus, "majority_contact_at", lambda consensus: consensus.scheduler.now()
+        ),
     ]
 
 
@@ -121,50 +125,52 @@
 
 
 def declined_takes_effect() -> list[Patch]:
-    plain = Register.change
+    plain = ReplicatedState.change
 
-    def change(register: Register, word: dict[str, Any]) -> dict[str, object]:
-        outcome = plain(register, word)
+    def change(replicated_state: ReplicatedState, word: dict[str, Any]) -> dict[str, object]:
+        outcome = plain(replicated_state, word)
         if outcome["status"] == "conflict":
-            plain(register, {"change": {**word["change"], "base": register.version}})
+            plain(
+                replicated_state, {"change": {**word["change"], "base": replicated_state.version}}
+            )
         return outcome
 
-    return [mock.patch.object(Register, "change", change)]
+    return [mock.patch.object(ReplicatedState, "change", change)]
 
 
 def no_wait_for_answers() -> list[Patch]:
     plain = HttpServer.finish
 
-    async def finish(door: HttpServer, _seconds: float) -> bool:
-        return await plain(door, 0.0)
+    async def finish(server: HttpServer, _seconds: float) -> bool:
+        return await plain(server, 0.0)
 
     return [mock.patch.object(HttpServer, "finish", finish)]
 
 
 def keys_known_to_nobody() -> list[Patch]:
-    async def claim(_member: Member, _key: bytes, _order: str, _seconds: float) -> str:
+    async def claim(_member: EdgeSession, _key: bytes, _request: str, _seconds: float) -> str:
         return "claimed"
 
-    return [mock.patch.object(Member, "claim", claim)]
+    return [mock.patch.object(EdgeSession, "claim", claim)]
 
 
 def claims_of_one_disk() -> list[Patch]:
     """The leader's memory alone: lost with it."""
 
     async def note(consensus: Consensus, data: bytes) -> Any:
-        return Ok(consensus.machine.apply(consensus.applied, data))
+        return Ok(consensus.state_machine.apply(consensus.applied_index, data))
 
-    return [mock.patch.object(Consensus, "note", note)]
+    return [mock.patch.object(Consensus, "propose_internal", note)]
 
 
 def keys_never_given_back() -> list[Patch]:
     return [mock.patch.object(RequestHandler, "give_back", always(None))]
 
 
-def orders_granted_as_wanted() -> list[Patch]:
+def requests_granted_as_wanted() -> list[Patch]:
     return [
         mock.patch.object(
-            Divider,
+            QuotaAllocator,
             "grant",
             lambda _divider, _service, rate, _edge, wanted, *_rest: (wanted, rate, 1.0),
         )
@@ -182,28 +188,28 @@
     return [mock.patch.object(Failed, "repeats", always(False))]
 
 
-def unsent_orders_earn_repeats() -> list[Patch]:
+def unsent_requests_earn_repeats() -> list[Patch]:
     plain = RequestHandler.enter
 
-    async def enter(way: RequestHandler, exchange: Any, order: Any, route: Any, key: Any) -> Any:
-        way.gates[order.service].budget.first()
-        return await plain(way, exchange, order, route, key)
+    async def enter(way: RequestHandler, exchange: Any, request: Any, route: Any, key: Any) -> Any:
+        way.gates[request.service].budget.first()
+        return await plain(way, exchange, request, route, key)
 
     return [mock.patch.object(RequestHandler, "enter", enter)]
 
 
 def no_spare_voter() -> list[Patch]:
-    return [mock.patch.object(VoterKeeper, "spares", always([]))]
+    return [mock.patch.object(VoterManager, "spares", always([]))]
 
 
 def no_promises() -> list[Patch]:
-    def on_promise(_council: Consensus, _message: Any) -> dict[str, object]:
+    def on_promise(_consensus: Consensus, _message: Any) -> dict[str, object]:
         return {"granted": False}
 
     return [mock.patch.object(Consensus, "on_promise", on_promise)]
 
 
-def images_never_whole() -> list[Patch]:
+def snapshots_never_whole() -> list[Patch]:
     return [mock.patch.object(IncomingImage, "whole", property(always(False)))]
 
 
@@ -224,10 +230,10 @@
     ("repeated-keys", keys_known_to_nobody, "once"),
     ("repeated-keys", claims_of_one_disk, "once"),
     ("repeated-keys", keys_never_given_back, "keys"),
-    ("narrow-desks", orders_granted_as_wanted, "rate"),
+    ("narrow-desks", requests_granted_as_wanted, "rate"),
     ("narrow-desks", no_service_is_narrow, "goodput"),
     ("unmarked-repeats", unmarked_taken_for_first, "repeats"),
-    ("unmarked-repeats", unsent_orders_earn_repeats, "repeats"),
+    ("unmarked-repeats", unsent_requests_earn_repeats, "repeats"),
     ("crowd", whole_rate_to_each, "rate"),
     ("crowd", boundless_repeats, "repeats"),
     ("handed-address", first_listing_for_ever, "service"),
@@ -248,7 +254,7 @@
     ("scattered", no_promises, "promises"),
     ("crash-voters", no_spare_voter, "points"),
     ("rolling", no_wait_for_answers, "rolling"),
-    ("many-changes", images_never_whole, "catch-up"),
+    ("many-changes", snapshots_never_whole, "catch-up"),
     ("many-changes", votes_for_shorter_logs, "catch-up"),
     ("many-changes", no_sync, "lost"),
 )
