--- a/packages/testing/ryelock/testing/days.py
+++ b/packages/testing/ryelock/testing/days.py
@@ -78,8 +78,8 @@
 
 def fullest_closing(chosen: Sequence[str], missing: set[Pair], random: Random) -> str:
     """The closing fault that adds the most missing pairs."""
-    request = random.sample(CLOSINGS, len(CLOSINGS))
-    return max(request, key=lambda one: sum(pair_of(one, kind) in missing for kind in chosen))
+    shuffled = random.sample(CLOSINGS, len(CLOSINGS))
+    return max(shuffled, key=lambda one: sum(pair_of(one, kind) in missing for kind in chosen))
 
 
 def pick_kinds(kinds: Sequence[str], missing: set[Pair], size: int, random: Random) -> Plan:
--- a/packages/testing/ryelock/testing/fleet.py
+++ b/packages/testing/ryelock/testing/fleet.py
@@ -31,7 +31,17 @@
 class Process:
     """One daemon: its settings file, its log, and its number while it runs."""
 
-    __slots__ = ("control", "file", "log", "name", "popen", "request", "role", "wire", "zone")
+    __slots__ = (
+        "control",
+        "file",
+        "log",
+        "name",
+        "popen",
+        "request_address",
+        "role",
+        "wire",
+        "zone",
+    )
 
     def __init__(self, name: str, role: str, zone: str, host: str, folder: Path) -> None:
         """Pick addresses on a host for a daemon; its files are put into the folder."""
@@ -40,7 +50,7 @@
         self.zone = zone
         self.wire = f"{host}:{picked_port(host)}"
         self.control = f"{host}:{picked_port(host)}"
-        self.request = f"{host}:{picked_port(host)}" if role == "edge" else ""
+        self.request_address = f"{host}:{picked_port(host)}" if role == "edge" else ""
         self.file = folder / f"{name}.json"
         self.log = folder / f"{name}.log"
         self.popen: subprocess.Popen[bytes] | None = None
@@ -137,7 +147,7 @@
             plain["data_folder"] = str(self.folder / f"data-{process.name}")
             plain["platform_address"] = self.platform
         if process.role == "edge":
-            plain["order_address"] = process.request
+            plain["order_address"] = process.request_address
             plain["probe"] = machine.probe
         process.file.write_text(json.dumps(plain, indent=2))
 
--- a/packages/testing/ryelock/testing/fleet_faults.py
+++ b/packages/testing/ryelock/testing/fleet_faults.py
@@ -161,7 +161,7 @@
         ready = sorted(run.ready)
         if not ready:
             return
-        edge = run.fleet.processes[run.random.choice(ready)].request
+        edge = run.fleet.processes[run.random.choice(ready)].request_address
         kind = run.pick_kind()
         caller = Caller(run.scheduler, run.reactor, run.random, run.notes, 10.0)
         target = f"{kind.path}{run.random.randrange(kind.objects)}"
--- a/packages/testing/ryelock/testing/fleet_run.py
+++ b/packages/testing/ryelock/testing/fleet_run.py
@@ -147,7 +147,7 @@
             identity = f"c{number}-{self.requests_sent}"
             target = f"{kind.path}{self.random.randrange(kind.objects)}"
             await caller.request(
-                edge.request, kind.method, target, identity, None, b"x" * kind.body
+                edge.request_address, kind.method, target, identity, None, b"x" * kind.body
             )
             due += self.random.expovariate(rate / CALLERS)
             wait = due - self.scheduler.now()
--- a/packages/testing/ryelock/testing/load.py
+++ b/packages/testing/ryelock/testing/load.py
@@ -73,7 +73,7 @@
         before, since = cpu_seconds(edge.popen.pid), run.scheduler.now()
         for number in range(LOOPS):
             run.scheduler.create_task(
-                closed_loop(run, edge.request, kind, number, since + seconds), name="loop"
+                closed_loop(run, edge.request_address, kind, number, since + seconds), name="loop"
             )
         await run.scheduler.sleep(seconds + 0.5)
         used = cpu_seconds(edge.popen.pid) - before
--- a/tests/test_compaction.py
+++ b/tests/consensus/test_compaction.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 import testtools
-from test_replication import Lab
+from consensus_lab import Lab
 
 from ryelock.consensus.compaction import Compaction, journal_bytes_most
 from ryelock.consensus.entries import COMMAND, Entry
--- a/tests/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -34,7 +34,7 @@
         self.assertEqual(len(cells()), len(outcomes))
         self.assertEqual([], [line for outcome in outcomes for line in outcome.faults()])
         page = PAGE.read_text()
-        self.assertEqual(with_tables(page, outcomes), page, "run python tests/answers_page.py")
+        self.assertEqual(with_tables(page, outcomes), page, "run answers_page.py")
 
     def test_the_tables_do_not_depend_on_the_seed(self) -> None:
         page = PAGE.read_text()
--- a/tests/test_edge_catchup.py
+++ b/tests/edge/test_edge_catchup.py
@@ -6,7 +6,7 @@
 
 import cbor2
 import testtools
-from test_replication import Lab
+from consensus_lab import Lab
 
 from ryelock.consensus.entries import COMMAND, INTERNAL, Entry
 from ryelock.consensus.node import Consensus
--- a/tests/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 import testtools
-from test_egress import SteppedClock, raise_fault
+from clocks import SteppedClock, raise_fault
 
 from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.edge.handler import RequestHandler
--- a/tests/test_golden_lists.py
+++ b/tests/golden/test_golden_lists.py
@@ -32,7 +32,7 @@
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
-PACKAGES = Path(__file__).parent.parent / "packages"
+PACKAGES = Path(__file__).parent.parent.parent / "packages"
 PARTS: dict[str, type] = {
     "services": register_configuration.Service,
     "routes": register_configuration.Route,
--- a/tests/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -15,7 +15,7 @@
 # What this file knows of the product's names: a rename inside changes this section only.
 
 HELLO = wire.HANDSHAKE
-PACKAGES = Path(__file__).parent.parent / "packages"
+PACKAGES = Path(__file__).parent.parent.parent / "packages"
 NOT_ON_THE_WIRE = ("replicated_state", "journal", "cache", "testing")
 
 
--- a/tests/transcript.py
+++ b/tests/golden/transcript.py
@@ -1,4 +1,4 @@
-"""Print digests of all that seeded simulated runs show: `python tests/transcript.py [RUN ...]`.
+"""Print digests of all that seeded simulated runs show: `transcript.py [RUN ...]`.
 
 A developer's tool, outside the test suite. For each run it prints a SHA-256 of all bytes on the
 simulated network with their times (frames between processes and HTTP apart), of all writes to
@@ -21,12 +21,13 @@
 from typing import TextIO
 from unittest import mock
 
-ROOT = Path(__file__).resolve().parent.parent
-PATHS = [ROOT / "tests", *sorted((ROOT / "packages").iterdir())]
+ROOT = Path(__file__).resolve().parent.parent.parent
+TESTS = ROOT / "tests"
+PATHS = [TESTS / "support", *sorted((ROOT / "packages").iterdir())]
 sys.path[:0] = [str(path) for path in PATHS if str(path) not in sys.path]
 
+import platform_schedules  # noqa: E402
 import simulated_runs  # noqa: E402
-import test_platform_schedules  # noqa: E402
 from observed import GREETING, MODEL, observed  # noqa: E402
 
 from ryelock.testing.control_cases import isolated_leader  # noqa: E402
@@ -55,7 +56,7 @@
 def platform_schedule() -> None:
     """A random schedule of faults on a deployment in the platform's words."""
     with mock.patch("operators.SystemRandom", lambda: Random("ids of purges")):
-        test_platform_schedules.Schedule(5).run()
+        platform_schedules.Schedule(5).run()
 
 
 def model_schedules() -> None:
--- a/tests/write_golden.py
+++ b/tests/golden/write_golden.py
@@ -1,4 +1,4 @@
-"""Write the golden files anew: RYELOCK_WRITE_GOLDEN=1 python tests/write_golden.py [PART ...].
+"""Write the golden files anew: RYELOCK_WRITE_GOLDEN=1 python write_golden.py [PART ...].
 
 A part is the last word of a test file's name, like `stored`. Only for a change that is meant to
 be seen outside: a refactoring leaves every golden file as it is. No test calls this.
@@ -18,7 +18,7 @@
     if os.environ.get(VARIABLE) != "1":
         sys.stderr.write(f"golden files are written only with {VARIABLE}=1\n")
         return 2
-    sys.path.insert(0, str(HERE))
+    sys.path[:0] = [str(HERE), str(HERE.parent / "support")]
     from golden import DATA, text_of
 
     parts = arguments or sorted(
--- a/tests/test_platform_repository.py
+++ b/tests/platform/test_platform_repository.py
@@ -11,7 +11,7 @@
 
 import testtools
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 WORDS = (
     "Attempt-Id",
     "Deadline-Remaining",
--- a/tests/test_architecture.py
+++ b/tests/project/test_architecture.py
@@ -4,9 +4,9 @@
 import unittest
 from pathlib import Path
 
-from test_checked import REQUEST
+from import_order import IMPORT_ORDER
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 PAGE = (ROOT / "docs" / "architecture.md").read_text()
 GLOSSARY = (ROOT / "docs" / "glossary.md").read_text()
 
@@ -29,7 +29,7 @@
 class ArchitectureTests(unittest.TestCase):
     def test_every_package_has_a_paragraph_in_the_order_of_imports(self) -> None:
         sections = re.findall(r"^### `(\w+)`\n(\w.+)", PAGE, re.MULTILINE)
-        self.assertEqual(REQUEST, [name for name, _ in sections])
+        self.assertEqual(IMPORT_ORDER, [name for name, _ in sections])
 
     def test_every_path_exists(self) -> None:
         paths = re.findall(r"`(\w[\w/]*/(?:[\w/]+(?:\.\w+)?)?)`", PAGE)
--- a/tests/test_checked.py
+++ b/tests/project/test_checked.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 import testtools
+from import_order import IMPORT_ORDER
 
 from ryelock.events import CATALOGUE, catalogue_page
 from ryelock.membership import decode_server_list
@@ -24,30 +25,7 @@
 from ryelock.testing.finals import FINALS
 from ryelock.testing.schedules import run_schedule
 
-ROOT = Path(__file__).parent.parent
-REQUEST = [
-    "runtime",
-    "settings",
-    "events",
-    "rpc",
-    "http",
-    "metrics",
-    "journal",
-    "consensus",
-    "singleton",
-    "replicated_state",
-    "membership",
-    "health",
-    "rate_limit",
-    "cache",
-    "control_api",
-    "edge",
-    "control_plane",
-    "control_client",
-    "explain",
-    "cli",
-    "testing",
-]
+ROOT = Path(__file__).parent.parent.parent
 OLD_WORDS = {
     "beat": "heartbeat",
     "image": "snapshot",
@@ -273,13 +251,13 @@
     def sources(self) -> list[tuple[str, Path]]:
         return [
             (package, file)
-            for package in REQUEST
+            for package in IMPORT_ORDER
             for file in sorted((ROOT / "packages" / package).rglob("*.py"))
         ]
 
     def test_packages_import_only_those_before_them(self) -> None:
         self.assertEqual(
-            sorted(REQUEST), sorted(path.name for path in (ROOT / "packages").iterdir())
+            sorted(IMPORT_ORDER), sorted(path.name for path in (ROOT / "packages").iterdir())
         )
         for package, file in self.sources():
             for node in ast.walk(ast.parse(file.read_text())):
@@ -294,7 +272,9 @@
                     if name.startswith("ryelock."):
                         used = name.split(".")[1]
                         self.assertLessEqual(
-                            REQUEST.index(used), REQUEST.index(package), f"{file} imports {name}"
+                            IMPORT_ORDER.index(used),
+                            IMPORT_ORDER.index(package),
+                            f"{file} imports {name}",
                         )
                     if name.startswith("circuits"):
                         self.assertIn(package, ("runtime", "http"), str(file))
@@ -344,7 +324,7 @@
         page = (ROOT / "docs" / "brief.md").read_text()
         tests = {
             name
-            for file in (ROOT / "tests").glob("*.py")
+            for file in (ROOT / "tests").rglob("*.py")
             for name in re.findall(r"def (test_\w+)", file.read_text())
         }
         named = re.findall(r"`([^`]+)`", page.partition("\n## ")[2])
@@ -362,7 +342,7 @@
                 "RequestHandler.serve",
                 "python -m ryelock.testing finals",
             ):
-                self.assertTrue(name in REQUEST or (ROOT / name).exists(), name)
+                self.assertTrue(name in IMPORT_ORDER or (ROOT / name).exists(), name)
 
 
 class ScheduleTests(testtools.TestCase):
--- a/tests/test_parts.py
+++ b/tests/project/test_parts.py
@@ -8,7 +8,7 @@
 
 from ryelock.testing.run import run_fleet
 
-PARTS = Path(__file__).parent.parent / "docs" / "parts"
+PARTS = Path(__file__).parent.parent.parent / "docs" / "parts"
 
 
 class PartTests(testtools.TestCase):
--- a/tests/test_egress.py
+++ b/tests/runtime/test_egress.py
@@ -3,6 +3,7 @@
 import socket
 
 import testtools
+from clocks import SteppedClock, raise_fault
 
 from ryelock.runtime.egress import TURN_BYTES_LEAST, USED_LINK_FRACTION, EgressPacer
 from ryelock.runtime.reactor import Reactor, SocketConnection
@@ -12,17 +13,6 @@
 STEP_SECONDS = 0.001
 
 
-class SteppedClock:
-    def __init__(self) -> None:
-        self.time = 100.0
-
-    def now(self) -> float:
-        return self.time
-
-    def wall(self) -> float:
-        return self.time
-
-
 class Sender:
     """A connection whose socket takes whatever it is given, or nothing while it is full."""
 
@@ -42,10 +32,6 @@
         return self.queued > 0 and not self.full
 
 
-def raise_fault(name: str, error: BaseException) -> None:
-    raise AssertionError(name) from error
-
-
 class PacerTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
--- a/tests/answers_page.py
+++ b/tests/support/answers_page.py
@@ -4,8 +4,8 @@
 
 from ryelock.testing.answer_cases import Kind, Outcome, play, table
 
-PAGE = Path(__file__).parent.parent / "docs" / "answers.md"
-BEGIN = "<!-- tables: written by tests/answers_page.py -->\n"
+PAGE = Path(__file__).parent.parent.parent / "docs" / "answers.md"
+BEGIN = "<!-- tables: written by tests/support/answers_page.py -->\n"
 END = "<!-- end of tables -->\n"
 
 
--- /dev/null
+++ b/tests/support/consensus_lab.py
@@ -0,0 +1,118 @@
+"""A leader and a follower of the consensus group that exchange messages by hand."""
+
+from random import Random
+from typing import Any
+
+from expression import Error, Ok
+
+from ryelock.consensus.entries import COMMAND, Entry
+from ryelock.consensus.node import Consensus
+from ryelock.consensus.types import ConsensusSettings, Peer
+from ryelock.events import QuietLog
+from ryelock.journal import open_journal
+from ryelock.rpc import RpcError
+from ryelock.runtime import Scheduler
+from ryelock.testing.simulated import SimFolder
+
+Message = dict[str, Any]
+
+
+class HandClock:
+    """Stands still until it is moved."""
+
+    def __init__(self) -> None:
+        self.time = 100.0
+
+    def now(self) -> float:
+        return self.time
+
+    def wall(self) -> float:
+        return self.time
+
+
+class CountingMachine:
+    """Keeps the words it was given, in order."""
+
+    def __init__(self) -> None:
+        self.words: list[bytes] = []
+
+    def apply(self, _index: int, data: bytes) -> object:
+        self.words.append(data)
+        return len(self.words)
+
+    def snapshot(self) -> bytes:
+        return b"\n".join(self.words)
+
+    def restore(self, data: bytes) -> None:
+        self.words = data.split(b"\n") if data else []
+
+
+class Lab:
+    """A leader and one follower on disks of their own."""
+
+    def __init__(self, **pace: Any) -> None:
+        self.clock = HandClock()
+        self.pace = pace
+        self.leader = self.consensus("leader", SimFolder())
+        self.folder = SimFolder()
+        self.follower = self.consensus("follower", self.folder)
+        self.peer = Peer("follower", "follower:1", 1, self.leader.scheduler)
+
+    def consensus(self, disk: str, folder: SimFolder) -> Consensus:
+        def fault(task: str, error: BaseException) -> None:
+            raise AssertionError(f"{task}: {error!r}")
+
+        journal = open_journal(folder, QuietLog(disk), 1 << 20)
+        assert journal.is_ok()
+        return Consensus(
+            Scheduler(self.clock, fault),
+            None,  # type: ignore[arg-type]
+            QuietLog(disk),
+            journal.ok,
+            CountingMachine(),
+            disk,
+            disk,
+            f"{disk}:1",
+            (),
+            ConsensusSettings(**self.pace),
+            Random(disk),
+        )
+
+    def words(self, consensus: Consensus) -> list[bytes]:
+        assert isinstance(consensus.state_machine, CountingMachine)
+        return consensus.state_machine.words
+
+    def lead(self, epoch: int) -> None:
+        """The leader's role as it is after an election, without its tasks."""
+        assert self.leader.replicated_log.save_vote(epoch, "leader")
+        self.leader.role = "leader"
+        self.leader.voters = {"leader": "leader:1", "follower": "follower:1"}
+        self.leader.peers = {"follower": self.peer}
+        self.peer.next_index = self.leader.last_index + 1
+
+    def round(self, limit: int = 1 << 30) -> Message:
+        """One message and its answer; a message over `limit` bytes of entries comes too late."""
+        leader, peer = self.leader, self.peer
+        message = leader.next_message(peer)
+        snapshot = message["kind"] == "council.image"
+        handler = self.follower.on_snapshot if snapshot else self.follower.on_heartbeat
+        carried: Any = message["piece"] if snapshot else message["entries"]
+        size = len(carried[-1]) if snapshot else sum(len(entry[3]) for entry in carried)
+        now = self.clock.time
+        answer = handler(message)
+        if size > limit:
+            leader.heard_peer(peer, leader.term, now, Error(RpcError("late", True)))
+        else:
+            leader.heard_peer(peer, leader.term, now, Ok(answer))
+        return message
+
+    def rounds_until_level(self, most: int, limit: int = 1 << 30) -> int:
+        for number in range(most):
+            if self.peer.match_index == self.leader.last_index:
+                return number
+            self.round(limit)
+        return most
+
+
+def entries(first: int, last: int, epoch: int, size: int = 10) -> list[Entry]:
+    return [Entry(index, epoch, COMMAND, b"%d" % epoch * size) for index in range(first, last + 1)]
--- a/tests/deployment.py
+++ b/tests/support/deployment.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 sys.path.append(str(ROOT / "platform"))
 
 import settings  # noqa: E402
--- a/tests/golden.py
+++ b/tests/support/golden.py
@@ -1,7 +1,7 @@
 """Golden files: recorded outside forms of the software, which a change inside must not move.
 
 A test records a form anew with the product's code and compares the text with the file under
-tests/data. The files are written by `tests/write_golden.py` only, never by a test.
+tests/data. The files are written by `tests/golden/write_golden.py` only, never by a test.
 """
 
 import difflib
@@ -11,7 +11,7 @@
 
 import testtools
 
-DATA = Path(__file__).parent / "data"
+DATA = Path(__file__).parent.parent / "golden" / "data"
 DIFFERENCE_LINES = 60
 
 
--- /dev/null
+++ b/tests/support/import_order.py
@@ -0,0 +1,25 @@
+"""The packages in the order of imports: each imports only those above it."""
+
+IMPORT_ORDER = [
+    "runtime",
+    "settings",
+    "events",
+    "rpc",
+    "http",
+    "metrics",
+    "journal",
+    "consensus",
+    "singleton",
+    "replicated_state",
+    "membership",
+    "health",
+    "rate_limit",
+    "cache",
+    "control_api",
+    "edge",
+    "control_plane",
+    "control_client",
+    "explain",
+    "cli",
+    "testing",
+]
--- a/tests/test_platform_schedules.py
+++ b/tests/support/platform_schedules.py
@@ -10,8 +10,6 @@
 from random import Random
 from typing import Any
 
-import testtools
-
 from deployment import HOST, Deployment, route, service_item
 from ryelock.testing.hosting_platform import Manner, ServerLife
 from ryelock.testing.platform_clients import (
@@ -19,8 +17,6 @@
     SAFE,
     UNSAFE,
     Note,
-    over_budget,
-    over_ceiling,
 )
 
 RATE = 60.0
@@ -252,46 +248,3 @@
         deployment.platform.silent, deployment.platform.rate = False, 52.0
         self.behave()
         deployment.world.run(15)
-
-
-class ScheduleTests(testtools.TestCase):
-    def hold(self, seed: int) -> None:
-        schedule = Schedule(seed)
-        schedule.run()
-        deployment = schedule.deployment
-        since = deployment.world.time
-        deployment.world.run(4)
-        deployment.callers_on = False
-        deployment.world.run(3)
-        told = f"seed {seed}: {schedule.happened}"
-        last = {note.request: note for note in deployment.notes if since < note.at < since + 4}
-        self.assertEqual([], deployment.broken(schedule.allowed), told)
-        for name in deployment.services:
-            self.assertEqual(
-                [], over_budget(deployment.notes, deployment.history, name, schedule.allowed), told
-            )
-        self.assertEqual([], over_ceiling(deployment.history, "desks", RATE), told)
-        self.assertNotIn(412, [status for _, status in schedule.told], told)
-        self.assertNotIn(400, [status for _, status in schedule.told], told)
-        found: Any = deployment.read()
-        self.assertGreaterEqual(int(found["version"][1:]), int(schedule.base[1:]), told)
-        sent = {plain["version"]: plain for plain in schedule.ever}
-        expected = sent[found["version"]]
-        for part in ("routes", "services"):
-            self.assertEqual(
-                {item["name"]: item for item in expected[part]},
-                {item["name"]: item for item in found[part]},
-                told,
-            )
-        self.assertGreater(sum(note.served for note in last.values()), 0.9 * len(last), told)
-
-
-def schedule_holds(seed: int) -> Callable[[ScheduleTests], None]:
-    def test(case: ScheduleTests) -> None:
-        case.hold(seed)
-
-    return test
-
-
-for seed in range(1, 7):
-    setattr(ScheduleTests, f"test_schedule_{seed}_holds", schedule_holds(seed))
