--- a/packages/cli/ryelock/cli/main.py
+++ b/packages/cli/ryelock/cli/main.py
@@ -13,8 +13,8 @@
 warnings.filterwarnings("ignore", message="pkg_resources is deprecated")
 
 from ryelock.cli.running import run_daemon, run_once  # noqa: E402
-from ryelock.control_client import UNREACHED, Plain, ask, code_of  # noqa: E402
-from ryelock.explain import explain_request, explain_url, in_words  # noqa: E402
+from ryelock.control_client import UNREACHED, Plain, call_control_api, code_of  # noqa: E402
+from ryelock.explain import explain_request, explain_url, format_explanation  # noqa: E402
 from ryelock.runtime.reactor import Reactor  # noqa: E402
 from ryelock.settings import SettingsError, read_settings  # noqa: E402
 
@@ -167,7 +167,7 @@
     """One operator's order; prints the JSON answered."""
 
     async def work(reactor: Reactor) -> int:
-        found = await ask(reactor.scheduler, reactor, at, method, target, given)
+        found = await call_control_api(reactor.scheduler, reactor, at, method, target, given)
         if found.is_error():
             sys.stderr.write(f"ryelock: {found.error}\n")
             return found.error.code
@@ -243,7 +243,7 @@
 async def send_change(reactor: Reactor, at: str, change: Plain) -> int:
     """Send a change, on top of the present version where it names none; return the exit code."""
     if "base" not in change:
-        present = await ask(reactor.scheduler, reactor, at, "GET", "/configuration")
+        present = await call_control_api(reactor.scheduler, reactor, at, "GET", "/configuration")
         if present.is_error():
             sys.stderr.write(f"ryelock: {present.error}\n")
             return UNREACHED
@@ -252,7 +252,7 @@
             show(configuration)
             return code_of(status)
         change["base"] = configuration["version"]
-    found = await ask(reactor.scheduler, reactor, at, "POST", "/changes", change)
+    found = await call_control_api(reactor.scheduler, reactor, at, "POST", "/changes", change)
     if found.is_error():
         sys.stderr.write(f"ryelock: {found.error} (id {change['id']})\n")
         return found.error.code
@@ -347,7 +347,7 @@
         if plain:
             show(found.ok)
         else:
-            sys.stdout.write("\n".join(in_words(found.ok)) + "\n")
+            sys.stdout.write("\n".join(format_explanation(found.ok)) + "\n")
         return 0
 
     return run_once(work)
--- a/packages/cli/ryelock/cli/running.py
+++ b/packages/cli/ryelock/cli/running.py
@@ -11,7 +11,7 @@
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
 from ryelock.edge.process import TrafficNode
-from ryelock.events import SETTINGS_DECLINED, SETTINGS_FOLLOWED, TASK_FAULT, Log
+from ryelock.events import SETTINGS_REJECTED, SETTINGS_RELOADED, TASK_FAULT, Log
 from ryelock.journal import FolderError, MachineFolder
 from ryelock.runtime import NetworkError, TaskCoroutine
 from ryelock.runtime.reactor import Reactor
@@ -34,11 +34,11 @@
         ...
 
 
-Build = Callable[[Reactor, Log, Random], Node]
-LOOK_SECONDS = 0.5
+NodeFactory = Callable[[Reactor, Log, Random], Node]
+POLL_INTERVAL_SECONDS = 0.5
 
 
-class Watched:
+class WatchedSettingsFile:
     """A settings file that may change, and how its settings are read."""
 
     __slots__ = ("path", "read")
@@ -81,7 +81,9 @@
     )
 
 
-def run_node(role: str, settings: Settings, build: Build, watched: Watched | None = None) -> int:
+def run_node(
+    role: str, settings: Settings, build: NodeFactory, watched: WatchedSettingsFile | None = None
+) -> int:
     """Run a node as a daemon until it is told to stop; the exit code.
 
     Where its settings file is watched, it is read again when it changed or a SIGHUP says so.
@@ -112,20 +114,20 @@
     return 0
 
 
-async def follow_file(reactor: Reactor, node: Node, log: Log, watched: Watched) -> None:
+async def follow_file(reactor: Reactor, node: Node, log: Log, watched: WatchedSettingsFile) -> None:
     """Look at the settings file now and then; what is faulty in it changes nothing."""
     before = watched.stamp()
     while True:
-        await reactor.scheduler.sleep(LOOK_SECONDS)
+        await reactor.scheduler.sleep(POLL_INTERVAL_SECONDS)
         found = watched.stamp()
         if found == before:
             continue
         before = found
         try:
             node.follow(watched.read())
-            log.write(SETTINGS_FOLLOWED)
+            log.write(SETTINGS_RELOADED)
         except SettingsError as error:
-            log.write(SETTINGS_DECLINED, faults=error.faults)
+            log.write(SETTINGS_REJECTED, faults=error.faults)
 
 
 async def until_told(reactor: Reactor, node: Node) -> None:
--- a/packages/consensus/ryelock/consensus/following.py
+++ b/packages/consensus/ryelock/consensus/following.py
@@ -11,8 +11,8 @@
     piece_of,
 )
 from ryelock.events import (
-    FOLLOWING,
-    SNAPSHOT_TAKEN,
+    BECAME_FOLLOWER,
+    SNAPSHOT_INSTALLED,
 )
 from ryelock.rpc import Message
 
@@ -45,7 +45,7 @@
         if self.promise_noted:
             self.replicated_log.save_promise(False)
         if leader != self.leader:
-            self.log.write(FOLLOWING, leader=leader, epoch=epoch)
+            self.log.write(BECAME_FOLLOWER, leader=leader, epoch=epoch)
         self.leader = leader
         self.leader_address = address
         self.leader_heard = self.scheduler.now()
@@ -114,6 +114,6 @@
         self.applied_command_index = snapshot.command_index
         self.find_voters()
         self.state_machine.restore(snapshot.state)
-        self.log.write(SNAPSHOT_TAKEN, index=snapshot.index, source=source)
+        self.log.write(SNAPSHOT_INSTALLED, index=snapshot.index, source=source)
         self.tell_applied()
         return True
--- a/packages/consensus/ryelock/consensus/joining.py
+++ b/packages/consensus/ryelock/consensus/joining.py
@@ -13,7 +13,7 @@
 from ryelock.consensus.replication import WHO_SECONDS
 from ryelock.consensus.types import Command
 from ryelock.events import (
-    FOUNDED,
+    CLUSTER_BOOTSTRAPPED,
 )
 from ryelock.rpc import Message
 from ryelock.runtime import Queue
@@ -120,4 +120,4 @@
         if self.replicated_log.begin(1, entry):
             self.find_voters()
             self.put_off_election()
-            self.log.write(FOUNDED, voters=sorted(voters.values()))
+            self.log.write(CLUSTER_BOOTSTRAPPED, voters=sorted(voters.values()))
--- a/packages/consensus/ryelock/consensus/node.py
+++ b/packages/consensus/ryelock/consensus/node.py
@@ -9,9 +9,9 @@
 from ryelock.consensus.joining import Joining
 from ryelock.consensus.types import Command, Proposal
 from ryelock.events import (
-    FOLLOWS_AGAIN,
-    ISOLATED,
-    LEADERLESS,
+    LEADER_FOUND,
+    LEADER_LOST,
+    LEADER_STEPPED_DOWN,
 )
 from ryelock.rpc import Message, Reply
 
@@ -69,7 +69,7 @@
                 now - max(self.majority_contact_at(), self.elected_at)
                 > self.settings.election_timeout * 1.5
             ):
-                self.log.write(LEADERLESS, epoch=self.term)
+                self.log.write(LEADER_STEPPED_DOWN, epoch=self.term)
                 self.drop_leading("lost its majority")
             elif self.settled and not self.changing_voters and self.disk not in self.voters:
                 self.pass_leading_on("no voter any more")
@@ -95,7 +95,7 @@
         isolated = now - heard > ISOLATED_TIMEOUTS * self.settings.election_timeout
         if isolated != self.isolated:
             self.isolated = isolated
-            self.log.write(ISOLATED if isolated else FOLLOWS_AGAIN, epoch=self.term)
+            self.log.write(LEADER_LOST if isolated else LEADER_FOUND, epoch=self.term)
 
     def answer(self, message: Message, reply: Reply) -> bool:
         """Take an ask into the queue; False when it is not for the consensus."""
--- a/packages/consensus/ryelock/consensus/replication.py
+++ b/packages/consensus/ryelock/consensus/replication.py
@@ -21,7 +21,7 @@
 )
 from ryelock.consensus.types import BATCH_BYTES, BATCH_BYTES_LEAST, Command, ConsensusError, Peer
 from ryelock.events import (
-    LEADING,
+    BECAME_LEADER,
 )
 from ryelock.rpc import Message, RpcError
 
@@ -44,7 +44,7 @@
         self.elected_at = self.scheduler.now()
         self.learners = {}
         self.released = {}
-        self.log.write(LEADING, epoch=epoch)
+        self.log.write(BECAME_LEADER, epoch=epoch)
         entry = Entry(self.last_index + 1, epoch, NOTHING, b"")
         if not self.store([entry]):
             self.disk_failed_at = self.scheduler.now()
--- a/packages/control_client/ryelock/control_client/__init__.py
+++ b/packages/control_client/ryelock/control_client/__init__.py
@@ -19,11 +19,11 @@
 Plain = dict[str, object]
 
 
-class Reply(NamedTuple):
+class ControlResponse(NamedTuple):
     """What a node answered: the HTTP status and the JSON object of its body."""
 
     status: int
-    plain: Plain
+    body: Plain
 
 
 class OperatorError(Exception):
@@ -39,16 +39,16 @@
         self.code = code
 
 
-async def ask(
+async def call_control_api(
     scheduler: Scheduler,
     network: Network,
     address: str,
     method: str,
     target: str,
-    given: object = None,
-) -> Result[Reply, OperatorError]:
+    json_body: object = None,
+) -> Result[ControlResponse, OperatorError]:
     """One order to one control address: the HTTP status and the JSON answered."""
-    body = b"" if given is None else json.dumps(given).encode()
+    body = b"" if json_body is None else json.dumps(json_body).encode()
     found = await fetch(
         scheduler,
         network,
@@ -69,7 +69,7 @@
         return Error(OperatorError(f"{address}: not JSON"))
     if not isinstance(plain, dict):
         return Error(OperatorError(f"{address}: not an object"))
-    return Ok(Reply(found.ok[0].status, plain))
+    return Ok(ControlResponse(found.ok[0].status, plain))
 
 
 def code_of(status: int) -> int:
--- a/packages/control_plane/ryelock/control_plane/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -9,12 +9,12 @@
 
 from ryelock.health import (
     Evaluation,
+    EvaluationRules,
     History,
-    Rules,
-    Weights,
+    ZoneWeights,
     decode_probe_result,
     evaluate,
-    gone_watches,
+    find_gone_watches,
 )
 from ryelock.membership import Membership
 from ryelock.replicated_state import ReplicatedState, derived_name
@@ -59,7 +59,7 @@
         self.membership = membership
         self.decide = decide
         self.clock: Callable[[], list[object]] = list
-        self.rules = Rules(
+        self.rules = EvaluationRules(
             settings.verdict_rows,
             settings.verdict_quorum,
             settings.stale_seconds,
@@ -68,7 +68,7 @@
         )
         self.epoch = -1
         self.history = History(settings.verdict_span)
-        self.weights = Weights(settings.weight_span)
+        self.weights = ZoneWeights(settings.weight_span)
         self.written: tuple[object, ...] = ()
         self.written_at = -1e9
 
@@ -89,7 +89,7 @@
         except ValueError as error:
             return {"ok": False, "fault": str(error)}
         for row in found:
-            if now - row.taken <= self.history.span:
+            if now - row.started_at <= self.history.retention_seconds:
                 self.history.add(row)
         return {"ok": True}
 
@@ -112,7 +112,7 @@
             now = self.scheduler.now()
             words = (
                 judged.network,
-                tuple(judged.gone),
+                tuple(judged.gone_watches),
                 *(
                     (zone, found.verdict, *found.failed)
                     for zone, found in sorted(judged.zones.items())
@@ -128,7 +128,7 @@
                 "epoch": duty.fencing_token,
                 "clock": clock,
                 "verdict": {
-                    **judged.plain(),
+                    **judged.to_dict(),
                     "version": self.replicated_state.version,
                     "days": self.history.summary(),
                 },
@@ -139,10 +139,10 @@
 
     def evaluate(self) -> Evaluation:
         now = self.scheduler.now()
-        self.history.forget_old(now)
+        self.history.expire(now)
         watches = self.replicated_state.watches
         made = {name: watches[name] for name in map(derived_name, self.replicated_state.derived)}
-        gone = gone_watches(made, self.history, self.rules, now)
+        gone = find_gone_watches(made, self.history, self.rules, now)
         watches = {name: watch for name, watch in watches.items() if name not in gone}
         zones: dict[str, list[str]] = {}
         edges = {**self.membership.lost(), **self.membership.members()}
@@ -151,5 +151,5 @@
                 zones.setdefault(session.zone, []).append(name)
         weights, assumed = self.weights.weights(sorted(zones))
         judged = evaluate(zones, watches, weights, assumed, self.history, self.rules, now)
-        judged.gone = gone
+        judged.gone_watches = gone
         return judged
--- a/packages/control_plane/ryelock/control_plane/keeper.py
+++ b/packages/control_plane/ryelock/control_plane/keeper.py
@@ -2,8 +2,8 @@
 
 from ryelock.consensus import Consensus
 from ryelock.control_plane.voters import VoterManager
-from ryelock.events import DUTY_GIVEN, WATCH_DERIVED, WATCH_ENDED, Log
-from ryelock.health import watch_mark
+from ryelock.events import ROLE_ASSIGNED, WATCH_DERIVED, WATCH_ENDED, Log
+from ryelock.health import watch_fingerprint
 from ryelock.membership import Membership
 from ryelock.replicated_state import (
     ReplicatedState,
@@ -80,7 +80,7 @@
         outcome = await self.consensus.propose(encode_command("duty", **duty.plain()))
         if outcome.is_ok():
             self.log.write(
-                DUTY_GIVEN,
+                ROLE_ASSIGNED,
                 duty=duty.name,
                 holder=duty.owner,
                 epoch=duty.fencing_token,
@@ -97,7 +97,9 @@
         before = replicated_state.derived
         places = places_of(before)
         for name, watch in before.items():
-            lost = isinstance(gone, dict) and gone.get(derived_name(name)) == watch_mark(watch)
+            lost = isinstance(gone, dict) and gone.get(derived_name(name)) == watch_fingerprint(
+                watch
+            )
             if lost or not self.derives:
                 self.lost[name] = (watch.host, watch.object)
                 del places[name]
--- a/packages/control_plane/ryelock/control_plane/leading.py
+++ b/packages/control_plane/ryelock/control_plane/leading.py
@@ -9,11 +9,11 @@
 from ryelock.consensus import Consensus
 from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.events import (
-    CHANGE_DECLINED,
-    CHANGE_TAKEN,
-    PURGE_TAKEN,
-    VERDICT_LATE,
-    VERDICT_WRITTEN,
+    CHANGE_ACCEPTED,
+    CHANGE_REJECTED,
+    PURGE_ACCEPTED,
+    VERDICT_COMMITTED,
+    VERDICT_OUTDATED,
     Log,
 )
 from ryelock.membership import Membership
@@ -128,11 +128,11 @@
         if not isinstance(result, dict):
             return {"status": "malformed", "id": identity}
         if result.get("status") != "accepted":
-            self.log.write(CHANGE_DECLINED, id=identity, status=str(result.get("status")))
+            self.log.write(CHANGE_REJECTED, id=identity, status=str(result.get("status")))
             return {**result, "id": identity}
         await self.renewals.settle(int(str(result["index"])))
         self.log.write(
-            PURGE_TAKEN if kind == "purge" else CHANGE_TAKEN,
+            PURGE_ACCEPTED if kind == "purge" else CHANGE_ACCEPTED,
             id=identity,
             version=result.get("version"),
             index=result["index"],
@@ -235,7 +235,9 @@
         if self.consensus.role != "leader":
             return {"status": "elsewhere"}
         if not self.in_time(message):
-            self.log.write(VERDICT_LATE, holder=message.get("holder"), epoch=message.get("epoch"))
+            self.log.write(
+                VERDICT_OUTDATED, holder=message.get("holder"), epoch=message.get("epoch")
+            )
             return {"status": "late"}
         verdict = message.get("verdict")
         data = encode_command(
@@ -252,7 +254,7 @@
         if isinstance(result, dict) and result.get("status") == "accepted":
             found = verdict if isinstance(verdict, dict) else {}
             self.log.write(
-                VERDICT_WRITTEN,
+                VERDICT_COMMITTED,
                 network=found.get("network"),
                 zones=self.zone_verdicts(),
                 epoch=message.get("epoch"),
--- a/packages/control_plane/ryelock/control_plane/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -10,7 +10,7 @@
 
 from expression import Error, Result
 
-from ryelock.events import LISTING_DECLINED, LISTING_MISSED, Log
+from ryelock.events import SERVER_LIST_REJECTED, SERVER_LIST_UNAVAILABLE, Log
 from ryelock.http import fetch
 from ryelock.membership import Server, ServerList, decode_server_list
 from ryelock.membership.servers import ServerListError, servers_from
@@ -92,7 +92,7 @@
             if listed.error.missed:
                 self.miss(str(listed.error))
             else:
-                self.log.write(LISTING_DECLINED, fault=str(listed.error))
+                self.log.write(SERVER_LIST_REJECTED, fault=str(listed.error))
             return
         self.missed = False
         self.take(ServerList(self.source, 0, listed.ok, 0.0, asked, self.scheduler.now()))
@@ -113,7 +113,7 @@
     def miss(self, reason: str) -> None:
         if not self.missed:
             self.missed = True
-            self.log.write(LISTING_MISSED, reason=reason)
+            self.log.write(SERVER_LIST_UNAVAILABLE, reason=reason)
 
     def believed(self, now: float) -> ServerList | None:
         held = self.listing
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -13,10 +13,10 @@
 from ryelock.control_plane.platform import PlatformReader
 from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.control_plane.voters import LEAVE
-from ryelock.events import DUTY_FENCED, LEAVING, STARTED, STOPPED, STOPPING, Log
+from ryelock.events import ROLE_FENCED, STARTED, STOPPED, STOPPING, VOTER_LEAVING, Log
 from ryelock.journal import Journal
 from ryelock.membership import Membership, Session
-from ryelock.metrics import show_metrics
+from ryelock.metrics import export_metrics
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message, Reply, RpcClients, RpcServer
 from ryelock.runtime import Network, Scheduler, Task
@@ -116,7 +116,7 @@
             scheduler, log, self.consensus, self.replicated_state, self.membership, self.renewals
         )
         figures = ControlMetrics(self.consensus, self.replicated_state, self.renewals).all
-        show_metrics(
+        export_metrics(
             scheduler, network, log, figures, settings.metrics_address, settings.metrics_log_seconds
         )
         duties = ("aggregator", READER) if settings.reader_duty else ("aggregator",)
@@ -227,7 +227,7 @@
         elif kind == "rows":
             answer = self.aggregator.take_rows(message)
             if answer.get("ok") is not True:
-                self.log.write(DUTY_FENCED, duty="aggregator", epoch=message.get("epoch"))
+                self.log.write(ROLE_FENCED, duty="aggregator", epoch=message.get("epoch"))
             reply(answer)
         else:
             reply({"fault": "unknown ask"})
@@ -295,7 +295,7 @@
         else:
             return False
         if found.get("status") == "fenced":
-            self.log.write(DUTY_FENCED, duty="aggregator", epoch=message.get("epoch"))
+            self.log.write(ROLE_FENCED, duty="aggregator", epoch=message.get("epoch"))
         return found.get("status") == "accepted"
 
     def say(self) -> Message:
@@ -377,7 +377,7 @@
         as a spare. Without a leader that answers, the wait ends at `until`, without a release.
         """
         self.consensus.leaving = True
-        self.log.write(LEAVING, voter=self.consensus.disk in self.consensus.voters)
+        self.log.write(VOTER_LEAVING, voter=self.consensus.disk in self.consensus.voters)
         message: Message = {"kind": LEAVE, "disk": self.consensus.disk}
         while self.scheduler.now() < until:
             leader = self.leader()
--- a/packages/control_plane/ryelock/control_plane/renewals.py
+++ b/packages/control_plane/ryelock/control_plane/renewals.py
@@ -10,7 +10,7 @@
 
 from ryelock.consensus import Consensus
 from ryelock.control_plane.platform import PlatformReader
-from ryelock.events import SESSION_ENDED, SESSION_STANDS, Log
+from ryelock.events import SESSION_ENDED, SESSION_STARTED, Log
 from ryelock.membership import Membership, Session, session_of
 from ryelock.rate_limit import QuotaAllocator, is_narrow
 from ryelock.replicated_state import DERIVED_MOST, ReplicatedState, vector_of
@@ -211,7 +211,7 @@
         session.sequence = sequence
         if self.membership.renew(session):
             self.log.write(
-                SESSION_STANDS, member=session.name, zone=session.zone, role=session.role
+                SESSION_STARTED, member=session.name, zone=session.zone, role=session.role
             )
         self.terms.reach(node, vector.get("register", 0))
         self.objects.update(
--- a/packages/edge/ryelock/edge/dispatch.py
+++ b/packages/edge/ryelock/edge/dispatch.py
@@ -13,7 +13,7 @@
     OWN_FIELDS,
 )
 from ryelock.edge.servers import ServerState
-from ryelock.events import ANSWER_BROKEN
+from ryelock.events import RESPONSE_BROKEN
 from ryelock.http import (
     ClientError,
     Fields,
@@ -228,7 +228,7 @@
                 return Error(error)
             if whole and reader.buffer and self.dialect.own:
                 self.log.write(
-                    ANSWER_BROKEN,
+                    RESPONSE_BROKEN,
                     server=state.server.address,
                     order=request.identity,
                     fault="bytes behind the answer",
@@ -240,7 +240,7 @@
             )
         except FramingError as error:
             self.log.write(
-                ANSWER_BROKEN,
+                RESPONSE_BROKEN,
                 server=state.server.address,
                 order=request.identity,
                 fault=error.reason,
@@ -248,7 +248,7 @@
             return Error(ClientError(error.reason, True))
         except IncompleteMessageError:
             self.log.write(
-                ANSWER_BROKEN, server=state.server.address, order=request.identity, fault="cut"
+                RESPONSE_BROKEN, server=state.server.address, order=request.identity, fault="cut"
             )
             return Error(ClientError("the answer was cut", True))
         except ReadTimeoutError:
--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from ryelock.edge.promises import QuorumLeaseVote, are_enough, decode_vote
-from ryelock.events import TERM_HELD, TERM_LAPSED, TERM_PROMISED, Log
+from ryelock.events import LEASE_ACQUIRED, LEASE_EXPIRED, LEASE_GRANTED_BY_QUORUM, Log
 from ryelock.membership import ServerList, Session, session_of
 from ryelock.membership.servers import servers_from
 from ryelock.replicated_state import ReplicatedState
@@ -183,7 +183,7 @@
         serving = self.scheduler.now() < self.term_until
         if serving != self.was_serving:
             self.was_serving = serving
-            self.log.write(TERM_HELD if serving else TERM_LAPSED)
+            self.log.write(LEASE_ACQUIRED if serving else LEASE_EXPIRED)
 
     async def look_for_leader(self, candidates: list[str]) -> None:
         """Ask every known control node at once; the first that knows a leader decides.
@@ -407,7 +407,9 @@
                 self.take_soft(soft, asked)
             except (KeyError, TypeError, ValueError):
                 pass
-        self.log.write(TERM_PROMISED, voters=sorted({promise.disk for promise in promises}))
+        self.log.write(
+            LEASE_GRANTED_BY_QUORUM, voters=sorted({promise.disk for promise in promises})
+        )
         self.tell_term()
 
     async def ask_promise(self, address: str, message: Message, box: Queue[Message | None]) -> None:
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -15,7 +15,7 @@
 from ryelock.health import Prober
 from ryelock.http import HttpServer, Limits, ProtocolProfile
 from ryelock.membership import ServerList, Session
-from ryelock.metrics import Metrics, show_metrics
+from ryelock.metrics import Metrics, export_metrics
 from ryelock.rate_limit import is_narrow, reserve
 from ryelock.rate_limit.quota_allocator import GRANT_SECONDS
 from ryelock.replicated_state import CallerLimits, ReplicatedState
@@ -140,7 +140,7 @@
             )
             self.session.order = self.request_server.address
         figures = self.handler.metrics.all if self.handler is not None else Metrics()
-        show_metrics(
+        export_metrics(
             scheduler, network, log, figures, settings.metrics_address, settings.metrics_log_seconds
         )
         self.probe_targets = ProbeTargets(settings, self.replicated_state, self.member)
@@ -377,7 +377,7 @@
                     "kind": "rows",
                     "epoch": duty.fencing_token,
                     "holder": duty.owner,
-                    "rows": [row.plain(now) for row in rows],
+                    "rows": [row.to_wire(now) for row in rows],
                 },
                 2.0,
             )
--- a/packages/edge/ryelock/edge/replies.py
+++ b/packages/edge/ryelock/edge/replies.py
@@ -15,7 +15,7 @@
     Relayed,
 )
 from ryelock.edge.routing import Routing
-from ryelock.events import ANSWER_BROKEN
+from ryelock.events import RESPONSE_BROKEN
 from ryelock.http import (
     Fields,
     HttpExchange,
@@ -90,7 +90,7 @@
             if not exchange.seconds_left:
                 self.servers.fared(carried.server, False, 0.0)
                 self.log.write(
-                    ANSWER_BROKEN,
+                    RESPONSE_BROKEN,
                     server=carried.server.server.address,
                     order=request.identity,
                     fault="cut in the body",
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -12,7 +12,7 @@
 import math
 from random import Random
 
-from ryelock.events import SERVER_ASIDE, SERVER_BACK, Log
+from ryelock.events import SERVER_EJECTED, SERVER_READMITTED, Log
 from ryelock.http import Reader
 from ryelock.membership import Server, ServerList
 from ryelock.runtime import Connection, Scheduler
@@ -195,7 +195,7 @@
         best = self.cheapest(able, now) if self.settings.spread_region else self.better(able, now)
         if best.failures >= FAILURES_MOST:
             best.trying = True
-            self.log.write(SERVER_BACK, server=best.server.address)
+            self.log.write(SERVER_READMITTED, server=best.server.address)
         return best
 
     def better(self, able: list[ServerState], now: float) -> ServerState:
@@ -265,7 +265,7 @@
         self.trial_at[service] = now + min(ASIDE_MOST, max(ASIDE_FIRST, 0.8 * edges))
         best = min(aside, key=lambda state: state.aside_until)
         best.trying = True
-        self.log.write(SERVER_BACK, server=best.server.address)
+        self.log.write(SERVER_READMITTED, server=best.server.address)
         return best
 
     def fared(self, state: ServerState, fine: bool, seconds: float) -> None:
@@ -286,7 +286,7 @@
             state.aside_for = min(ASIDE_MOST, max(ASIDE_FIRST, state.aside_for * 2))
             state.aside_until = self.scheduler.now() + state.aside_for
             self.log.write(
-                SERVER_ASIDE,
+                SERVER_EJECTED,
                 server=state.server.address,
                 seconds=state.aside_for,
                 service=state.server.service,
--- a/packages/edge/ryelock/edge/targets.py
+++ b/packages/edge/ryelock/edge/targets.py
@@ -9,7 +9,7 @@
 from itertools import islice
 
 from ryelock.edge.member import EdgeSession
-from ryelock.health import Target
+from ryelock.health import ProbeTarget
 from ryelock.membership import Session
 from ryelock.replicated_state import ReplicatedState, Watch
 from ryelock.settings import Settings
@@ -55,9 +55,9 @@
         probes = edges * max(self.settings.probers_chosen, STAND_INS) * max(1, made_up)
         return max(seconds, probes / (MADE_UP_RATE_PART * service.rate))
 
-    def all(self) -> list[Target]:
+    def all(self) -> list[ProbeTarget]:
         """Return what this node probes now, and what it compares with."""
-        found: list[Target] = []
+        found: list[ProbeTarget] = []
         edges = {**self.member.gone, **self.member.members}
         watches = sorted(self.replicated_state.watches.items())
         if self.settings.probers_chosen:
@@ -69,7 +69,7 @@
                 continue
             for watch_name, watch in watches:
                 found.append(
-                    Target(
+                    ProbeTarget(
                         session.zone,
                         name,
                         session.order,
@@ -83,7 +83,7 @@
 
     def chosen_targets(
         self, edges: dict[str, Session], watches: list[tuple[str, Watch]]
-    ) -> list[Target]:
+    ) -> list[ProbeTarget]:
         """Edges that this node is one of the few probers of; others it only compares with."""
         most = self.settings.probers_chosen
         probing = Probing(list(self.member.members.values()))
@@ -101,7 +101,7 @@
             return []
         seconds = self.seconds_by_watch(watches, len(found))
         return [
-            Target(
+            ProbeTarget(
                 session.zone,
                 name,
                 session.order,
--- a/packages/events/ryelock/events/__init__.py
+++ b/packages/events/ryelock/events/__init__.py
@@ -26,7 +26,7 @@
     number: int
     level: int
     text: str
-    asks: str
+    operator_action: str
 
 
 INFO, WARNING, ERROR = logging.INFO, logging.WARNING, logging.ERROR
@@ -35,22 +35,22 @@
 STOPPING = Event(1002, INFO, "process is stopping", "nothing")
 STOPPED = Event(1003, INFO, "process stopped", "nothing")
 TASK_FAULT = Event(1004, ERROR, "a task ended by a fault", "report it with the trace")
-SETTINGS_FOLLOWED = Event(1005, INFO, "the settings file changed and was read anew", "nothing")
-SETTINGS_DECLINED = Event(
+SETTINGS_RELOADED = Event(1005, INFO, "the settings file changed and was read anew", "nothing")
+SETTINGS_REJECTED = Event(
     1006,
     ERROR,
     "the settings file changed and has faults",
     "mend the file; the process goes on with what it had",
 )
-FIGURES = Event(1007, INFO, "the figures of this process", "nothing")
-FRAME_DECLINED = Event(
+METRICS_LOGGED = Event(1007, INFO, "the figures of this process", "nothing")
+FRAME_REJECTED = Event(
     1101,
     WARNING,
     "a frame from another process was declined",
     "look whether a program of another version is running",
 )
 REQUEST_MALFORMED = Event(1201, INFO, "an order with bad framing was declined", "nothing")
-JOURNAL_TORN = Event(
+JOURNAL_TAIL_TRUNCATED = Event(
     1301, WARNING, "a torn tail was cut from the journal", "nothing; it follows a loss of power"
 )
 JOURNAL_DAMAGED = Event(
@@ -66,25 +66,25 @@
     "make room or replace the machine",
 )
 SNAPSHOT_WRITTEN = Event(1304, INFO, "an image was written", "nothing")
-FOUNDED = Event(1401, INFO, "the three seeds founded a core", "nothing")
-LEADING = Event(1402, INFO, "this node leads", "nothing")
-FOLLOWING = Event(1403, INFO, "this node follows a leader", "nothing")
-LEADERLESS = Event(
+CLUSTER_BOOTSTRAPPED = Event(1401, INFO, "the three seeds founded a core", "nothing")
+BECAME_LEADER = Event(1402, INFO, "this node leads", "nothing")
+BECAME_FOLLOWER = Event(1403, INFO, "this node follows a leader", "nothing")
+LEADER_STEPPED_DOWN = Event(
     1404,
     WARNING,
     "a leader stepped down without a majority",
     "see whether core machines or their network are down",
 )
 VOTERS_CHANGED = Event(1405, INFO, "the set of voters changed", "nothing")
-SNAPSHOT_TAKEN = Event(1406, INFO, "a node that was behind took an image", "nothing")
-ISOLATED = Event(
+SNAPSHOT_INSTALLED = Event(1406, INFO, "a node that was behind took an image", "nothing")
+LEADER_LOST = Event(
     1407,
     WARNING,
     "this control node hears no leader",
     "see whether it is cut off, or whether a majority of the voters is down",
 )
-FOLLOWS_AGAIN = Event(1408, INFO, "this control node hears a leader again", "nothing")
-LEAVING = Event(
+LEADER_FOUND = Event(1408, INFO, "this control node hears a leader again", "nothing")
+VOTER_LEAVING = Event(
     1409, INFO, "this control node stops and gives its place as voter to a spare", "nothing"
 )
 VOTER_LOST = Event(
@@ -93,13 +93,13 @@
     "a voter stored nothing for too long, or another disk stands in its place",
     "nothing where there is a spare; else bring the machine back or add one",
 )
-DUTY_GIVEN = Event(1501, INFO, "a duty has a new holder", "nothing")
-DUTY_FENCED = Event(1502, WARNING, "word of an old duty holder was declined", "nothing")
-CHANGE_TAKEN = Event(1601, INFO, "a change was taken", "nothing")
-CHANGE_DECLINED = Event(1602, INFO, "a change was declined", "nothing")
-PURGE_TAKEN = Event(1603, INFO, "a purge was taken", "nothing")
-VERDICT_WRITTEN = Event(1701, INFO, "a verdict was written", "when a zone is down: see its rows")
-VERDICT_LATE = Event(
+ROLE_ASSIGNED = Event(1501, INFO, "a duty has a new holder", "nothing")
+ROLE_FENCED = Event(1502, WARNING, "word of an old duty holder was declined", "nothing")
+CHANGE_ACCEPTED = Event(1601, INFO, "a change was taken", "nothing")
+CHANGE_REJECTED = Event(1602, INFO, "a change was declined", "nothing")
+PURGE_ACCEPTED = Event(1603, INFO, "a purge was taken", "nothing")
+VERDICT_COMMITTED = Event(1701, INFO, "a verdict was written", "when a zone is down: see its rows")
+VERDICT_OUTDATED = Event(
     1702,
     WARNING,
     "a verdict that was long on its way was declined",
@@ -112,33 +112,33 @@
     "nothing; a watch of yours for a route of that service takes its place",
 )
 WATCH_ENDED = Event(1704, INFO, "a made-up watch ended, since its object is gone", "nothing")
-SESSION_STANDS = Event(1801, INFO, "a node became a member", "nothing")
+SESSION_STARTED = Event(1801, INFO, "a node became a member", "nothing")
 SESSION_ENDED = Event(1802, WARNING, "a node's session ended", "see whether its machine runs")
-LISTING_DECLINED = Event(
+SERVER_LIST_REJECTED = Event(
     1803, WARNING, "a listing of the platform was declined", "see what the platform sends"
 )
-LISTING_MISSED = Event(
+SERVER_LIST_UNAVAILABLE = Event(
     1804,
     WARNING,
     "the platform does not list servers",
     "see whether the platform runs; edges stop sending to servers",
 )
-TERM_LAPSED = Event(
+LEASE_EXPIRED = Event(
     1901,
     WARNING,
     "this edge's term lapsed; it declines orders",
     "see whether the core has a majority",
 )
-TERM_HELD = Event(1902, INFO, "this edge holds a term again", "nothing")
-TERM_PROMISED = Event(
+LEASE_ACQUIRED = Event(1902, INFO, "this edge holds a term again", "nothing")
+LEASE_GRANTED_BY_QUORUM = Event(
     1903,
     WARNING,
     "no leader; this edge serves on voters' promises",
     "see whether core machines or their network are down",
 )
-SERVER_ASIDE = Event(1904, WARNING, "a server is set aside", "see how the server fares")
-SERVER_BACK = Event(1905, INFO, "a server is tried again", "nothing")
-ANSWER_BROKEN = Event(
+SERVER_EJECTED = Event(1904, WARNING, "a server is set aside", "see how the server fares")
+SERVER_READMITTED = Event(1905, INFO, "a server is tried again", "nothing")
+RESPONSE_BROKEN = Event(
     1906, WARNING, "a server's answer was cut or malformed", "see how the server fares"
 )
 
@@ -172,19 +172,19 @@
         )
 
 
-class QuietLog(Log):
+class RecordingLog(Log):
     """Keeps the numbers and fields of events, for tests and the simulator."""
 
-    __slots__ = ("kept",)
+    __slots__ = ("records",)
 
     def __init__(self, node: str) -> None:
         """Create a log that writes nothing."""
         self.node = node
-        self.kept: list[tuple[int, dict[str, object]]] = []
+        self.records: list[tuple[int, dict[str, object]]] = []
 
     def write(self, event: Event, **fields: object) -> None:
         """Keep the event's number and fields."""
-        self.kept.append((event.number, fields))
+        self.records.append((event.number, fields))
 
 
 def catalogue_page() -> str:
@@ -200,7 +200,7 @@
     ]
     lines += [
         f"| {event.number} | {logging.getLevelName(event.level).lower()} "
-        f"| {event.text} | {event.asks} |"
+        f"| {event.text} | {event.operator_action} |"
         for event in CATALOGUE
     ]
     return "\n".join(lines) + "\n"
--- a/packages/explain/ryelock/explain/__init__.py
+++ b/packages/explain/ryelock/explain/__init__.py
@@ -9,7 +9,7 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.control_client import OperatorError, Reply, ask, with_query
+from ryelock.control_client import ControlResponse, OperatorError, call_control_api, with_query
 from ryelock.runtime import Network, Scheduler
 
 Plain = dict[str, object]
@@ -24,14 +24,14 @@
     scheduler: Scheduler, network: Network, at: str, request: str
 ) -> Result[Plain, OperatorError]:
     """Ask the edge that served a request for its account, through any node `at`."""
-    found = await ask(scheduler, network, at, "GET", "/members")
+    found = await call_control_api(scheduler, network, at, "GET", "/members")
     if found.is_error():
         return Error(found.error)
-    members = found.ok.plain.get("members")
+    members = found.ok.body.get("members")
     edge = members.get(edge_of(request)) if isinstance(members, dict) else None
     if not isinstance(edge, dict):
         return Error(OperatorError(f"no edge {edge_of(request)!r} is known"))
-    answer = await ask(
+    answer = await call_control_api(
         scheduler, network, str(edge["control"]), "GET", with_query("/explain", order=request)
     )
     return account_of(answer)
@@ -43,7 +43,7 @@
     """Ask the edge `at` what it would do with a request now."""
     parts = urlsplit(url)
     target = parts.path + (f"?{parts.query}" if parts.query else "")
-    answer = await ask(
+    answer = await call_control_api(
         scheduler,
         network,
         at,
@@ -53,43 +53,44 @@
     return account_of(answer)
 
 
-def account_of(answer: Result[Reply, OperatorError]) -> Result[Plain, OperatorError]:
+def account_of(answer: Result[ControlResponse, OperatorError]) -> Result[Plain, OperatorError]:
     """Return the account in an edge's answer; any status but 200 is an error."""
     if answer.is_error():
         return Error(answer.error)
     if answer.ok.status != HTTPStatus.OK:
-        return Error(OperatorError(str(answer.ok.plain.get("fault"))))
-    return Ok(answer.ok.plain)
+        return Error(OperatorError(str(answer.ok.body.get("fault"))))
+    return Ok(answer.ok.body)
 
 
-def in_words(plain: Plain) -> list[str]:
+def format_explanation(explanation: Plain) -> list[str]:
     """The account of an order as lines to read."""
-    lines = [f"{plain.get('method')} {plain.get('target')} host {plain.get('host') or '-'}"]
-    if not plain.get("route"):
-        return [*lines, f"no route: {plain.get('reason') or 'nothing matched'}"]
+    host = explanation.get("host") or "-"
+    lines = [f"{explanation.get('method')} {explanation.get('target')} host {host}"]
+    if not explanation.get("route"):
+        return [*lines, f"no route: {explanation.get('reason') or 'nothing matched'}"]
     lines.append(
-        f"route {plain['route']} of version {plain['version']} -> service "
-        f"{plain['service']}, class {plain['class']}"
+        f"route {explanation['route']} of version {explanation['version']} -> service "
+        f"{explanation['service']}, class {explanation['class']}"
     )
-    if plain.get("repeat"):
+    if explanation.get("repeat"):
         lines.append("taken as a caller's repeat")
-    if plain.get("cache"):
-        lines.append(f"cache: {plain['cache']}")
-    if plain.get("allowance"):
-        lines.append(f"allowance: {plain['allowance']}")
-    verdicts = plain.get("verdicts")
+    if explanation.get("cache"):
+        lines.append(f"cache: {explanation['cache']}")
+    if explanation.get("allowance"):
+        lines.append(f"allowance: {explanation['allowance']}")
+    verdicts = explanation.get("verdicts")
     if isinstance(verdicts, dict) and verdicts:
         lines.append(
             "verdicts: " + ", ".join(f"{zone} {word}" for zone, word in sorted(verdicts.items()))
         )
-    weighed, dispatches = plain.get("servers_weighed"), plain.get("dispatches")
+    weighed, dispatches = explanation.get("servers_weighed"), explanation.get("dispatches")
     for server in weighed if isinstance(weighed, list) else []:
         lines.append("weighed " + " ".join(f"{key}={value}" for key, value in server.items()))
     for record in dispatches if isinstance(dispatches, list) else []:
         lines.append("dispatch " + " ".join(f"{key}={value}" for key, value in record.items()))
-    if plain.get("would_go_to"):
-        lines.append(f"would go to {plain['would_go_to']}")
-    if plain.get("status"):
-        reason = f": {plain['reason']}" if plain.get("reason") else ""
-        lines.append(f"answered {plain['status']}, {plain.get('outcome')}{reason}")
+    if explanation.get("would_go_to"):
+        lines.append(f"would go to {explanation['would_go_to']}")
+    if explanation.get("status"):
+        reason = f": {explanation['reason']}" if explanation.get("reason") else ""
+        lines.append(f"answered {explanation['status']}, {explanation.get('outcome')}{reason}")
     return lines
--- a/packages/health/ryelock/health/__init__.py
+++ b/packages/health/ryelock/health/__init__.py
@@ -8,31 +8,37 @@
 
 from ryelock.health.evaluation import (
     Evaluation,
-    Rules,
+    EvaluationRules,
     Verdict,
     ZoneVerdict,
     evaluate,
-    gone_watches,
+    find_gone_watches,
 )
 from ryelock.health.history import History
-from ryelock.health.probe import Dater, Probe, ProbeResult, decode_probe_result, watch_mark
-from ryelock.health.prober import Prober, Target
-from ryelock.health.weights import Weights
+from ryelock.health.probe import (
+    OutdatedTagTimer,
+    Probe,
+    ProbeResult,
+    decode_probe_result,
+    watch_fingerprint,
+)
+from ryelock.health.prober import Prober, ProbeTarget
+from ryelock.health.weights import ZoneWeights
 
 __all__ = [
-    "Dater",
     "Evaluation",
+    "EvaluationRules",
     "History",
+    "OutdatedTagTimer",
     "Probe",
     "ProbeResult",
+    "ProbeTarget",
     "Prober",
-    "Rules",
-    "Target",
     "Verdict",
-    "Weights",
     "ZoneVerdict",
+    "ZoneWeights",
     "decode_probe_result",
     "evaluate",
-    "gone_watches",
-    "watch_mark",
+    "find_gone_watches",
+    "watch_fingerprint",
 ]
--- a/packages/health/ryelock/health/evaluation.py
+++ b/packages/health/ryelock/health/evaluation.py
@@ -11,10 +11,10 @@
 from enum import StrEnum
 
 from ryelock.health.history import History
-from ryelock.health.probe import ProbeResult, watch_mark
+from ryelock.health.probe import ProbeResult, watch_fingerprint
 from ryelock.replicated_state import Watch
 
-MACHINES_NEEDED = 2
+MIN_FAILING_MACHINES = 2
 
 
 class Verdict(StrEnum):
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class EvaluationRules:
     """The numbers of the design; all are settings.
 
     Attributes:
@@ -38,7 +38,7 @@
         stale_weight: fraction in stale zones above which the network is stale.
     """
 
-    rows: int = 5
+    window_size: int = 5
     quorum: int = 3
     stale_seconds: float = 30.0
     down_weight: float = 0.15
@@ -58,7 +58,7 @@
 
 def evidence_of(row: ProbeResult, now: float) -> Evidence:
     """Return a failed row as evidence at monotonic time `now`."""
-    seconds_ago = round(now - row.taken, 3)
+    seconds_ago = round(now - row.started_at, 3)
     return Evidence(row.prober, row.machine, row.sequence, seconds_ago, row.error)
 
 
@@ -71,8 +71,8 @@
         "failed",
         "failures",
         "machines",
-        "oldest",
-        "rows",
+        "max_age_seconds",
+        "results",
         "stale",
         "watch",
     )
@@ -91,24 +91,24 @@
         self.evidence = [evidence_of(row, now) for row in failures]
         self.edge = edge
         self.watch = watch
-        self.rows = rows
+        self.results = rows
         self.failures = len(failures)
         self.machines = sorted({row.machine for row in failures})
-        self.failed = self.failures >= quorum and len(self.machines) >= MACHINES_NEEDED
-        ages = [row.age for row in rows if row.age is not None]
-        self.oldest = max(ages) if ages else None
-        self.stale = self.oldest is not None and self.oldest > stale_seconds
+        self.failed = self.failures >= quorum and len(self.machines) >= MIN_FAILING_MACHINES
+        ages = [row.age_seconds for row in rows if row.age_seconds is not None]
+        self.max_age_seconds = max(ages) if ages else None
+        self.stale = self.max_age_seconds is not None and self.max_age_seconds > stale_seconds
 
-    def plain(self) -> dict[str, object]:
+    def to_dict(self) -> dict[str, object]:
         """Return the outcome with its evidence as plain data."""
         return {
             "edge": self.edge,
             "watch": self.watch,
-            "rows": len(self.rows),
+            "rows": len(self.results),
             "failures": self.failures,
             "failed": self.failed,
             "failing_machines": self.machines,
-            "age_seconds": self.oldest,
+            "age_seconds": self.max_age_seconds,
             "failed_rows": [asdict(row) for row in self.evidence],
         }
 
@@ -135,10 +135,12 @@
     targets: list[TargetVerdict]
     failed: list[str]
 
-    def plain(self) -> dict[str, object]:
+    def to_dict(self) -> dict[str, object]:
         """Return the verdict with its evidence as plain data."""
-        rows = [row for target in self.targets for row in target.rows]
-        ages = [target.oldest for target in self.targets if target.oldest is not None]
+        rows = [row for target in self.targets for row in target.results]
+        ages = [
+            target.max_age_seconds for target in self.targets if target.max_age_seconds is not None
+        ]
         return {
             "verdict": self.verdict.value,
             "reason": self.reason,
@@ -150,10 +152,10 @@
             "rows": len(rows),
             "failed_rows": sum(row.failed for row in rows),
             "worst_age_seconds": max(ages) if ages else None,
-            "targets": [target.plain() for target in self.targets],
+            "targets": [target.to_dict() for target in self.targets],
             "evidence": [
-                row.shown()
-                for row in sorted(rows, key=lambda row: (not row.failed, -row.taken))[:10]
+                row.to_dict()
+                for row in sorted(rows, key=lambda row: (not row.failed, -row.started_at))[:10]
             ],
         }
 
@@ -176,39 +178,39 @@
     reason: str
     down_weight: float
     stale_weight: float
-    assumed: bool
+    weights_assumed: bool
     zones: dict[str, ZoneVerdict]
-    gone: dict[str, str] = field(default_factory=dict)
+    gone_watches: dict[str, str] = field(default_factory=dict)
 
-    def plain(self) -> dict[str, object]:
+    def to_dict(self) -> dict[str, object]:
         """Return the outcome as plain data, as it is agreed on and shown."""
         return {
             "network": self.network.value,
             "reason": self.reason,
             "down_weight": round(self.down_weight, 4),
             "stale_weight": round(self.stale_weight, 4),
-            "weights_assumed": self.assumed,
-            "gone": self.gone,
-            "zones": {name: zone.plain() for name, zone in sorted(self.zones.items())},
+            "weights_assumed": self.weights_assumed,
+            "gone": self.gone_watches,
+            "zones": {name: zone.to_dict() for name, zone in sorted(self.zones.items())},
         }
 
 
 def blind_probers(history: History, now: float, count: int) -> set[str]:
     """Probers that lately reached nothing at all, inside or outside, while others did."""
     seen: dict[str, list[ProbeResult]] = {}
-    for target in history.targets:
+    for target in history.results_by_target:
         for row in history.window(target, now, count * 4):
             seen.setdefault(row.prober, []).append(row)
     lately = {
-        prober: sorted(rows, key=lambda row: row.taken)[-3 * count :]
+        prober: sorted(rows, key=lambda row: row.started_at)[-3 * count :]
         for prober, rows in seen.items()
     }
     able = {prober for prober, rows in lately.items() if any(row.reachable for row in rows)}
     return set(lately) - able if able else set()
 
 
-def gone_watches(
-    watches: dict[str, Watch], history: History, rules: Rules, now: float
+def find_gone_watches(
+    watches: dict[str, Watch], history: History, rules: EvaluationRules, now: float
 ) -> dict[str, str]:
     """Of made-up watches those whose object is gone, with their marks.
 
@@ -217,10 +219,10 @@
     """
     found: dict[str, str] = {}
     for name, watch in watches.items():
-        mark = watch_mark(watch)
+        mark = watch_fingerprint(watch)
         reached = [
-            [row for row in history.window(target, now, rules.rows) if row.reachable]
-            for target in history.targets
+            [row for row in history.window(target, now, rules.window_size) if row.reachable]
+            for target in history.results_by_target
             if target[2:] == (name, mark)
         ]
         last = [rows[-1] for rows in reached if rows]
@@ -236,7 +238,7 @@
     watches: dict[str, Watch],
     weight: float,
     history: History,
-    rules: Rules,
+    rules: EvaluationRules,
     now: float,
     blind: set[str],
 ) -> ZoneVerdict:
@@ -252,7 +254,7 @@
     edges: list[str],
     watches: dict[str, Watch],
     history: History,
-    rules: Rules,
+    rules: EvaluationRules,
     now: float,
     blind: set[str],
 ) -> list[TargetVerdict]:
@@ -260,11 +262,13 @@
     targets: list[TargetVerdict] = []
     for edge in edges:
         for name, watch in sorted(watches.items()):
-            mark = watch_mark(watch)
-            rows = history.window((zone, edge, name, mark), now, rules.rows, inside=True)
+            mark = watch_fingerprint(watch)
+            rows = history.window(
+                (zone, edge, name, mark), now, rules.window_size, own_zone_only=True
+            )
             if not rows:
                 continue
-            proven = (name, mark) in history.proven
+            proven = (name, mark) in history.fetched_watches
             failures = [row for row in rows if row.prober not in blind and counts(row, proven)]
             stale_seconds = watch.stale_seconds or rules.stale_seconds
             targets.append(
@@ -300,9 +304,9 @@
     if edges and len(failed) == len(edges):
         return Verdict.DOWN, f"all {len(edges)} edges failed"
     if any(target.stale for target in targets):
-        worst = max(targets, key=lambda target: target.oldest or 0.0)
-        return Verdict.STALE, f"{worst.watch} at {worst.edge} is {worst.oldest} s old"
-    if all(row.failed for target in targets for row in target.rows):
+        worst = max(targets, key=lambda target: target.max_age_seconds or 0.0)
+        return Verdict.STALE, f"{worst.watch} at {worst.edge} is {worst.max_age_seconds} s old"
+    if all(row.failed for target in targets for row in target.results):
         return Verdict.UNKNOWN, "no sound row, and no quorum of failed ones"
     return Verdict.HEALTHY, f"failed: {', '.join(failed)}" if failed else "fetched"
 
@@ -313,11 +317,11 @@
     weights: dict[str, float],
     assumed: bool,
     history: History,
-    rules: Rules,
+    rules: EvaluationRules,
     now: float,
 ) -> Evaluation:
     """The verdict of every zone and of the network, weighted by audience."""
-    blind = blind_probers(history, now, rules.rows)
+    blind = blind_probers(history, now, rules.window_size)
     found = {
         zone: evaluate_zone(
             zone, sorted(edges), watches, weights.get(zone, 0.0), history, rules, now, blind
@@ -336,7 +340,7 @@
 
 
 def network_word(
-    zones: dict[str, ZoneVerdict], down: float, stale: float, rules: Rules
+    zones: dict[str, ZoneVerdict], down: float, stale: float, rules: EvaluationRules
 ) -> tuple[Verdict, str]:
     """Return the network's verdict and its reason, by the weights of down and stale zones."""
     words = [zone.verdict for zone in zones.values()]
--- a/packages/health/ryelock/health/probe.py
+++ b/packages/health/ryelock/health/probe.py
@@ -38,7 +38,7 @@
 CROWD, CROWDED = b"crowded", "declined in a crowd"
 
 
-def watch_mark(watch: Watch) -> str:
+def watch_fingerprint(watch: Watch) -> str:
     """Tells a watch from another of its name: rows of one prove nothing about the other."""
     return hashlib.sha256(repr(watch).encode()).hexdigest()[:12]
 
@@ -74,15 +74,15 @@
     zone: str
     edge: str
     watch: str
-    outside: bool
-    wall: float
-    mark: str
-    taken: float = 0.0
+    cross_zone: bool
+    wall_time: float
+    watch_fingerprint: str
+    started_at: float = 0.0
     reachable: bool = False
     manifest_valid: bool = False
     object_fetchable: bool = False
-    age: float | None = None
-    ttfb: float | None = None
+    age_seconds: float | None = None
+    ttfb_ms: float | None = None
     error: str = ""
 
     @property
@@ -95,7 +95,7 @@
         """Whether the object is not to be had (any more), as its server says."""
         return self.error in GONE
 
-    def plain(self, now: float) -> list[object]:
+    def to_wire(self, now: float) -> list[object]:
         """For the wire: when it was taken goes as how long ago."""
         return [
             self.prober,
@@ -104,31 +104,31 @@
             self.zone,
             self.edge,
             self.watch,
-            self.outside,
-            self.wall,
-            now - self.taken,
+            self.cross_zone,
+            self.wall_time,
+            now - self.started_at,
             self.reachable,
             self.manifest_valid,
             self.object_fetchable,
-            self.age,
-            self.ttfb,
+            self.age_seconds,
+            self.ttfb_ms,
             self.error,
-            self.mark,
+            self.watch_fingerprint,
         ]
 
-    def shown(self) -> dict[str, object]:
+    def to_dict(self) -> dict[str, object]:
         """Return the row as the record of decisions shows it, under the source's names."""
         return {
             "prober": self.prober,
             "machine": self.machine,
             "edge": self.edge,
             "watch": self.watch,
-            "wall": round(self.wall, 3),
+            "wall": round(self.wall_time, 3),
             "reachable": self.reachable,
             "manifest_valid": self.manifest_valid,
             "segment_fetchable": self.object_fetchable,
-            "segment_age_seconds": self.age,
-            "ttfb_ms": self.ttfb,
+            "segment_age_seconds": self.age_seconds,
+            "ttfb_ms": self.ttfb_ms,
             "error": self.error,
         }
 
@@ -157,39 +157,39 @@
             row = ProbeResult(
                 prober, machine, sequence, zone, edge, watch, outside, float(wall), mark
             )
-            row.taken = now - max(0.0, float(since))
+            row.started_at = now - max(0.0, float(since))
             row.reachable, row.manifest_valid, row.object_fetchable = reachable, valid, fetchable
-            row.age = float(age) if isinstance(age, int | float) else None
-            row.ttfb = float(ttfb) if isinstance(ttfb, int | float) else None
+            row.age_seconds = float(age) if isinstance(age, int | float) else None
+            row.ttfb_ms = float(ttfb) if isinstance(ttfb, int | float) else None
             row.error = error[:200]
             return row
         case _:
             raise ValueError("not a row")
 
 
-class Dater:
+class OutdatedTagTimer:
     """For one target and watch: since when a newer object than the one served has been out."""
 
-    __slots__ = ("newer_since",)
+    __slots__ = ("outdated_since",)
 
     def __init__(self) -> None:
         """Start with no newer object known."""
-        self.newer_since: float | None = None
+        self.outdated_since: float | None = None
 
     def age(self, fresh: bytes | None, served: bytes | None, now: float) -> float | None:
         """Return for how long the served ETag has been outdated; None without both ETags."""
         if fresh is None or served is None:
             return None
         if fresh == served:
-            self.newer_since = None
+            self.outdated_since = None
             return 0.0
-        if self.newer_since is None:
-            self.newer_since = now
-        return now - self.newer_since
+        if self.outdated_since is None:
+            self.outdated_since = now
+        return now - self.outdated_since
 
 
 @dataclass(frozen=True, slots=True)
-class Fetched:
+class FetchedResponse:
     """What one fetch of a probe brought.
 
     Attributes:
@@ -201,11 +201,11 @@
 
     status: int
     fields: Fields
-    start: bytes
-    at: float
+    body_start: bytes
+    received_at: float
 
 
-class ProbeFailed(Exception):
+class ProbeStepError(Exception):
     """A step did not come to an answer."""
 
 
@@ -215,7 +215,15 @@
 class Probe:
     """Fetches through one edge for one watch."""
 
-    __slots__ = ("address", "dialect", "network", "prober", "scheduler", "timeout", "watch")
+    __slots__ = (
+        "address",
+        "network",
+        "prober_credentials",
+        "profile",
+        "scheduler",
+        "timeout_seconds",
+        "watch",
+    )
 
     def __init__(
         self,
@@ -223,9 +231,9 @@
         network: Network,
         address: str,
         watch: Watch,
-        timeout: float,
-        prober: str,
-        dialect: ProtocolProfile,
+        timeout_seconds: float,
+        prober_credentials: str,
+        profile: ProtocolProfile,
     ) -> None:
         """Prepare a probe.
 
@@ -234,29 +242,29 @@
             network: where connections are opened.
             address: host:port of the edge.
             watch: what to fetch and how to judge its age.
-            timeout: deadline of the whole probe in seconds.
-            prober: the prober's name and mark, which the edge checks.
-            dialect: field names of the deployment.
+            timeout_seconds: deadline of the whole probe.
+            prober_credentials: the prober's name and secret, which the edge checks.
+            profile: header field names of the deployment.
         """
-        self.dialect = dialect
+        self.profile = profile
         self.scheduler = scheduler
         self.network = network
         self.address = address
         self.watch = watch
-        self.timeout = timeout
-        self.prober = prober
+        self.timeout_seconds = timeout_seconds
+        self.prober_credentials = prober_credentials
 
-    async def run(self, row: ProbeResult, dater: Dater) -> None:
+    async def run(self, row: ProbeResult, dater: OutdatedTagTimer) -> None:
         """Fill in the row, in the order of the steps."""
-        until = self.scheduler.now() + self.timeout
-        row.taken = self.scheduler.now()
+        until = self.scheduler.now() + self.timeout_seconds
+        row.started_at = self.scheduler.now()
         try:
             started = self.scheduler.now()
             manifest = await self.fetch(
                 self.watch.manifest or self.watch.object, [(b"Cache-Control", b"no-cache")], until
             )
             row.reachable = True
-            row.ttfb = round((manifest.at - started) * 1000, 1)
+            row.ttfb_ms = round((manifest.received_at - started) * 1000, 1)
             row.error = self.manifest_fault(manifest)
             if row.error:
                 return
@@ -266,34 +274,36 @@
                 crowded = field(served.fields, b"x-ryelock-outcome") == CROWD
                 row.error = CROWDED if crowded else f"object status {served.status}"
                 return
-            if not self.sealed(served):
+            if not self.has_seal(served):
                 row.error = UNSEALED
                 return
             row.object_fetchable = True
-            row.age = self.age_of(manifest, served, dater)
-        except ProbeFailed as error:
+            row.age_seconds = self.age_of(manifest, served, dater)
+        except ProbeStepError as error:
             row.error = str(error)
 
-    def manifest_fault(self, manifest: Fetched) -> str:
+    def manifest_fault(self, manifest: FetchedResponse) -> str:
         """Return what is wrong with the manifest; empty where nothing is."""
         if manifest.status != 200:
             crowded = field(manifest.fields, b"x-ryelock-outcome") == CROWD
             return CROWDED if crowded else f"manifest status {manifest.status}"
-        if not self.sealed(manifest):
+        if not self.has_seal(manifest):
             return UNSEALED
         if self.watch.marker:
-            found = self.watch.marker.encode() in manifest.start[:MARKED_BYTES]
+            found = self.watch.marker.encode() in manifest.body_start[:MARKED_BYTES]
             return "" if found else "no marker in the manifest"
-        if not manifest.start and field(manifest.fields, b"etag") is None:
+        if not manifest.body_start and field(manifest.fields, b"etag") is None:
             return "neither a body nor an ETag"
         return ""
 
-    def sealed(self, fetched: Fetched) -> bool:
+    def has_seal(self, fetched: FetchedResponse) -> bool:
         """Tell whether the answer bears the server's seal, where the deployment has one."""
-        seal = self.dialect.seal.lower()
+        seal = self.profile.seal.lower()
         return not seal or field(fetched.fields, seal) is not None
 
-    def age_of(self, manifest: Fetched, served: Fetched, dater: Dater) -> float | None:
+    def age_of(
+        self, manifest: FetchedResponse, served: FetchedResponse, dater: OutdatedTagTimer
+    ) -> float | None:
         """How old the served object is by the server's clock; None where unknown."""
         dating = self.watch.dating
         if dating == "none":
@@ -309,52 +319,58 @@
                 return 0.0
             stamp = dated
         if stamp is not None and servers_now is not None:
-            return round(max(0.0, servers_now + (served.at - manifest.at) - stamp), 1)
+            return round(
+                max(0.0, servers_now + (served.received_at - manifest.received_at) - stamp), 1
+            )
         if not same_object:
             return None
         age = dater.age(fresh_tag, served_tag, self.scheduler.now())
         return None if age is None else round(age, 1)
 
-    async def fetch(self, target: str, fields: Fields, until: float) -> Fetched:
+    async def fetch(self, target: str, fields: Fields, until: float) -> FetchedResponse:
         """Fetch one target over a connection of its own; raises ProbeFailed."""
         connection = self.network.connect(self.address)
         try:
             if not await connection.wait_connected(max(0.0, until - self.scheduler.now())):
-                raise ProbeFailed("timeout" if self.scheduler.now() >= until else "no link")
+                raise ProbeStepError("timeout" if self.scheduler.now() >= until else "no link")
             send_request(connection, b"GET", target.encode(), self.fields_with(fields, until), b"")
             return await self.read_fetched(connection, until)
         except IncompleteMessageError:
-            raise ProbeFailed("answer cut") from None
+            raise ProbeStepError("answer cut") from None
         except ReadTimeoutError:
-            raise ProbeFailed("timeout") from None
+            raise ProbeStepError("timeout") from None
         except FramingError as error:
-            raise ProbeFailed(error.reason) from None
+            raise ProbeStepError(error.reason) from None
         finally:
             connection.close()
 
     def fields_with(self, fields: Fields, until: float) -> Fields:
         """Return the header fields of a request: the given ones and those every probe bears."""
         host = self.watch.host or self.address
-        found = [(b"Host", host.encode()), (b"X-Ryelock-Probe", self.prober.encode()), *fields]
-        if self.dialect.deadline:
+        found = [
+            (b"Host", host.encode()),
+            (b"X-Ryelock-Probe", self.prober_credentials.encode()),
+            *fields,
+        ]
+        if self.profile.deadline:
             left = max(1, int((until - self.scheduler.now()) * 1000))
-            found.append((self.dialect.deadline, b"%d" % left))
+            found.append((self.profile.deadline, b"%d" % left))
         return [*found, (b"Connection", b"close")]
 
-    async def read_fetched(self, connection: Connection, until: float) -> Fetched:
+    async def read_fetched(self, connection: Connection, until: float) -> FetchedResponse:
         """Read an answer to its end; only the body's first bytes are kept."""
         answer = await read_response(Reader(self.scheduler, connection), b"GET", HEAD_MOST, until)
         if answer.is_error():
-            raise ProbeFailed(answer.error.reason)
+            raise ProbeStepError(answer.error.reason)
         head, body, at = answer.ok.head, answer.ok.body, self.scheduler.now()
         start = b""
         total = 0
         while True:
             piece = await body.read_chunk(until)
             if not piece and body.complete:
-                return Fetched(head.status, head.fields, start, at)
+                return FetchedResponse(head.status, head.fields, start, at)
             total += len(piece)
             if total > BODY_MOST:
-                raise ProbeFailed("body too large")
+                raise ProbeStepError("body too large")
             if len(start) < MARKED_BYTES:
                 start += piece[:MARKED_BYTES]
--- a/packages/health/ryelock/health/prober.py
+++ b/packages/health/ryelock/health/prober.py
@@ -12,16 +12,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ryelock.health.probe import CROWDED, Dater, Probe, ProbeResult, watch_mark
+from ryelock.health.probe import CROWDED, OutdatedTagTimer, Probe, ProbeResult, watch_fingerprint
 from ryelock.http import ProtocolProfile
 from ryelock.replicated_state import Watch
 from ryelock.runtime import Network, Queue, Scheduler, Task
 
-ROWS_KEPT = 4000
+MAX_STORED_RESULTS = 4000
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class ProbeTarget:
     """An edge to be probed for a watch.
 
     Attributes:
@@ -40,42 +40,42 @@
     address: str
     watch_name: str
     watch: Watch
-    outside: bool
-    seconds: float = 0.0
-    mark: str = field(init=False)
+    cross_zone: bool
+    min_interval_seconds: float = 0.0
+    watch_fingerprint: str = field(init=False)
 
     def __post_init__(self) -> None:
         """Work out the mark."""
-        object.__setattr__(self, "mark", watch_mark(self.watch))
+        object.__setattr__(self, "watch_fingerprint", watch_fingerprint(self.watch))
 
     @property
     def key(self) -> tuple[str, str, str]:
         """What tells targets apart: edge, watch and the watch's mark."""
-        return self.edge, self.watch_name, self.mark
+        return self.edge, self.watch_name, self.watch_fingerprint
 
 
 class Prober:
     """Runs the probes of one node and keeps their rows."""
 
     __slots__ = (
-        "cadence",
-        "daters",
-        "dialect",
-        "due",
-        "in_flight",
+        "credentials",
+        "cross_zone_turn",
+        "free_slots",
+        "interval_seconds",
+        "list_targets",
         "machine",
+        "max_in_flight",
         "name",
         "network",
-        "room",
-        "rows",
-        "says",
+        "next_probe_at",
+        "profile",
+        "results",
+        "retention_seconds",
         "scheduler",
         "sequence",
-        "span",
-        "targets",
+        "tag_timers",
         "tasks",
-        "timeout",
-        "turn",
+        "timeout_seconds",
         "zone",
     )
 
@@ -84,15 +84,15 @@
         scheduler: Scheduler,
         network: Network,
         name: str,
-        mark: str,
+        secret: str,
         machine: str,
         zone: str,
-        cadence: float,
-        timeout: float,
-        in_flight: int,
-        span: float,
-        targets: Callable[[], list[Target]],
-        dialect: ProtocolProfile | None = None,
+        interval_seconds: float,
+        timeout_seconds: float,
+        max_in_flight: int,
+        retention_seconds: float,
+        list_targets: Callable[[], list[ProbeTarget]],
+        profile: ProtocolProfile | None = None,
     ) -> None:
         """Create a prober; `start` makes it run.
 
@@ -100,86 +100,88 @@
             scheduler: clock and timers.
             network: where connections are opened.
             name: name of this node.
-            mark: secret of this node's session, by which edges know its probes.
+            secret: secret of this node's session, by which edges know its probes.
             machine: machine this node runs on.
             zone: zone of this node.
-            cadence: seconds between two probes of one target.
-            timeout: deadline of one probe in seconds.
-            in_flight: most probes at once.
-            span: seconds for which rows are kept.
-            targets: returns the present targets.
-            dialect: field names of the deployment.
+            interval_seconds: time between two probes of one target.
+            timeout_seconds: deadline of one probe.
+            max_in_flight: how many probes run at once.
+            retention_seconds: how long results are retained.
+            list_targets: returns the present targets.
+            profile: header field names of the deployment.
         """
-        self.dialect = dialect or ProtocolProfile()
+        self.profile = profile or ProtocolProfile()
         self.scheduler = scheduler
         self.network = network
         self.name = name
-        self.says = f"{name} {mark}"
+        self.credentials = f"{name} {secret}"
         self.machine = machine
         self.zone = zone
-        self.cadence = cadence
-        self.timeout = timeout
-        self.in_flight = in_flight
-        self.span = span
-        self.targets = targets
-        self.rows: deque[ProbeResult] = deque(maxlen=ROWS_KEPT)
-        self.due: dict[tuple[str, str, str], float] = {}
-        self.daters: dict[tuple[str, str, str], Dater] = {}
-        self.room: Queue[bool] = Queue(scheduler)
+        self.interval_seconds = interval_seconds
+        self.timeout_seconds = timeout_seconds
+        self.max_in_flight = max_in_flight
+        self.retention_seconds = retention_seconds
+        self.list_targets = list_targets
+        self.results: deque[ProbeResult] = deque(maxlen=MAX_STORED_RESULTS)
+        self.next_probe_at: dict[tuple[str, str, str], float] = {}
+        self.tag_timers: dict[tuple[str, str, str], OutdatedTagTimer] = {}
+        self.free_slots: Queue[bool] = Queue(scheduler)
         self.sequence = 0
-        self.turn = 0
+        self.cross_zone_turn = 0
         self.tasks: list[Task] = []
 
     def start(self) -> None:
         """Start probing."""
-        for _ in range(self.in_flight):
-            self.room.put(True)
-        self.tasks.append(self.scheduler.create_task(self.work(), name="prober"))
+        for _ in range(self.max_in_flight):
+            self.free_slots.put(True)
+        self.tasks.append(self.scheduler.create_task(self.run(), name="prober"))
 
     def stop(self) -> None:
         """Cancel all probes."""
         for running in self.tasks:
             running.cancel()
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """Start each target when it is due, as far as the flight has room."""
         while True:
             now = self.scheduler.now()
-            targets = self.targets()
-            inside = [target for target in targets if not target.outside]
-            outside = [target for target in targets if target.outside]
+            targets = self.list_targets()
+            inside = [target for target in targets if not target.cross_zone]
+            outside = [target for target in targets if target.cross_zone]
             known = {target.key for target in targets}
-            for key in [key for key in self.due if key not in known and key[1] != ""]:
-                del self.due[key]
-                self.daters.pop(key, None)
+            for key in [key for key in self.next_probe_at if key not in known and key[1] != ""]:
+                del self.next_probe_at[key]
+                self.tag_timers.pop(key, None)
             if outside:
-                inside.append(outside[self.turn % len(outside)])
+                inside.append(outside[self.cross_zone_turn % len(outside)])
             for target in inside:
-                key = ("", "", "") if target.outside else target.key
-                if key not in self.due:
-                    self.due[key] = now + self.phase_of(target)
-                if self.due.get(key, 0.0) > now:
+                key = ("", "", "") if target.cross_zone else target.key
+                if key not in self.next_probe_at:
+                    self.next_probe_at[key] = now + self.phase_of(target)
+                if self.next_probe_at.get(key, 0.0) > now:
                     continue
-                if target.outside:
-                    self.turn += 1
-                self.due[key] = now + max(self.cadence, target.seconds)
-                await self.room.get()
+                if target.cross_zone:
+                    self.cross_zone_turn += 1
+                self.next_probe_at[key] = now + max(
+                    self.interval_seconds, target.min_interval_seconds
+                )
+                await self.free_slots.get()
                 self.tasks = [running for running in self.tasks if not running.done]
                 self.tasks.append(
                     self.scheduler.create_task(self.probe(target), name=f"probe of {target.edge}")
                 )
-            await self.scheduler.sleep(min(1.0, self.cadence / 10))
+            await self.scheduler.sleep(min(1.0, self.interval_seconds / 10))
 
-    def phase_of(self, target: Target) -> float:
+    def phase_of(self, target: ProbeTarget) -> float:
         """Seconds until a target is probed first: at once, or spread over a longer cadence.
 
         Targets that are probed seldom, for the sake of their service, must not all come at once.
         """
-        extra = max(0.0, target.seconds - self.cadence)
+        extra = max(0.0, target.min_interval_seconds - self.interval_seconds)
         spread = zlib.crc32(f"{self.name} {target.edge} {target.watch_name}".encode()) / 2**32
         return extra * spread
 
-    async def probe(self, target: Target) -> None:
+    async def probe(self, target: ProbeTarget) -> None:
         """Probe one target and keep the row, unless the service was only overloaded."""
         self.sequence += 1
         row = ProbeResult(
@@ -189,38 +191,41 @@
             target.zone,
             target.edge,
             target.watch_name,
-            target.outside,
+            target.cross_zone,
             self.scheduler.clock.wall(),
-            target.mark,
+            target.watch_fingerprint,
         )
-        dater = self.daters.setdefault(target.key, Dater())
+        dater = self.tag_timers.setdefault(target.key, OutdatedTagTimer())
         probe = Probe(
             self.scheduler,
             self.network,
             target.address,
             target.watch,
-            self.timeout,
-            self.says,
-            self.dialect,
+            self.timeout_seconds,
+            self.credentials,
+            self.profile,
         )
         try:
             await probe.run(row, dater)
         finally:
-            self.room.put(True)
+            self.free_slots.put(True)
         if row.error == CROWDED:
             return
-        self.rows.append(row)
-        while self.rows and self.scheduler.now() - self.rows[0].taken > self.span:
-            self.rows.popleft()
-
-    def results_since(self, sequence: int, most: int = 200) -> list[ProbeResult]:
+        self.results.append(row)
+        while (
+            self.results
+            and self.scheduler.now() - self.results[0].started_at > self.retention_seconds
+        ):
+            self.results.popleft()
+
+    def results_since(self, sequence: int, max_results: int = 200) -> list[ProbeResult]:
         """Rows that an aggregator which has up to a sequence lacks, oldest first.
 
         Rows are stored when a probe ends, so sequences may stand out of order; a row counts
         as had when the aggregator named it or a later stored one.
         """
-        rows = list(self.rows)
+        rows = list(self.results)
         for position in range(len(rows) - 1, -1, -1):
             if rows[position].sequence == sequence:
-                return rows[position + 1 : position + 1 + most]
-        return rows[:most]
+                return rows[position + 1 : position + 1 + max_results]
+        return rows[:max_results]
--- a/packages/health/ryelock/health/weights.py
+++ b/packages/health/ryelock/health/weights.py
@@ -10,7 +10,7 @@
 from ryelock.membership import Session
 
 
-class Counter:
+class EdgeCounter:
     """Requests served by one run of one edge, sampled over the span."""
 
     __slots__ = ("incarnation", "samples", "total", "zone")
@@ -23,15 +23,15 @@
         self.samples: deque[tuple[float, int]] = deque()
 
 
-class Weights:
+class ZoneWeights:
     """Counts of served requests by edge, from which each zone's fraction follows."""
 
-    __slots__ = ("counters", "span")
+    __slots__ = ("counters", "window_seconds")
 
-    def __init__(self, span: float) -> None:
+    def __init__(self, window_seconds: float) -> None:
         """Create counters over a sliding span of so many seconds."""
-        self.span = span
-        self.counters: dict[tuple[str, str], Counter] = {}
+        self.window_seconds = window_seconds
+        self.counters: dict[tuple[str, str], EdgeCounter] = {}
 
     def sample(self, sessions: list[Session], now: float) -> None:
         """Take the counts that edges' sessions tell now, and drop edges that left."""
@@ -41,16 +41,16 @@
             key = (session.name, session.incarnation)
             counter = self.counters.get(key)
             if counter is None:
-                counter = self.counters[key] = Counter(session.zone, session.incarnation)
+                counter = self.counters[key] = EdgeCounter(session.zone, session.incarnation)
                 counter.samples.append((now, session.served))
             elif session.served != counter.total:
                 counter.samples.append((now, session.served))
             counter.total = session.served
         for key, counter in list(self.counters.items()):
-            while len(counter.samples) > 1 and counter.samples[1][0] <= now - self.span:
+            while len(counter.samples) > 1 and counter.samples[1][0] <= now - self.window_seconds:
                 counter.samples.popleft()
-            if counter.samples[-1][0] < now - self.span:
-                counter.samples = deque([(now - self.span, counter.total)])
+            if counter.samples[-1][0] < now - self.window_seconds:
+                counter.samples = deque([(now - self.window_seconds, counter.total)])
                 if not any(
                     session.name == key[0] and session.incarnation == key[1] for session in sessions
                 ):
--- a/packages/journal/ryelock/journal/__init__.py
+++ b/packages/journal/ryelock/journal/__init__.py
@@ -20,7 +20,7 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.events import JOURNAL_FULL, JOURNAL_TORN, Log
+from ryelock.events import JOURNAL_FULL, JOURNAL_TAIL_TRUNCATED, Log
 from ryelock.journal.folder import PARTIAL_SUFFIX, Folder, FolderError, MachineFolder
 from ryelock.journal.frames import pack_batch, read_frames, sound_behind
 
@@ -195,7 +195,7 @@
                 if number != segments[-1] or sound_behind(data, end):
                     return Error(JournalError(f"{name} is damaged at byte {end}", True))
                 folder.truncate(name, end)
-                log.write(JOURNAL_TORN, segment=name, at=end, lost=len(data) - end)
+                log.write(JOURNAL_TAIL_TRUNCATED, segment=name, at=end, lost=len(data) - end)
             # A process that was killed may have written this without syncing it.
             folder.sync(name)
             journal.records += found
--- a/packages/membership/ryelock/membership/servers.py
+++ b/packages/membership/ryelock/membership/servers.py
@@ -12,7 +12,7 @@
 import cbor2
 from expression import Error, Ok, Result
 
-from ryelock.settings import address as check_address
+from ryelock.settings import parse_address
 
 SERVERS_MOST = 10_000
 NEVER = -1e18
@@ -130,7 +130,7 @@
         raise ValueError("leaving")
     service, address, zone = (str(value) for value in texts)
     try:
-        check_address(address)
+        parse_address(address)
     except ValueError as error:
         raise ValueError(f"address {error}") from None
     return Server(service, address, zone, str(incarnation), leaving)
--- a/packages/metrics/ryelock/metrics/__init__.py
+++ b/packages/metrics/ryelock/metrics/__init__.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import TYPE_CHECKING
 
-from ryelock.events import FIGURES, Log
+from ryelock.events import METRICS_LOGGED, Log
 from ryelock.http import HttpExchange, HttpServer, Limits
 from ryelock.runtime import Network, Scheduler
 
@@ -24,12 +24,12 @@
 class Counter:
     """A sum that only grows, one for each combination of its labels' values."""
 
-    __slots__ = ("labels", "name", "note", "values")
+    __slots__ = ("help", "labels", "name", "values")
 
-    def __init__(self, name: str, note: str, labels: Labels) -> None:
+    def __init__(self, name: str, help: str, labels: Labels) -> None:
         """Create a counter at zero; `labels` are the labels' names, `note` its line of help."""
         self.name = name
-        self.note = note
+        self.help = help
         self.labels = labels
         self.values: defaultdict[Labels, float] = defaultdict(float)
 
@@ -41,12 +41,12 @@
 class Gauge:
     """A figure that is read when it is asked for, by its labels' values."""
 
-    __slots__ = ("labels", "name", "note", "read")
+    __slots__ = ("help", "labels", "name", "read")
 
-    def __init__(self, name: str, note: str, labels: Labels, read: Read) -> None:
+    def __init__(self, name: str, help: str, labels: Labels, read: Read) -> None:
         """Create a gauge; see Counter."""
         self.name = name
-        self.note = note
+        self.help = help
         self.labels = labels
         self.read = read
 
@@ -61,32 +61,32 @@
         self.counters: list[Counter] = []
         self.gauges: list[Gauge] = []
 
-    def counter(self, name: str, note: str, *labels: str) -> Counter:
+    def counter(self, name: str, help: str, *labels: str) -> Counter:
         """Add a counter; its name is shown with `ryelock_` before and `_total` behind."""
-        counter = Counter(f"ryelock_{name}", note, labels)
+        counter = Counter(f"ryelock_{name}", help, labels)
         self.counters.append(counter)
         return counter
 
-    def gauge(self, name: str, note: str, read: Read, *labels: str) -> None:
+    def gauge(self, name: str, help: str, read: Read, *labels: str) -> None:
         """Add a gauge; its name is shown with `ryelock_` before."""
-        self.gauges.append(Gauge(f"ryelock_{name}", note, labels, read))
+        self.gauges.append(Gauge(f"ryelock_{name}", help, labels, read))
 
     def collect(self) -> "Iterator[Metric]":
         """Yield the figures as they are now; prometheus_client calls this."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         for counter in self.counters:
-            sums = CounterMetricFamily(counter.name, counter.note, labels=counter.labels)
+            sums = CounterMetricFamily(counter.name, counter.help, labels=counter.labels)
             for values, amount in sorted(counter.values.items()):
                 sums.add_metric(values, amount)
             yield sums
         for gauge in self.gauges:
-            figures = GaugeMetricFamily(gauge.name, gauge.note, labels=gauge.labels)
+            figures = GaugeMetricFamily(gauge.name, gauge.help, labels=gauge.labels)
             for values, amount in sorted(gauge.read().items()):
                 figures.add_metric(values, amount)
             yield figures
 
-    def plain(self) -> dict[str, float]:
+    def to_dict(self) -> dict[str, float]:
         """Return all figures by name and label values, as one line of the log has them."""
         found: dict[str, float] = {}
         for counter in self.counters:
@@ -125,18 +125,27 @@
         await exchange.respond(200, fields, self.metrics.exposition())
 
 
-async def log_figures(scheduler: Scheduler, log: Log, metrics: Metrics, seconds: float) -> None:
+async def log_metrics(
+    scheduler: Scheduler, log: Log, metrics: Metrics, interval_seconds: float
+) -> None:
     """Write all figures to the log again and again, once in so many seconds."""
     while True:
-        await scheduler.sleep(seconds)
-        log.write(FIGURES, figures=metrics.plain())
+        await scheduler.sleep(interval_seconds)
+        log.write(METRICS_LOGGED, figures=metrics.to_dict())
 
 
-def show_metrics(
-    scheduler: Scheduler, network: Network, log: Log, metrics: Metrics, address: str, seconds: float
+def export_metrics(
+    scheduler: Scheduler,
+    network: Network,
+    log: Log,
+    metrics: Metrics,
+    address: str,
+    log_interval_seconds: float,
 ) -> None:
     """Serve figures at an address unless that is empty, log them unless `seconds` is 0."""
     if address:
         MetricsServer(scheduler, network, log, address, metrics)
-    if seconds:
-        scheduler.create_task(log_figures(scheduler, log, metrics, seconds), name="figures")
+    if log_interval_seconds:
+        scheduler.create_task(
+            log_metrics(scheduler, log, metrics, log_interval_seconds), name="figures"
+        )
--- a/packages/rpc/ryelock/rpc/__init__.py
+++ b/packages/rpc/ryelock/rpc/__init__.py
@@ -12,11 +12,11 @@
 import cbor2
 from expression import Error, Ok, Result
 
-from ryelock.events import FRAME_DECLINED, Log
+from ryelock.events import FRAME_REJECTED, Log
 from ryelock.runtime import Connection, Network, Queue, Scheduler, Task
 
 PROTOCOL = "ryelock"
-VERSION = 1
+PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 67_108_864
 CONNECT_TIMEOUT_SECONDS = 0.6
 
@@ -78,8 +78,8 @@
     """What is wrong with a first frame; empty when nothing is."""
     if message.get("protocol") != PROTOCOL:
         return "another protocol"
-    if message.get("version") != VERSION:
-        return f"version {message.get('version')!r}, not {VERSION}"
+    if message.get("version") != PROTOCOL_VERSION:
+        return f"version {message.get('version')!r}, not {PROTOCOL_VERSION}"
     return ""
 
 
@@ -105,7 +105,7 @@
         return found[1:]
 
 
-HANDSHAKE = encode_frame({"protocol": PROTOCOL, "version": VERSION})
+HANDSHAKE = encode_frame({"protocol": PROTOCOL, "version": PROTOCOL_VERSION})
 Reply = Callable[[Message], None]
 MessageHandler = Callable[[Message, Reply], None]
 
@@ -159,7 +159,7 @@
                         raise FrameError("an ask without a number")
                     self.handler(message, self.reply_to(connection, number))
         except FrameError as error:
-            self.log.write(FRAME_DECLINED, peer=connection.peer, fault=str(error))
+            self.log.write(FRAME_REJECTED, peer=connection.peer, fault=str(error))
         finally:
             self.connections.pop(connection, None)
             connection.close()
@@ -251,7 +251,7 @@
                     if response_queue is not None:
                         response_queue.put(message)
         except FrameError as error:
-            self.log.write(FRAME_DECLINED, peer=connection.peer, fault=str(error))
+            self.log.write(FRAME_REJECTED, peer=connection.peer, fault=str(error))
         finally:
             connection.close()
             if self.connection is connection:
--- a/packages/runtime/ryelock/runtime/egress.py
+++ b/packages/runtime/ryelock/runtime/egress.py
@@ -14,16 +14,16 @@
 """Part of the link's rate that is used; the rest is for headers and acknowledgements."""
 TURN_SECONDS = 0.008
 """A connection's turn is what the link carries in this time, in seconds."""
-TURN_BYTES_LEAST = 2_800
+MIN_TURN_BYTES = 2_800
 """A turn is at least two full packets."""
-DEBT_SECONDS_MOST = 0.2
+MAX_DEBT_SECONDS = 0.2
 """What is sent at once may use up so much of the bulk connections' time ahead, in seconds."""
 
 
 class BulkSender(Protocol):
     """A connection whose bytes are paced."""
 
-    def send_some(self, most: int) -> int:
+    def send_some(self, max_bytes: int) -> int:
         """Send at most so many of the queued bytes; returns how many the socket took."""
         ...
 
@@ -36,57 +36,65 @@
 class EgressPacer:
     """Token bucket in bytes, from which bulk connections take turns."""
 
-    __slots__ = ("bytes_per_second", "filled_at", "news", "scheduler", "tokens", "turn", "waiting")
+    __slots__ = (
+        "bytes_per_second",
+        "refilled_at",
+        "scheduler",
+        "tokens",
+        "turn_bytes",
+        "waiting_senders",
+        "wakeups",
+    )
 
     def __init__(self, scheduler: Scheduler, link_bytes_per_second: float) -> None:
         """Create a pacer with a full bucket and start its task."""
         self.scheduler = scheduler
         self.bytes_per_second = link_bytes_per_second * USED_LINK_FRACTION
-        self.turn = max(TURN_BYTES_LEAST, int(self.bytes_per_second * TURN_SECONDS))
-        self.tokens = float(self.turn)
-        self.filled_at = scheduler.now()
-        self.waiting: dict[BulkSender, None] = {}
-        self.news: Queue[bool] = Queue(scheduler)
-        scheduler.create_task(self.work(), name="egress", urgent=True)
-
-    def fill(self) -> None:
+        self.turn_bytes = max(MIN_TURN_BYTES, int(self.bytes_per_second * TURN_SECONDS))
+        self.tokens = float(self.turn_bytes)
+        self.refilled_at = scheduler.now()
+        self.waiting_senders: dict[BulkSender, None] = {}
+        self.wakeups: Queue[bool] = Queue(scheduler)
+        scheduler.create_task(self.run(), name="egress", urgent=True)
+
+    def refill(self) -> None:
         """Add the bytes that the link carried since the last look."""
         now = self.scheduler.now()
-        earned = (now - self.filled_at) * self.bytes_per_second
-        self.tokens = min(float(self.turn), self.tokens + earned)
-        self.filled_at = now
+        earned = (now - self.refilled_at) * self.bytes_per_second
+        self.tokens = min(float(self.turn_bytes), self.tokens + earned)
+        self.refilled_at = now
 
-    def count(self, sent: int) -> None:
+    def count_unpaced(self, sent: int) -> None:
         """Count bytes that were sent without waiting for a turn."""
-        self.fill()
-        debt_most = self.bytes_per_second * DEBT_SECONDS_MOST
+        self.refill()
+        debt_most = self.bytes_per_second * MAX_DEBT_SECONDS
         self.tokens = max(-debt_most, self.tokens - sent)
 
     def submit(self, sender: BulkSender) -> None:
         """Let a connection with queued bytes send, now or when its turn comes."""
-        if sender in self.waiting:
+        if sender in self.waiting_senders:
             return
-        self.waiting[sender] = None
+        self.waiting_senders[sender] = None
         self.send_turns()
-        if self.waiting and not len(self.news):
-            self.news.put(True)
+        if self.waiting_senders and not len(self.wakeups):
+            self.wakeups.put(True)
 
     def send_turns(self) -> None:
         """Give turns to the waiting connections while there are tokens."""
-        self.fill()
-        while self.waiting and self.tokens > 0:
-            sender = next(iter(self.waiting))
-            del self.waiting[sender]
-            self.tokens -= sender.send_some(self.turn)
+        self.refill()
+        while self.waiting_senders and self.tokens > 0:
+            sender = next(iter(self.waiting_senders))
+            del self.waiting_senders[sender]
+            self.tokens -= sender.send_some(self.turn_bytes)
             if sender.has_more:
-                self.waiting[sender] = None
+                self.waiting_senders[sender] = None
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """Give turns as tokens come, for the life of the process."""
         while True:
-            if not self.waiting:
-                await self.news.get()
+            if not self.waiting_senders:
+                await self.wakeups.get()
                 continue
             self.send_turns()
-            if self.waiting:
+            if self.waiting_senders:
                 await self.scheduler.sleep(max(0.001, -self.tokens / self.bytes_per_second))
--- a/packages/runtime/ryelock/runtime/reactor.py
+++ b/packages/runtime/ryelock/runtime/reactor.py
@@ -81,21 +81,21 @@
             self.want_write(False)
             pacer.submit(self)
         else:
-            pacer.count(self.send_some(self.unsent_bytes))
+            pacer.count_unpaced(self.send_some(self.unsent_bytes))
 
     @property
     def has_more(self) -> bool:
         """Whether bytes are queued that the socket would take now; see BulkSender."""
         return bool(self.unsent_chunks) and not self.writing and not self.closed
 
-    def send_some(self, most: int) -> int:
+    def send_some(self, max_bytes: int) -> int:
         """Send at most so many queued bytes; returns how many the socket took."""
         if self.closed:
             return 0
         sent = 0
         full = False
-        while self.unsent_chunks and sent < most and not full:
-            piece = self.unsent_chunks[0][: most - sent]
+        while self.unsent_chunks and sent < max_bytes and not full:
+            piece = self.unsent_chunks[0][: max_bytes - sent]
             try:
                 count = self.socket.send(piece)
             except OSError as error:
--- a/packages/settings/ryelock/settings/__init__.py
+++ b/packages/settings/ryelock/settings/__init__.py
@@ -105,7 +105,7 @@
     return value
 
 
-def address(value: object) -> str:
+def parse_address(value: object) -> str:
     """Check an IPv4 address with a port, like 10.0.0.1:8000."""
     if not isinstance(value, str):
         raise ValueError("not an address of the form 10.0.0.1:8000")
@@ -123,7 +123,7 @@
 
 def optional_address(value: object) -> str:
     """Check an address that may be empty."""
-    return "" if value == "" else address(value)
+    return "" if value == "" else parse_address(value)
 
 
 def seed_addresses(value: object) -> tuple[str, ...]:
@@ -132,7 +132,7 @@
         value = [part.strip() for part in value.split(",") if part.strip()]
     if not isinstance(value, list | tuple) or not 1 <= len(value) <= 3:
         raise ValueError("not one to three addresses")
-    found = tuple(address(part) for part in value)
+    found = tuple(parse_address(part) for part in value)
     if len(set(found)) != len(found):
         raise ValueError("the addresses are not different")
     return found
@@ -175,8 +175,10 @@
         "wire addresses of the seeds, divided by commas: three, or all "
         "control nodes where there are fewer",
     )
-    wire_address = Setting("", address, "where this process takes links from other processes")
-    control_address = Setting("", address, "where operators and the platform reach this process")
+    wire_address = Setting("", parse_address, "where this process takes links from other processes")
+    control_address = Setting(
+        "", parse_address, "where operators and the platform reach this process"
+    )
     order_address = Setting("", optional_address, "where an edge takes orders from callers")
     metrics_address = Setting(
         "", optional_address, "where the figures of this process are read; empty: nowhere"
--- a/packages/testing/ryelock/testing/catchup_measure.py
+++ b/packages/testing/ryelock/testing/catchup_measure.py
@@ -20,7 +20,7 @@
 from ryelock.consensus.entries import COMMAND
 from ryelock.consensus.types import Peer
 from ryelock.control_plane.renewals import LeaseRenewals
-from ryelock.events import QuietLog
+from ryelock.events import RecordingLog
 from ryelock.journal import Journal, MachineFolder, open_journal
 from ryelock.replicated_state import ReplicatedState, encode_command
 from ryelock.rpc import RpcClients, encode_frame
@@ -58,7 +58,7 @@
 
 def make_consensus(disk: str, folder: str, reactor: Reactor) -> Consensus:
     """A consensus group that is never started: messages are carried by hand."""
-    log = QuietLog(disk)
+    log = RecordingLog(disk)
     journal = open_journal(MachineFolder(folder), log, SEGMENT_BYTES)
     if journal.is_error():
         raise journal.error
--- a/packages/testing/ryelock/testing/fleet.py
+++ b/packages/testing/ryelock/testing/fleet.py
@@ -14,7 +14,7 @@
 import time
 from pathlib import Path
 
-from ryelock.control_client import ask
+from ryelock.control_client import call_control_api
 from ryelock.runtime import Network, Scheduler
 from ryelock.testing.shapes import Machine, Shape
 
@@ -179,7 +179,7 @@
     while scheduler.now() < until:
         if process.over:
             return False
-        found = await ask(scheduler, network, process.control, "GET", "/fitness/ready")
+        found = await call_control_api(scheduler, network, process.control, "GET", "/fitness/ready")
         if found.is_ok() and found.ok.status == 200:
             return True
         await scheduler.sleep(0.1)
--- a/packages/testing/ryelock/testing/fleet_run.py
+++ b/packages/testing/ryelock/testing/fleet_run.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from random import Random
 
-from ryelock.control_client import Reply, ask
-from ryelock.events import QuietLog
+from ryelock.control_client import ControlResponse, call_control_api
+from ryelock.events import RecordingLog
 from ryelock.runtime import Scheduler
 from ryelock.runtime.reactor import Reactor
 from ryelock.testing.callers import Caller, Told
@@ -55,7 +55,7 @@
         self.reactor = reactor
         self.scheduler: Scheduler = reactor.scheduler
         self.random = Random(seed)
-        self.log = QuietLog("runner")
+        self.log = RecordingLog("runner")
         self.history: list[Ran] = []
         self.notes: list[Told] = []
         self.objects: dict[str, Objects] = {}
@@ -95,12 +95,14 @@
         ]
         return self.random.choice(able).control
 
-    async def operator(self, method: str, target: str, given: object = None) -> Reply:
+    async def operator(self, method: str, target: str, given: object = None) -> ControlResponse:
         """Send an operator's request to any control address; status 0 where none answered."""
-        found = await ask(self.scheduler, self.reactor, self.control(), method, target, given)
-        return found.ok if found.is_ok() else Reply(0, {"fault": str(found.error)})
+        found = await call_control_api(
+            self.scheduler, self.reactor, self.control(), method, target, given
+        )
+        return found.ok if found.is_ok() else ControlResponse(0, {"fault": str(found.error)})
 
-    async def change(self, identity: str, base: int, **parts: object) -> Reply:
+    async def change(self, identity: str, base: int, **parts: object) -> ControlResponse:
         """Send a configuration change on top of version `base`."""
         return await self.operator("POST", "/changes", {"id": identity, "base": base, **parts})
 
@@ -163,7 +165,7 @@
         while not self.stopped:
             fine = False
             if not process.over and process.name not in self.frozen:
-                found = await ask(
+                found = await call_control_api(
                     self.scheduler, self.reactor, process.control, "GET", "/fitness/ready"
                 )
                 fine = found.is_ok() and found.ok.status == 200
@@ -204,10 +206,10 @@
         for process in self.fleet.of_role("core"):
             if process.over or process.name in self.frozen:
                 continue
-            found = await ask(
+            found = await call_control_api(
                 self.scheduler, self.reactor, process.control, "GET", "/fitness/ready"
             )
-            if found.is_ok() and found.ok.plain.get("leads") is True:
+            if found.is_ok() and found.ok.body.get("leads") is True:
                 return process
         return None
 
--- a/packages/testing/ryelock/testing/hollow_node.py
+++ b/packages/testing/ryelock/testing/hollow_node.py
@@ -13,9 +13,9 @@
 from expression import Result
 
 from ryelock.edge.member import EdgeSession
-from ryelock.events import TERM_LAPSED, Event, QuietLog
+from ryelock.events import LEASE_EXPIRED, Event, RecordingLog
 from ryelock.health import ProbeResult
-from ryelock.health.probe import watch_mark
+from ryelock.health.probe import watch_fingerprint
 from ryelock.membership import ServerList, Session
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message, RpcClients, RpcError
@@ -51,7 +51,7 @@
         self.rows = 0
 
 
-class CountedLog(QuietLog):
+class CountedLog(RecordingLog):
     """Counts lapsed terms and keeps nothing."""
 
     __slots__ = ("counts",)
@@ -63,7 +63,7 @@
 
     def write(self, event: Event, **fields: object) -> None:
         """Count the event where it is a lapsed lease."""
-        self.counts.lapsed += event is TERM_LAPSED
+        self.counts.lapsed += event is LEASE_EXPIRED
 
 
 class CountedRpcClients(RpcClients):
@@ -72,7 +72,7 @@
     __slots__ = ("counts",)
 
     def __init__(
-        self, scheduler: Scheduler, network: Network, log: QuietLog, counts: Counts
+        self, scheduler: Scheduler, network: Network, log: RecordingLog, counts: Counts
     ) -> None:
         """Create clients that count into `counts`."""
         super().__init__(scheduler, network, log)
@@ -242,7 +242,7 @@
         if known != self.known:
             self.known = known
             self.targets = [
-                (name, watch_name, watch_mark(watch))
+                (name, watch_name, watch_fingerprint(watch))
                 for name, other in sorted(self.member.members.items())
                 for watch_name, watch in self.replicated_state.configuration.watches.items()
                 if other.role == "edge"
@@ -269,7 +269,7 @@
                 time.time(),
                 mark,
             )
-            row.taken, row.age, row.ttfb = self.scheduler.now(), 1.0, 12.0
+            row.started_at, row.age_seconds, row.ttfb_ms = self.scheduler.now(), 1.0, 12.0
             row.reachable = row.manifest_valid = row.object_fetchable = True
             self.rows.append(row)
 
@@ -287,7 +287,7 @@
                 "kind": "rows",
                 "epoch": duty.fencing_token,
                 "holder": duty.owner,
-                "rows": [row.plain(now) for row in rows],
+                "rows": [row.to_wire(now) for row in rows],
             },
             2.0,
         )
--- a/packages/testing/ryelock/testing/pieces.py
+++ b/packages/testing/ryelock/testing/pieces.py
@@ -16,7 +16,7 @@
 from ryelock.cache.store import CacheStore, Variants
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
-from ryelock.events import QuietLog
+from ryelock.events import RecordingLog
 from ryelock.journal import MachineFolder
 from ryelock.membership import Membership, Server, Session, session_of
 from ryelock.rate_limit.quota_allocator import Given
@@ -63,7 +63,7 @@
 
 def control_node(folder: str) -> ControlNode:
     """Return a control node on a data folder, not started."""
-    log = QuietLog("pieces")
+    log = RecordingLog("pieces")
 
     def fault(task: str, error: BaseException) -> None:
         raise error
--- a/packages/testing/ryelock/testing/scale/judging.py
+++ b/packages/testing/ryelock/testing/scale/judging.py
@@ -8,7 +8,7 @@
 
 import cbor2
 
-from ryelock.health import History, ProbeResult, Rules, evaluate, watch_mark
+from ryelock.health import EvaluationRules, History, ProbeResult, evaluate, watch_fingerprint
 from ryelock.replicated_state import Watch
 from ryelock.testing.scale.sizes import Figures, zone_name
 
@@ -23,15 +23,15 @@
     now = time.monotonic()
     by_zone = edges_by_zone(nodes, zones)
     history = History(SPAN_SECONDS)
-    filled = fill(history, by_zone, watch_mark(watch), now, rows)
+    filled = fill(history, by_zone, watch_fingerprint(watch), now, rows)
     weights = dict.fromkeys(by_zone, 1.0 / len(by_zone))
     started = time.process_time()
-    history.forget_old(now)
-    judged = evaluate(by_zone, {WATCHED: watch}, weights, False, history, Rules(), now)
+    history.expire(now)
+    judged = evaluate(by_zone, {WATCHED: watch}, weights, False, history, EvaluationRules(), now)
     return {
         "judging s": time.process_time() - started,
         **filled,
-        "judging: verdict KB": len(cbor2.dumps(judged.plain())) / 1e3,
+        "judging: verdict KB": len(cbor2.dumps(judged.to_dict())) / 1e3,
     }
 
 
@@ -75,6 +75,6 @@
 ) -> ProbeResult:
     """Return the row of a probe in which every step succeeded, at monotonic time `taken`."""
     row = ProbeResult(prober, prober, sequence, zone, edge, WATCHED, False, time.time(), mark)
-    row.taken, row.age, row.ttfb = taken, 1.0, 12.0
+    row.started_at, row.age_seconds, row.ttfb_ms = taken, 1.0, 12.0
     row.reachable = row.manifest_valid = row.object_fetchable = True
     return row
--- a/packages/testing/ryelock/testing/scale/run.py
+++ b/packages/testing/ryelock/testing/scale/run.py
@@ -2,8 +2,8 @@
 
 from pathlib import Path
 
-from ryelock.control_client import Reply, ask
-from ryelock.events import QuietLog
+from ryelock.control_client import ControlResponse, call_control_api
+from ryelock.events import RecordingLog
 from ryelock.rpc import Message, RpcClients
 from ryelock.runtime import Scheduler
 from ryelock.runtime.reactor import Reactor
@@ -64,7 +64,7 @@
         self.size = size
         self.reactor = reactor
         self.scheduler: Scheduler = reactor.scheduler
-        log = QuietLog("runner")
+        log = RecordingLog("runner")
         self.lines = RpcClients(self.scheduler, reactor, log)
         self.platform = PlatformStandIn(self.scheduler, reactor, log, "127.0.9.1:0")
         list_servers(self.platform, size)
@@ -127,10 +127,12 @@
         """Ask a control node whether it leads."""
         if core.over:
             return False
-        found = await ask(self.scheduler, self.reactor, core.control, "GET", "/fitness/ready")
-        return found.is_ok() and found.ok.plain.get("leads") is True
+        found = await call_control_api(
+            self.scheduler, self.reactor, core.control, "GET", "/fitness/ready"
+        )
+        return found.is_ok() and found.ok.body.get("leads") is True
 
-    async def post(self, target: str, given: object) -> Reply:
+    async def post(self, target: str, given: object) -> ControlResponse:
         """Send an operator's request to the leader; return what it answered.
 
         Where it was not taken or its outcome is unknown it is sent again under its id.
@@ -138,7 +140,9 @@
         until = self.scheduler.now() + REACH_SECONDS
         while True:
             address = self.fleet.processes[self.leader].control
-            found = await ask(self.scheduler, self.reactor, address, "POST", target, given)
+            found = await call_control_api(
+                self.scheduler, self.reactor, address, "POST", target, given
+            )
             answer = found.ok if found.is_ok() else fault_of(found.error)
             if answer.status not in RETRIED or self.scheduler.now() >= until:
                 return answer
@@ -179,6 +183,6 @@
         platform.show(service_name(number), address, zone_name(number, size.zones), 1)
 
 
-def fault_of(error: Exception) -> Reply:
+def fault_of(error: Exception) -> ControlResponse:
     """Return a failed request as an answer of status 0."""
-    return Reply(0, {"fault": str(error)})
+    return ControlResponse(0, {"fault": str(error)})
--- a/packages/testing/ryelock/testing/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from random import Random
 
-from ryelock.control_client import ask
+from ryelock.control_client import call_control_api
 from ryelock.health import ProbeResult
 from ryelock.http import fetch
 from ryelock.testing.callers import Caller, Told
@@ -218,7 +218,7 @@
         if role == "prober" and node.alive:
             prober = node.traffic.prober
             assert prober is not None
-            self.row_stores.append((node, prober.rows))
+            self.row_stores.append((node, prober.results))
 
     def start_all(self) -> None:
         """Start all planned processes."""
@@ -253,7 +253,7 @@
         """Send an operator's request, through any process unless one is named."""
         names = self.alive(self.cores + self.edges)
         name = through or self.random.choice(names)
-        found = await ask(
+        found = await call_control_api(
             self.operators.scheduler,
             self.operators.network,
             f"{self.node(name).host}:2",
@@ -526,7 +526,7 @@
         """Return all probes that the probers have kept."""
         return [
             Probed(
-                row.taken - node.clock.zero,
+                row.started_at - node.clock.zero,
                 row.edge,
                 row.watch,
                 row.machine,
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -9,7 +9,7 @@
 
 from enum import Enum
 
-from ryelock.control_client import ask
+from ryelock.control_client import call_control_api
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.process import TrafficNode
 from ryelock.http import (
@@ -408,7 +408,7 @@
         given = {"id": "setup", "base": 0, "put": CONFIGURATION}
         found = world.task(
             self.outside,
-            ask(
+            call_control_api(
                 self.outside.scheduler,
                 self.outside.network,
                 "10.1.0.1:2",
--- a/packages/testing/ryelock/testing/simulated.py
+++ b/packages/testing/ryelock/testing/simulated.py
@@ -15,7 +15,7 @@
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
 from ryelock.edge.process import TrafficNode
-from ryelock.events import QuietLog
+from ryelock.events import RecordingLog
 from ryelock.journal import FolderError
 from ryelock.runtime import (
     Connection,
@@ -257,7 +257,7 @@
         self.alive = False
         self.power = True
         self.connections: list[SimConnection] = []
-        self.log = QuietLog(name)
+        self.log = RecordingLog(name)
         self.inner: ControlNode | TrafficNode | None = None
         self.network = SimNetwork(self)
         self.scheduler = Scheduler(self.clock, self.fault)
@@ -566,6 +566,6 @@
     def digest(self) -> str:
         """Return a digest of all that happened."""
         for name, node in self.nodes.items():
-            for number, fields in node.log.kept:
+            for number, fields in node.log.records:
                 self.trace.update(f"{name} {number} {sorted(fields)}\n".encode())
         return self.trace.hexdigest()
--- a/tests/consensus/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -7,7 +7,7 @@
 import testtools
 
 from ryelock.consensus import Consensus
-from ryelock.events import SERVER_ASIDE
+from ryelock.events import SERVER_EJECTED
 from ryelock.testing.scenario import Scenario
 
 Plain = dict[str, Any]
@@ -170,8 +170,8 @@
             )
 
         self.assertIn(
-            SERVER_ASIDE.number,
-            [number for name in scenario.edges for number, _ in scenario.node(name).log.kept],
+            SERVER_EJECTED.number,
+            [number for name in scenario.edges for number, _ in scenario.node(name).log.records],
         )
         self.assertLess(lately(server.address) * 3, lately(peer.address))
         server.manner = "whole"
--- a/tests/consensus/test_replicated_log.py
+++ b/tests/consensus/test_replicated_log.py
@@ -4,7 +4,7 @@
 
 from ryelock.consensus.entries import COMMAND, VOTERS, Entry, Snapshot
 from ryelock.consensus.log import ReplicatedLog
-from ryelock.events import QuietLog
+from ryelock.events import RecordingLog
 from ryelock.journal import FolderError, Journal, open_journal
 from ryelock.testing.simulated import SimFolder
 
@@ -33,7 +33,7 @@
         self.log = self.reopened()
 
     def journal(self) -> Journal:
-        found = open_journal(self.folder, QuietLog("test"), 4096)
+        found = open_journal(self.folder, RecordingLog("test"), 4096)
         assert found.is_ok()
         return found.ok
 
--- a/tests/consensus/test_status.py
+++ b/tests/consensus/test_status.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from ryelock.events import FOLLOWS_AGAIN, ISOLATED, LEAVING, VOTER_LOST
+from ryelock.events import LEADER_FOUND, LEADER_LOST, VOTER_LEAVING, VOTER_LOST
 from ryelock.testing.loss_cases import LOSS_SETTINGS
 from ryelock.testing.scenario import Scenario
 
@@ -17,7 +17,7 @@
 
 
 def told(scenario: Scenario, name: str, number: int) -> int:
-    return sum(event == number for event, _ in scenario.node(name).log.kept)
+    return sum(event == number for event, _ in scenario.node(name).log.records)
 
 
 class StatusTests(testtools.TestCase):
@@ -44,11 +44,11 @@
         state = self.fitness(scenario, name)
         self.assertEqual("isolated", state["state"])
         self.assertTrue(4 < state["leader_heard_seconds"] < 6, state)
-        self.assertEqual(1, told(scenario, name, ISOLATED.number))
+        self.assertEqual(1, told(scenario, name, LEADER_LOST.number))
         scenario.world.heal()
         scenario.world.run(2)
         self.assertEqual("follower", self.fitness(scenario, name)["state"])
-        self.assertEqual(1, told(scenario, name, FOLLOWS_AGAIN.number))
+        self.assertEqual(1, told(scenario, name, LEADER_FOUND.number))
 
     def test_nobody_is_isolated_in_a_calm_start(self) -> None:
         scenario = standing(4)
@@ -88,4 +88,4 @@
         scenario.world.run(0.3)
         self.assertEqual("leaving", self.fitness(scenario, name)["state"])
         self.assertEqual("leaving", self.replicas(scenario)[name]["state"])
-        self.assertEqual(1, told(scenario, name, LEAVING.number))
+        self.assertEqual(1, told(scenario, name, VOTER_LEAVING.number))
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -21,7 +21,7 @@
 from operators import Operators
 from ryelock import control_api
 from ryelock.edge.process import TrafficNode
-from ryelock.explain import in_words
+from ryelock.explain import format_explanation
 from ryelock.testing.platform_clients import CACHEABLE
 from ryelock.testing.simulated import SimNode, World
 from ryelock.testing.standins import Objects, PlatformStandIn, ServerStandIn
@@ -41,7 +41,7 @@
 
 def explained(account: Message) -> list[str]:
     """Return an account of a request in words."""
-    return in_words(account)
+    return format_explanation(account)
 
 
 def platform_paths() -> set[str]:
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -25,7 +25,7 @@
 from ryelock.consensus.log import ReplicatedLog
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
-from ryelock.events import QuietLog
+from ryelock.events import RecordingLog
 from ryelock.journal import Journal, MachineFolder
 from ryelock.replicated_state import ReplicatedState, encode_command
 from ryelock.replicated_state import state as state_machine
@@ -114,7 +114,7 @@
 
     def __init__(self, path: Path) -> None:
         """Open the folder as the program does; an empty one gets an identity."""
-        self.events = QuietLog("core0")
+        self.events = RecordingLog("core0")
         found = open_disk(MachineFolder(str(path)), self.events, SEGMENT_BYTES, Random(7))
         assert found.is_ok()
         self.disk: str = found.ok[0]
@@ -124,7 +124,7 @@
         """Return the events with their fields, without the free text of a fault."""
         return [
             [number, {key: "..." if key == "fault" else value for key, value in fields.items()}]
-            for number, fields in self.events.kept
+            for number, fields in self.events.records
         ]
 
     def open_log(self) -> None:
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -7,7 +7,7 @@
 
 from ryelock.control_plane.leading import OperatorRequests
 from ryelock.edge.gate import AdmissionQueue
-from ryelock.events import DUTY_FENCED
+from ryelock.events import ROLE_FENCED
 from ryelock.health.evaluation import TargetVerdict
 from ryelock.testing.checks import Down, Findings, Probed, check_downs
 from ryelock.testing.scenario import CONFIGURATION, Scenario
@@ -294,7 +294,7 @@
             scenario.world.run(3)
             self.assertGreaterEqual(verdict(scenario)["epoch"], before)
             self.assertNotEqual("down", verdict(scenario)["network"])
-            self.assertIn(DUTY_FENCED.number, [number for number, _ in old.log.kept])
+            self.assertIn(ROLE_FENCED.number, [number for number, _ in old.log.records])
             self.holds(scenario)
 
     def test_edges_of_a_down_zone_are_not_ready_while_another_serves(self) -> None:
--- a/tests/http/test_http_server_stop.py
+++ b/tests/http/test_http_server_stop.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from ryelock.events import QuietLog
+from ryelock.events import RecordingLog
 from ryelock.http import HttpExchange, HttpServer, Limits
 from ryelock.http.server import IDLE_GRACE_SECONDS
 from ryelock.runtime import Connection
@@ -23,7 +23,7 @@
         self.server = HttpServer(
             self.node.scheduler,
             self.node.network,
-            QuietLog("server"),
+            RecordingLog("server"),
             "10.0.0.1:80",
             Limits(),
             self.serve,
--- a/tests/journal/test_journal_faults.py
+++ b/tests/journal/test_journal_faults.py
@@ -18,7 +18,7 @@
 import testtools
 
 from ryelock.control_plane.identity import open_disk
-from ryelock.events import QuietLog
+from ryelock.events import RecordingLog
 from ryelock.journal import FolderError, Journal, open_journal
 
 SEGMENT_BYTES = 90
@@ -183,7 +183,7 @@
         self.unsure: list[Records] = []
 
     def open(self) -> Journal | None:
-        found = open_journal(self.folder, QuietLog("model"), SEGMENT_BYTES)
+        found = open_journal(self.folder, RecordingLog("model"), SEGMENT_BYTES)
         if found.is_ok():
             return found.ok
         if found.error.damaged:
@@ -362,17 +362,17 @@
             )
             folder.faults = faults
             try:
-                open_disk(folder, QuietLog("model"), SEGMENT_BYTES, Random(1))
+                open_disk(folder, RecordingLog("model"), SEGMENT_BYTES, Random(1))
             except PowerLost:
                 pass
             for files in (folder.kept(), *folder.after_power_loss()):
-                found = open_disk(folder_of(files), QuietLog("model"), SEGMENT_BYTES, Random(2))
+                found = open_disk(folder_of(files), RecordingLog("model"), SEGMENT_BYTES, Random(2))
                 self.assertTrue(found.is_ok())
                 self.assertNotEqual("before", found.ok[0], f"{faults} {sorted(files)}")
 
     def test_an_identity_without_a_journal_is_another_disk(self) -> None:
         folder = folder_of({"identity": b'{"disk": "before"}'})
-        found = open_disk(folder, QuietLog("model"), SEGMENT_BYTES, Random(1))
+        found = open_disk(folder, RecordingLog("model"), SEGMENT_BYTES, Random(1))
         self.assertNotEqual("before", found.ok[0])
 
 
@@ -380,8 +380,8 @@
     def test_a_reopened_disk_makes_the_names_last_that_it_believes(self) -> None:
         """A process was killed between giving a name and syncing its folder."""
         folder = ModelFolder({})
-        disk, _ = open_disk(folder, QuietLog("names"), SEGMENT_BYTES, Random(1)).ok
+        disk, _ = open_disk(folder, RecordingLog("names"), SEGMENT_BYTES, Random(1)).ok
         folder.durable = {}
-        again, _ = open_disk(folder, QuietLog("names"), SEGMENT_BYTES, Random(2)).ok
+        again, _ = open_disk(folder, RecordingLog("names"), SEGMENT_BYTES, Random(2)).ok
         self.assertEqual(disk, again)
         self.assertEqual(sorted(folder.files), sorted(folder.durable))
--- a/tests/journal/test_records.py
+++ b/tests/journal/test_records.py
@@ -8,7 +8,7 @@
 
 import testtools
 
-from ryelock.events import JOURNAL_TORN, QuietLog
+from ryelock.events import JOURNAL_TAIL_TRUNCATED, RecordingLog
 from ryelock.journal import MachineFolder, open_journal
 from ryelock.journal.folder import FolderError
 from ryelock.testing.simulated import SimFolder
@@ -20,7 +20,7 @@
         import tempfile
 
         self.path = Path(tempfile.mkdtemp())
-        self.log = QuietLog("test")
+        self.log = RecordingLog("test")
 
     def opened(self) -> object:
         return open_journal(MachineFolder(str(self.path)), self.log, 4096)
@@ -34,10 +34,10 @@
         whole = (self.path / "segment-0000000000").read_bytes()
         for size in range(end_of_first + 1, len(whole)):
             (self.path / "segment-0000000000").write_bytes(whole[:size])
-            self.log.kept.clear()
+            self.log.records.clear()
             again = open_journal(MachineFolder(str(self.path)), self.log, 4096)
             self.assertEqual([b"first"], again.ok.records)
-            self.assertEqual(JOURNAL_TORN.number, self.log.kept[0][0])
+            self.assertEqual(JOURNAL_TAIL_TRUNCATED.number, self.log.records[0][0])
 
     def test_a_write_with_a_hole_is_one_torn_write(self) -> None:
         """Of one unsynced write the first part is missing and later records stand."""
@@ -101,18 +101,18 @@
 
     def test_what_a_journal_gave_back_outlasts_a_later_loss_of_power(self) -> None:
         folder = SimFolder()
-        journal = open_journal(folder, QuietLog("journal"), 1 << 20).ok
+        journal = open_journal(folder, RecordingLog("journal"), 1 << 20).ok
         with (
             mock.patch.object(SimFolder, "sync", side_effect=KeyboardInterrupt),
             testtools.ExpectedException(KeyboardInterrupt),
         ):
             journal.write([b"written, not synced"])
-        reopened = open_journal(folder, QuietLog("journal"), 1 << 20).ok
+        reopened = open_journal(folder, RecordingLog("journal"), 1 << 20).ok
         self.assertEqual([b"written, not synced"], reopened.records)
         for seed in range(20):
             lost = SimFolder()
             lost.files = {name: bytearray(data) for name, data in folder.files.items()}
             lost.synced = dict(folder.synced)
             lost.lose_power(Random(seed))
-            again = open_journal(lost, QuietLog("journal"), 1 << 20).ok
+            again = open_journal(lost, RecordingLog("journal"), 1 << 20).ok
             self.assertEqual([b"written, not synced"], again.records)
--- a/tests/rate_limit/test_rate_sharing.py
+++ b/tests/rate_limit/test_rate_sharing.py
@@ -90,9 +90,9 @@
             node = deployment.node(name).inner
             assert isinstance(node, TrafficNode)
             planned += sum(
-                1.0 / max(node.settings.probe_seconds, target.seconds)
+                1.0 / max(node.settings.probe_seconds, target.min_interval_seconds)
                 for target in node.probe_targets.all()
-                if not target.outside
+                if not target.cross_zone
             )
         self.assertGreater(planned, 0.0)
         self.assertLess(planned, 0.07 * PROBED_RATE)
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -12,7 +12,15 @@
 from ryelock.edge.servers import Servers
 from ryelock.edge.targets import Probing
 from ryelock.events import WATCH_DERIVED, WATCH_ENDED
-from ryelock.health import History, ProbeResult, Rules, Target, evaluate, gone_watches, watch_mark
+from ryelock.health import (
+    EvaluationRules,
+    History,
+    ProbeResult,
+    ProbeTarget,
+    evaluate,
+    find_gone_watches,
+    watch_fingerprint,
+)
 from ryelock.http import Fields, HttpExchange, ProtocolProfile, field
 from ryelock.membership import Server, ServerList, Session
 from ryelock.replicated_state import ReplicatedState, Watch, encode_command
@@ -116,7 +124,7 @@
         for name in self.scenario.edges:
             prober = self.scenario.node(name).traffic.prober
             assert prober is not None
-            found += [(name, row) for row in prober.rows]
+            found += [(name, row) for row in prober.results]
         return found
 
     def cut_off_servers(self, zone: int, edges: int) -> None:
@@ -201,12 +209,12 @@
     def test_a_watch_ends_with_its_route_and_gives_way_to_an_operators(self) -> None:
         fleet = Derived(3)
         self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
-        first = watch_mark(fleet.replicated_state.derived["covers"])
+        first = watch_fingerprint(fleet.replicated_state.derived["covers"])
         fleet.change(put={"routes": {"plain": {**ROUTES["plain"], "share": 0.9}}})
-        self.assertEqual(first, watch_mark(fleet.replicated_state.derived["covers"]))
+        self.assertEqual(first, watch_fingerprint(fleet.replicated_state.derived["covers"]))
         fleet.change(put={"routes": {"covers": {**ROUTES["covers"], "lifetime_seconds": 3}}})
         self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
-        self.assertNotEqual(first, watch_mark(fleet.replicated_state.derived["covers"]))
+        self.assertNotEqual(first, watch_fingerprint(fleet.replicated_state.derived["covers"]))
         fleet.change(put={"watches": {"own": {"route": "plain", "object": "/plain/1"}}})
         fleet.scenario.world.run(3)
         self.assertEqual(["own"], list(fleet.replicated_state.watches))
@@ -246,7 +254,7 @@
         numbers = [
             number
             for name in fleet.scenario.cores
-            for number, _ in fleet.scenario.node(name).log.kept
+            for number, _ in fleet.scenario.node(name).log.records
             if number in (WATCH_DERIVED.number, WATCH_ENDED.number)
         ]
         self.assertEqual([1703, 1703, 1704], sorted(numbers))
@@ -259,12 +267,12 @@
         for name in fleet.scenario.edges:
             prober = fleet.scenario.node(name).traffic.prober
             assert prober is not None
-            prober.dialect = ProtocolProfile(seal=b"Another-Seal")
+            prober.profile = ProtocolProfile(seal=b"Another-Seal")
         fleet.scenario.world.run(6)
         late = [
             row
             for name, row in fleet.rows()
-            if row.taken - fleet.scenario.node(name).clock.zero > since + 1
+            if row.started_at - fleet.scenario.node(name).clock.zero > since + 1
         ]
         self.assertTrue(late)
         self.assertEqual(
@@ -304,8 +312,8 @@
         for name in fleet.scenario.edges:
             prober = fleet.scenario.node(name).traffic.prober
             assert prober is not None
-            prober.targets = lambda name=name: [  # type: ignore[misc]
-                Target(
+            prober.list_targets = lambda name=name: [  # type: ignore[misc]
+                ProbeTarget(
                     "zone0",
                     edge,
                     fleet.scenario.node(edge).traffic.session.order,
@@ -435,9 +443,9 @@
             "w",
             outside,
             0.0,
-            watch_mark(WATCH),
+            watch_fingerprint(WATCH),
         )
-        row.taken = float(number)
+        row.started_at = float(number)
         row.reachable = True
         row.manifest_valid = row.object_fetchable = not error
         row.error = error
@@ -457,7 +465,9 @@
 
         def found() -> str:
             return (
-                evaluate({"a": ["e"]}, {"w": WATCH}, {"a": 1.0}, False, history, Rules(), 12.0)
+                evaluate(
+                    {"a": ["e"]}, {"w": WATCH}, {"a": 1.0}, False, history, EvaluationRules(), 12.0
+                )
                 .zones["a"]
                 .verdict
             )
@@ -468,7 +478,7 @@
             History,
             "window",
             lambda history, target, now, count, inside=False: [
-                row for row in plain(history, target, now, count) if not (inside and row.outside)
+                row for row in plain(history, target, now, count) if not (inside and row.cross_zone)
             ],
         ):
             self.assertNotEqual("down", found())
@@ -478,14 +488,23 @@
         watches = {"w": WATCH}
         rows = [self.row(number, "ef"[number % 2], lost) for number in range(4)]
         self.assertEqual(
-            {"w": watch_mark(WATCH)}, gone_watches(watches, self.history(*rows), Rules(), 9.0)
+            {"w": watch_fingerprint(WATCH)},
+            find_gone_watches(watches, self.history(*rows), EvaluationRules(), 9.0),
+        )
+        self.assertEqual(
+            {}, find_gone_watches(watches, self.history(*rows[:2]), EvaluationRules(), 9.0)
         )
-        self.assertEqual({}, gone_watches(watches, self.history(*rows[:2]), Rules(), 9.0))
         self.assertEqual(
-            {}, gone_watches(watches, self.history(*rows, self.row(5, "g", "")), Rules(), 9.0)
+            {},
+            find_gone_watches(
+                watches, self.history(*rows, self.row(5, "g", "")), EvaluationRules(), 9.0
+            ),
         )
         self.assertEqual(
-            {}, gone_watches({"w": Watch("r", "/r/2")}, self.history(*rows), Rules(), 9.0)
+            {},
+            find_gone_watches(
+                {"w": Watch("r", "/r/2")}, self.history(*rows), EvaluationRules(), 9.0
+            ),
         )
 
 
@@ -523,12 +542,16 @@
         fleet = Derived(7, edges=4)
         self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "healthy", 20))
         edges = fleet.scenario.edges[:4]
-        of_last = {name for name, row in fleet.rows() if row.edge == edges[3] and not row.outside}
+        of_last = {
+            name for name, row in fleet.rows() if row.edge == edges[3] and not row.cross_zone
+        }
         self.assertEqual(set(edges[:2]), of_last)
         self.assertEqual([], [row for name, row in fleet.rows() if name == edges[3]])
         fleet.scenario.world.kill(edges[0])
         fleet.scenario.world.run(8)
-        of_last = {name for name, row in fleet.rows() if row.edge == edges[3] and not row.outside}
+        of_last = {
+            name for name, row in fleet.rows() if row.edge == edges[3] and not row.cross_zone
+        }
         self.assertIn(edges[2], of_last)
         self.assertEqual("healthy", fleet.word("zone0"))
         self.holds(fleet)
--- a/tests/rpc/test_bad_input.py
+++ b/tests/rpc/test_bad_input.py
@@ -6,11 +6,11 @@
 import testtools
 
 from ryelock.events import (
-    FRAME_DECLINED,
+    FRAME_REJECTED,
     JOURNAL_DAMAGED,
     JOURNAL_FULL,
-    LISTING_DECLINED,
-    LISTING_MISSED,
+    SERVER_LIST_REJECTED,
+    SERVER_LIST_UNAVAILABLE,
 )
 from ryelock.rpc import HANDSHAKE, encode_frame
 from ryelock.runtime import Connection
@@ -57,7 +57,7 @@
 
 class BadInputTests(testtools.TestCase):
     def events(self, scenario: Scenario, name: str) -> list[int]:
-        return [number for number, _ in scenario.node(name).log.kept]
+        return [number for number, _ in scenario.node(name).log.records]
 
     def state(self, scenario: Scenario, name: str) -> list[object]:
         core = scenario.node(name).core
@@ -101,7 +101,7 @@
             scenario.world.task(scenario.operators, say(), 5)
         scenario.world.run(3)
         self.assertEqual(before, self.state(scenario, leader))
-        self.assertEqual(5, self.events(scenario, leader).count(FRAME_DECLINED.number))
+        self.assertEqual(5, self.events(scenario, leader).count(FRAME_REJECTED.number))
         self.assertEqual([], scenario.world.faults)
         self.assertEqual(leader, scenario.leader())
 
@@ -169,7 +169,7 @@
         scenario.platform.servers["bad"] = {"service": "pages", "address": "nowhere"}
         scenario.world.run(1)
         leader = scenario.leader()
-        self.assertIn(LISTING_DECLINED.number, self.events(scenario, leader))
+        self.assertIn(SERVER_LIST_REJECTED.number, self.events(scenario, leader))
         listing = scenario.node(leader).core.platform.listing
         assert listing is not None
         self.assertEqual(8, len(listing.servers))
@@ -223,7 +223,7 @@
         self.speaks(scenario, scenario.platform.address, b"a", 0.2)
         scenario.world.run(4)
         leader = scenario.leader()
-        self.assertIn(LISTING_MISSED.number, self.events(scenario, leader))
+        self.assertIn(SERVER_LIST_UNAVAILABLE.number, self.events(scenario, leader))
         self.assertIsNone(
             scenario.node(leader).core.platform.believed(scenario.node(leader).scheduler.now())
         )
--- a/tests/runtime/test_egress.py
+++ b/tests/runtime/test_egress.py
@@ -5,7 +5,7 @@
 import testtools
 from clocks import SteppedClock, raise_fault
 
-from ryelock.runtime.egress import TURN_BYTES_LEAST, USED_LINK_FRACTION, EgressPacer
+from ryelock.runtime.egress import MIN_TURN_BYTES, USED_LINK_FRACTION, EgressPacer
 from ryelock.runtime.reactor import Reactor, SocketConnection
 from ryelock.runtime.tasks import Scheduler
 
@@ -50,7 +50,7 @@
         self.pacer.submit(sender)
         self.run_seconds(2.0)
         allowed = CONNECTION_BYTES_PER_SECOND * USED_LINK_FRACTION * 2.0
-        self.assertLessEqual(sender.sent, allowed + 2 * self.pacer.turn)
+        self.assertLessEqual(sender.sent, allowed + 2 * self.pacer.turn_bytes)
         self.assertGreaterEqual(sender.sent, 0.97 * allowed)
 
     def test_connections_take_turns(self) -> None:
@@ -69,15 +69,15 @@
         self.pacer.submit(sender)
         self.run_seconds(0.5)
         before = sender.sent
-        self.pacer.count(40_000)
+        self.pacer.count_unpaced(40_000)
         self.run_seconds(0.5)
         allowed = CONNECTION_BYTES_PER_SECOND * USED_LINK_FRACTION * 0.5 - 40_000
-        self.assertLessEqual(sender.sent - before, allowed + 2 * self.pacer.turn)
+        self.assertLessEqual(sender.sent - before, allowed + 2 * self.pacer.turn_bytes)
 
     def test_bulk_is_never_starved_by_one_large_message(self) -> None:
         sender = Sender(10_000_000)
         self.pacer.submit(sender)
-        self.pacer.count(100_000_000)
+        self.pacer.count_unpaced(100_000_000)
         self.run_seconds(0.5)
         self.assertGreater(sender.sent, 0)
 
@@ -95,7 +95,7 @@
 
     def test_a_turn_is_two_packets_at_least(self) -> None:
         slow = EgressPacer(self.scheduler, 10_000.0)
-        self.assertEqual(TURN_BYTES_LEAST, slow.turn)
+        self.assertEqual(MIN_TURN_BYTES, slow.turn_bytes)
 
 
 class SocketConnectionTests(testtools.TestCase):
@@ -125,7 +125,7 @@
         heartbeat, leader = self.pair(reactor, bulk=False)
         answer.write(bytes(200_000))
         received = len(caller.recv(200_000))
-        self.assertLessEqual(received, 2 * TURN_BYTES_LEAST)
+        self.assertLessEqual(received, 2 * MIN_TURN_BYTES)
         self.assertEqual(200_000 - received, answer.unsent_bytes)
         heartbeat.write(b"heartbeat")
         self.assertEqual(b"heartbeat", leader.recv(100))
--- a/tests/support/consensus_lab.py
+++ b/tests/support/consensus_lab.py
@@ -8,7 +8,7 @@
 from ryelock.consensus.entries import COMMAND, Entry
 from ryelock.consensus.node import Consensus
 from ryelock.consensus.types import ConsensusSettings, Peer
-from ryelock.events import QuietLog
+from ryelock.events import RecordingLog
 from ryelock.journal import open_journal
 from ryelock.rpc import RpcError
 from ryelock.runtime import Scheduler
@@ -62,12 +62,12 @@
         def fault(task: str, error: BaseException) -> None:
             raise AssertionError(f"{task}: {error!r}")
 
-        journal = open_journal(folder, QuietLog(disk), 1 << 20)
+        journal = open_journal(folder, RecordingLog(disk), 1 << 20)
         assert journal.is_ok()
         return Consensus(
             Scheduler(self.clock, fault),
             None,  # type: ignore[arg-type]
-            QuietLog(disk),
+            RecordingLog(disk),
             journal.ok,
             CountingMachine(),
             disk,
--- a/tests/support/observed.py
+++ b/tests/support/observed.py
@@ -12,7 +12,7 @@
 
 import cbor2
 
-from ryelock.events import Event, QuietLog
+from ryelock.events import Event, RecordingLog
 from ryelock.testing.model.adapter import SilentLog
 from ryelock.testing.model.cluster import Cluster, ModelRpcClients
 from ryelock.testing.model.disk import ModelFolder
@@ -85,7 +85,7 @@
     connections = Connections()
     worlds: list[World] = []
     create = World.__init__
-    carry, reset, write = World.carry, World.reset, QuietLog.write
+    carry, reset, write = World.carry, World.reset, RecordingLog.write
     model_carry, model_give = Cluster.carry, Cluster.give
 
     def created(world: World, seed: int) -> None:
@@ -102,7 +102,7 @@
         observer.sent(world.time, connections.number_of(connection), listener, accepted, b"")
         reset(world, connection)
 
-    def written(log: QuietLog, event: Event, **fields: object) -> None:
+    def written(log: RecordingLog, event: Event, **fields: object) -> None:
         observer.logged(log.node, event.number, fields)
         write(log, event, **fields)
 
@@ -135,7 +135,7 @@
         stack.enter_context(patch(World, "__init__", created))
         stack.enter_context(patch(World, "carry", carried))
         stack.enter_context(patch(World, "reset", was_reset))
-        stack.enter_context(patch(QuietLog, "write", written))
+        stack.enter_context(patch(RecordingLog, "write", written))
         stack.enter_context(patch(SilentLog, "write", silently_written))
         stack.enter_context(patch(Cluster, "carry", asked))
         stack.enter_context(patch(Cluster, "give", given))
--- a/tests/support/simulated_client.py
+++ b/tests/support/simulated_client.py
@@ -68,7 +68,7 @@
 
 def logged(node: SimNode) -> list[tuple[int, list[str]]]:
     """Return the numbers of a node's events with the names of their fields."""
-    return [(number, sorted(fields)) for number, fields in node.log.kept]
+    return [(number, sorted(fields)) for number, fields in node.log.records]
 
 
 def outside(world: World, host: str = "10.9.0.9") -> SimNode:
