--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -473,12 +473,14 @@
             )
 
         self.assertEqual("down", found())
-        plain = History.window
+        window = History.window
         with mock.patch.object(
             History,
             "window",
-            lambda history, target, now, count, inside=False: [
-                row for row in plain(history, target, now, count) if not (inside and row.cross_zone)
+            lambda history, target, now, count, own_zone_only=False: [
+                row
+                for row in window(history, target, now, count)
+                if not (own_zone_only and row.cross_zone)
             ],
         ):
             self.assertNotEqual("down", found())
