--- a/packages/consensus/ryelock/consensus/applier.py
+++ b/packages/consensus/ryelock/consensus/applier.py
@@ -41,6 +41,8 @@
 
         An entry of another term at an index replaces the tail from there (Raft, section 5.3).
         """
+        if not entries:
+            return True
         log = self.state.replicated_log
         if not log.append(entries) and not self.append_after_compaction(entries):
             return False
@@ -91,7 +93,7 @@
             result = self.state_machine.apply(entry.index, entry.data)
             entry.repeated = isinstance(result, dict) and result.get("again") is True
         self.state.applied_index = entry.index
-        if entry.kind == EntryKind.COMMAND:
+        if entry.kind is EntryKind.COMMAND:
             self.state.applied_command_index = entry.index
         self.pending.resolve(entry, result)
 
--- a/packages/consensus/ryelock/consensus/entries.py
+++ b/packages/consensus/ryelock/consensus/entries.py
@@ -35,8 +35,8 @@
     """One entry of the log.
 
     Attributes:
-        kind: An `EntryKind`; a kind that this version does not know stays as it came, and applying
-            it does nothing.
+        kind: A member of `EntryKind`, so that `is` compares it; a kind that this version does not
+            know stays as it came, and applying it does nothing.
         repeated: Whether the state machine said that it had applied the command before. Such an
             entry is kept from replicas that lack the outcomes of old commands and would apply it a
             second time.
@@ -48,7 +48,7 @@
         """Create an entry that was not applied yet."""
         self.index = index
         self.term = term
-        self.kind = kind
+        self.kind = KINDS.get(kind, kind)
         self.data = data
         self.repeated = False
 
@@ -61,7 +61,7 @@
     """Read an entry from a message or record; raises MalformedMessageError."""
     match data:
         case [int(index), int(term), str(kind), bytes(content)]:
-            return Entry(index, term, KINDS.get(kind, kind), content)
+            return Entry(index, term, kind, content)
         case _:
             raise MalformedMessageError("entries: not an entry")
 
--- a/packages/consensus/ryelock/consensus/log.py
+++ b/packages/consensus/ryelock/consensus/log.py
@@ -23,6 +23,8 @@
 
 RETAINED_BYTES = 1_048_576
 """The most bytes of entries kept in memory behind the snapshot that replaced them."""
+VOTERS, COMMAND = EntryKind.VOTERS, EntryKind.COMMAND
+"""Looked up once: the loops over all entries below are on the replication path."""
 ENTRY_OVERHEAD_BYTES = 32
 """What an entry counts besides its data."""
 
@@ -135,14 +137,14 @@
     def voters_at(self, index: int) -> Voters:
         """Return the voters as the entries up to an index name them, committed or not."""
         for entry in reversed(self.entries[: index - self.snapshot.index]):
-            if entry.kind == EntryKind.VOTERS:
+            if entry.kind is VOTERS:
                 return voters_from_data(entry.data)
         return self.snapshot.voters
 
     def configuration_position(self) -> tuple[int, int]:
         """Return term and index up to which this log certainly names the newest voters it knows."""
         for entry in reversed(self.entries):
-            if entry.kind == EntryKind.VOTERS:
+            if entry.kind is VOTERS:
                 return entry.term, entry.index
         return self.snapshot.term, self.snapshot.index
 
@@ -157,13 +159,13 @@
         return [
             (entry.index, entry.data)
             for entry in between
-            if entry.kind == EntryKind.COMMAND and not entry.repeated
+            if entry.kind is COMMAND and not entry.repeated
         ]
 
     def last_command_index(self) -> int:
         """Return the index of the last command, committed or not."""
         for entry in reversed(self.entries):
-            if entry.kind == EntryKind.COMMAND:
+            if entry.kind is COMMAND:
                 return entry.index
         return self.snapshot.command_index
 
--- a/packages/consensus/ryelock/consensus/proposals.py
+++ b/packages/consensus/ryelock/consensus/proposals.py
@@ -90,7 +90,7 @@
         entries: list[Entry] = []
         accepted: list[Proposal] = []
         for proposal in proposals:
-            if proposal.kind == EntryKind.VOTERS:
+            if proposal.kind is EntryKind.VOTERS:
                 reason = self.reason_against(voters_from_data(proposal.data), entries)
                 if reason:
                     proposal.reject(VotersRejectedError(reason))
@@ -116,7 +116,7 @@
         """
         if not self.state.settled or self.state.changing_voters:
             return "not settled"
-        if any(entry.kind == EntryKind.VOTERS for entry in appended):
+        if any(entry.kind is EntryKind.VOTERS for entry in appended):
             return "another change of voters is under way"
         changed = len(set(voters) ^ set(self.state.voters))
         if changed != 1 or not 0 < len(voters) <= VOTERS_MOST + 1:
--- a/packages/consensus/ryelock/consensus/replicator.py
+++ b/packages/consensus/ryelock/consensus/replicator.py
@@ -145,10 +145,11 @@
 
     def batch(self, start: int, bytes_most: int) -> list[object]:
         """Return entries from an index on, at least one if there is any, of about so many bytes."""
+        log = self.state.replicated_log
         found: list[object] = []
         size = 0
-        for index in range(start, self.state.last_index + 1):
-            entry = self.state.entry_at(index)
+        for index in range(start, log.last_index + 1):
+            entry = log.entry_at(index)
             size += len(entry.data) + ENTRY_OVERHEAD_BYTES
             if found and size > bytes_most:
                 break
--- a/packages/consensus/ryelock/consensus/state.py
+++ b/packages/consensus/ryelock/consensus/state.py
@@ -171,7 +171,7 @@
     def changing_voters(self) -> bool:
         """Whether a change of voters is in the log and not committed yet."""
         uncommitted = self.replicated_log.entries[self.commit_index - self.snapshot.index :]
-        return any(entry.kind == EntryKind.VOTERS for entry in uncommitted)
+        return any(entry.kind is EntryKind.VOTERS for entry in uncommitted)
 
     # The leader.
 
