--- a/packages/consensus/ryelock/consensus/election.py
+++ b/packages/consensus/ryelock/consensus/election.py
@@ -87,7 +87,7 @@
     # Voting.
 
     def on_vote(self, request: VoteRequest) -> VoteReply:
-        """Vote for a candidate, or say how a vote would go."""
+        """Vote for a candidate, or tell how a vote would go."""
         if request.recipient != self.state.disk:
             return self.vote_reply(other_disk=True)
         if not self.may_vote_for(request):
@@ -118,10 +118,10 @@
 
     def vote_for(self, term: int, candidate: str) -> bool:
         """Give the one vote of a term; False where it is given or the disk refused."""
-        if term == self.state.term and self.state.replicated_log.voted not in ("", candidate):
+        if term == self.state.term and self.state.replicated_log.voted_for not in ("", candidate):
             return False
         self.leadership.step_down("another election")
-        # The vote must be on disk before it is told: a restarted member must not vote twice.
+        # The vote must be on disk before the reply: a restarted member must not vote twice.
         if not self.state.save_vote(term, candidate):
             return False
         self.timer.reset()
--- a/packages/consensus/ryelock/consensus/entries.py
+++ b/packages/consensus/ryelock/consensus/entries.py
@@ -130,14 +130,17 @@
 
 
 def promise_record(noted: bool) -> bytes:
-    """Return the record that a lease of this voter may be in force, or that none is."""
+    """Return the record that a lease of this voter may be in force, or that none is.
+
+    `promise` is its older name on disk.
+    """
     return cbor2.dumps(["promise", noted])
 
 
 class Stored:
     """What a journal gave back, replayed: a later entry at an index replaces the tail."""
 
-    __slots__ = ("entries", "promised", "snapshot", "term", "voted")
+    __slots__ = ("entries", "lease_noted", "snapshot", "term", "voted_for")
 
     def __init__(self, snapshot: bytes | None, records: list[bytes]) -> None:
         """Replay the records behind a snapshot; raises ValueError on what is no record."""
@@ -146,8 +149,8 @@
         )
         self.entries: list[Entry] = []
         self.term = self.snapshot.term
-        self.voted = ""
-        self.promised = False
+        self.voted_for = ""
+        self.lease_noted = False
         for record in records:
             self.replay(cbor2.loads(record))
 
@@ -156,11 +159,11 @@
         match record:
             case ["entry", *entry]:
                 self.append(entry_from_wire(entry))
-            case ["vote", int(term), str(voted)]:
+            case ["vote", int(term), str(voted_for)]:
                 self.term = term
-                self.voted = voted
+                self.voted_for = voted_for
             case ["promise", bool(noted)]:
-                self.promised = noted
+                self.lease_noted = noted
             case _:
                 raise MalformedMessageError("unknown record")
 
--- a/packages/consensus/ryelock/consensus/errors.py
+++ b/packages/consensus/ryelock/consensus/errors.py
@@ -5,7 +5,7 @@
     """A proposal was not acknowledged.
 
     Attributes:
-        reason: What went wrong, in words for operators.
+        reason: What went wrong, in text for operators.
         certain: True where the proposal is certainly not and never will be in the log; False
             where it may still be committed, as after a lost leadership.
     """
--- a/packages/consensus/ryelock/consensus/followers.py
+++ b/packages/consensus/ryelock/consensus/followers.py
@@ -93,7 +93,7 @@
     Attributes:
         by_disk: Voters and learners that the log is sent to.
         learners: Address, and the moment of the last request to join, by disk.
-        released_at: When a disk's process was told that it may end.
+        released_at: When a disk's process was released.
     """
 
     __slots__ = ("by_disk", "learners", "released_at", "state")
--- a/packages/consensus/ryelock/consensus/leadership.py
+++ b/packages/consensus/ryelock/consensus/leadership.py
@@ -48,7 +48,7 @@
         """Enter a higher term that was seen, as a follower (Raft, section 5.1)."""
         if term <= self.state.term:
             return
-        self.step_down("a higher epoch")
+        self.step_down("a higher epoch")  # Operators are answered this text.
         self.state.role = Role.FOLLOWER
         self.state.save_vote(term, "")
 
--- a/packages/consensus/ryelock/consensus/log.py
+++ b/packages/consensus/ryelock/consensus/log.py
@@ -49,8 +49,8 @@
 
     Attributes:
         term: The current term.
-        voted: The disk that got this member's vote in it; empty where none did.
-        promise_noted: Whether a lease that this voter granted may be in force.
+        voted_for: The disk that got this member's vote in it; empty where none did.
+        lease_noted: Whether a lease that this voter granted may be in force.
         snapshot: What replaced the entries up to its index.
         entries: The entries behind the snapshot.
         retained: The last entries that the snapshot replaced, kept in memory for replicas that
@@ -61,13 +61,13 @@
     __slots__ = (
         "entries",
         "journal",
-        "promise_noted",
+        "lease_noted",
         "restored",
         "retained",
         "retained_most",
         "snapshot",
         "term",
-        "voted",
+        "voted_for",
     )
 
     def __init__(self, journal: Journal, retained_most: int = RETAINED_BYTES) -> None:
@@ -82,8 +82,8 @@
         self.retained: list[Entry] = []
         self.retained_most = retained_most
         self.term = stored.term
-        self.voted = stored.voted
-        self.promise_noted = stored.promised
+        self.voted_for = stored.voted_for
+        self.lease_noted = stored.lease_noted
 
     # Reading.
 
@@ -171,19 +171,19 @@
 
     # Changing.
 
-    def save_vote(self, term: int, voted: str) -> bool:
+    def save_vote(self, term: int, voted_for: str) -> bool:
         """Enter a term, with the vote given in it (Raft, section 5.2)."""
-        if self.journal.write([vote_record(term, voted)]).is_error():
+        if self.journal.write([vote_record(term, voted_for)]).is_error():
             return False
         self.term = term
-        self.voted = voted
+        self.voted_for = voted_for
         return True
 
-    def save_promise(self, noted: bool) -> bool:
+    def save_lease_note(self, noted: bool) -> bool:
         """Note on disk that a lease may be in force, or that none is."""
         if self.journal.write([promise_record(noted)]).is_error():
             return False
-        self.promise_noted = noted
+        self.lease_noted = noted
         return True
 
     def begin(self, term: int, entry: Entry) -> bool:
@@ -239,8 +239,8 @@
     def replace_start(self, snapshot: Snapshot, kept: list[Entry]) -> bool:
         """Write a snapshot with the entries behind it; False where the disk refused."""
         records = [
-            vote_record(self.term, self.voted),
-            promise_record(self.promise_noted),
+            vote_record(self.term, self.voted_for),
+            promise_record(self.lease_noted),
             *(entry_record(entry) for entry in kept),
         ]
         if self.journal.write_snapshot(snapshot.encode(), records).is_error():
--- a/packages/consensus/ryelock/consensus/quorum_lease.py
+++ b/packages/consensus/ryelock/consensus/quorum_lease.py
@@ -32,8 +32,8 @@
         self.state = state
         self.majority_unreachable_at: float | None = None
         self.granted_until: float | None = None
-        if state.replicated_log.promise_noted:
-            self.granted_until = state.now() + state.settings.promise_seconds * RESTART_MARGIN
+        if state.replicated_log.lease_noted:
+            self.granted_until = state.now() + state.settings.lease_seconds * RESTART_MARGIN
 
     @property
     def in_force(self) -> bool:
@@ -63,7 +63,7 @@
         if not self.may_grant(seconds):
             return False
         log = self.state.replicated_log
-        if not log.promise_noted and not log.save_promise(True):
+        if not log.lease_noted and not log.save_lease_note(True):
             return False
         until = self.state.now() + seconds
         self.granted_until = until if self.granted_until is None else max(self.granted_until, until)
@@ -75,11 +75,11 @@
         return (
             self.state.disk in self.state.voters
             and not self.state.knows_leader()
-            and 0 < seconds <= self.state.settings.promise_seconds
+            and 0 < seconds <= self.state.settings.lease_seconds
             and silence < UNREACHABLE_TIMEOUTS * self.state.settings.election_timeout
         )
 
     def clear_note(self) -> None:
         """Note on disk that no lease is in force; called once a leader is followed again."""
-        if self.state.replicated_log.promise_noted:
-            self.state.replicated_log.save_promise(False)
+        if self.state.replicated_log.lease_noted:
+            self.state.replicated_log.save_lease_note(False)
--- a/packages/consensus/ryelock/consensus/settings.py
+++ b/packages/consensus/ryelock/consensus/settings.py
@@ -13,7 +13,7 @@
         heartbeat_seconds: Interval between heartbeats to a follower with nothing else to send.
         election_timeout: Seconds without a heartbeat after which a follower may campaign; the
             shortest of the randomised timeouts (Raft, section 5.2).
-        promise_seconds: The longest lease that a voter grants to an edge while there is no leader.
+        lease_seconds: The longest lease that a voter grants to an edge while there is no leader.
         replace_seconds: Seconds without a stored entry after which a voter counts as lost.
         snapshot_records: Journal records after which a snapshot is due.
         may_found: Whether this member may bootstrap a new cluster.
@@ -23,7 +23,7 @@
 
     heartbeat_seconds: float = 0.15
     election_timeout: float = 0.7
-    promise_seconds: float = 1.5
+    lease_seconds: float = 1.5
     replace_seconds: float = 8.0
     snapshot_records: int = 4000
     may_found: bool = True
--- a/packages/testing/ryelock/testing/model/adapter.py
+++ b/packages/testing/ryelock/testing/model/adapter.py
@@ -219,7 +219,7 @@
         pace = ConsensusSettings(
             heartbeat_seconds=HEARTBEAT_SECONDS,
             election_timeout=ELECTION_SECONDS,
-            promise_seconds=PROMISE_SECONDS,
+            lease_seconds=PROMISE_SECONDS,
             replace_seconds=REPLACE_SECONDS,
             snapshot_records=snapshot_records,
             retained_bytes=RETAINED_BYTES if snapshot_records == RETAINING_SNAPSHOT_RECORDS else 0,
@@ -378,7 +378,7 @@
         """Take over what a fresh open replayed."""
         self.disk = disk
         self.epoch = stored.term
-        self.voted = stored.voted
+        self.voted = stored.voted_for
         self.base_index = stored.snapshot.index
         self.base_epoch = stored.snapshot.term
         self.base_voters = stored.snapshot.voters
--- a/tests/consensus/test_compaction.py
+++ b/tests/consensus/test_compaction.py
@@ -1,4 +1,4 @@
-"""When images are written: by records, by bytes, and on a disk that fills up."""
+"""When snapshots are written: by records, by bytes, and on a disk that fills up."""
 
 from unittest import mock
 
@@ -33,28 +33,28 @@
         super().write_whole(name, data)
 
 
-class LastWord:
-    """A machine whose state is the start of its last word: large records, a small image."""
+class LastCommand:
+    """A machine whose state is the start of its last command: large records, a small snapshot."""
 
     def __init__(self) -> None:
-        self.word = b""
+        self.command = b""
 
     def apply(self, _index: int, data: bytes) -> object:
-        self.word = data[:4]
+        self.command = data[:4]
         return None
 
     def snapshot(self) -> bytes:
-        return self.word
+        return self.command
 
     def restore(self, data: bytes) -> None:
-        self.word = data
+        self.command = data
 
 
 def taken(disk_bytes: int, records: int) -> tuple[int, Consensus]:
-    """How many large words one member takes before its disk declines one."""
+    """How many large commands one member takes before its disk declines one."""
     lab = Lab(snapshot_records=1000, disk_bytes=disk_bytes)
     consensus = lab.consensus("follower", SmallDisk())
-    consensus.applier.state_machine = LastWord()
+    consensus.applier.state_machine = LastCommand()
     for index in range(1, records + 1):
         entry = Entry(index, 1, EntryKind.COMMAND, index.to_bytes(4, "big") * (RECORD_BYTES // 4))
         if not consensus.applier.store([entry]):
@@ -79,7 +79,7 @@
         with mock.patch.object(Compaction, "due", by_records):
             self.assertLess(taken(DISK_BYTES, 900)[0], 101)
 
-    def test_the_journal_grows_with_the_image_as_far_as_the_disk_allows(self) -> None:
+    def test_the_journal_grows_with_the_snapshot_as_far_as_the_disk_allows(self) -> None:
         self.assertEqual(4_194_304, journal_bytes_most(0, 0))
         self.assertEqual(20 * MEGABYTE, journal_bytes_most(10 * MEGABYTE, 0))
         self.assertEqual(12 * MEGABYTE, journal_bytes_most(10 * MEGABYTE, 64 * MEGABYTE))
@@ -87,16 +87,16 @@
             most = journal_bytes_most(snapshot, 64 * MEGABYTE)
             self.assertTrue(2 * snapshot + most <= 32 * MEGABYTE, snapshot)
 
-    def test_a_failed_image_is_not_tried_again_at_once(self) -> None:
+    def test_a_failed_snapshot_is_not_tried_again_at_once(self) -> None:
         lab = Lab(snapshot_records=100)
         consensus = lab.follower
         tried: list[int] = []
 
-        def write_image(journal: Journal, _snapshot: bytes, _records: list[bytes]) -> object:
+        def write_snapshot(journal: Journal, _snapshot: bytes, _records: list[bytes]) -> object:
             tried.append(journal.written)
             return journal.failed(FolderError("no space left on device"))
 
-        with mock.patch.object(Journal, "write_snapshot", write_image):
+        with mock.patch.object(Journal, "write_snapshot", write_snapshot):
             for index in range(1, 201):
                 self.assertTrue(
                     consensus.applier.store([Entry(index, 1, EntryKind.COMMAND, b"word")])
--- a/tests/consensus/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -30,7 +30,7 @@
 
 class ConsensusTests(testtools.TestCase):
     def lost_disk_and_leader(self, seed: int) -> tuple[Scenario, str]:
-        """One voter behind, one disk lost, the leader away: no majority knows the last word."""
+        """One voter behind, one disk lost, the leader away: no majority knows the last command."""
         scenario = Scenario(seed, edges=1, probers=0)
         scenario.set_up()
         scenario.world.run(2)
@@ -62,7 +62,7 @@
             _, answer = scenario.ask_now("GET", "/configuration")
             self.assertEqual(2, answer["version"])
 
-    def test_without_disk_names_the_last_word_is_lost(self) -> None:
+    def test_without_disk_names_the_last_command_is_lost(self) -> None:
         with disk_names_ignored():
             scenario, _ = self.lost_disk_and_leader(1)
             self.assertNotEqual("", scenario.leader())
@@ -187,7 +187,7 @@
         return idle
 
     def behind_without_leader(self, seed: int) -> bool:
-        """Whether an edge that missed an acknowledged word serves on promises."""
+        """Whether an edge that missed an acknowledged command serves on leases of voters."""
         scenario = Scenario(seed)
         scenario.set_up()
         scenario.world.run(2)
@@ -208,7 +208,7 @@
         scenario.world.run(3)
         return scenario.node(edge).traffic.member.serving
 
-    def test_promises_do_not_carry_an_edge_that_is_behind(self) -> None:
+    def test_leases_of_voters_do_not_carry_an_edge_that_is_behind(self) -> None:
         for seed in (1, 2):
             self.assertFalse(self.behind_without_leader(seed))
         on_request = QuorumLease.on_request
--- a/tests/consensus/test_replication.py
+++ b/tests/consensus/test_replication.py
@@ -48,20 +48,20 @@
             lab.lead(4)
             self.assertGreater(lab.rounds_until_level(1000), 300)
 
-    def test_epochs_that_take_turns_cost_a_round_each_at_most(self) -> None:
+    def test_terms_that_take_turns_cost_a_round_each_at_most(self) -> None:
         lab = Lab()
-        for epoch in range(1, 41):
-            first = 10 * epoch - 9
-            log = lab.leader if epoch % 2 else lab.follower
-            self.assertTrue(log.replicated_log.append(entries(log.last_index + 1, first, epoch)))
+        for term in range(1, 41):
+            first = 10 * term - 9
+            log = lab.leader if term % 2 else lab.follower
+            self.assertTrue(log.replicated_log.append(entries(log.last_index + 1, first, term)))
         self.assertTrue(
             lab.leader.replicated_log.append(entries(lab.leader.last_index + 1, 500, 41))
         )
         lab.lead(42)
         self.assertLess(lab.rounds_until_level(1000), 45)
 
-    def test_a_follower_that_compacted_is_not_walked_back_to_an_image(self) -> None:
-        """Its answers were lost while it took entries and wrote an image of them."""
+    def test_a_follower_that_compacted_is_not_walked_back_to_a_snapshot(self) -> None:
+        """Its answers were lost while it took entries and wrote a snapshot of them."""
         lab = Lab()
         for consensus in (lab.leader, lab.follower):
             self.assertTrue(consensus.replicated_log.append(entries(1, 300, 1)))
@@ -93,7 +93,7 @@
             self.assertEqual(200, lab.rounds_until_level(200, limit=100_000))
 
     def with_snapshot(self, size: int) -> Lab:
-        """A leader with an image of that size up to entry 100, a follower with nothing."""
+        """A leader with a snapshot of that size up to entry 100, a follower with nothing."""
         lab = Lab()
         self.assertTrue(lab.leader.replicated_log.append(entries(1, 120, 1)))
         snapshot = Snapshot(
@@ -105,8 +105,8 @@
         lab.peer.next_index = 1
         return lab
 
-    def test_a_replica_a_little_behind_a_new_image_gets_entries(self) -> None:
-        """Every edge and the slower follower were sent a whole image whenever one was written."""
+    def test_a_replica_a_little_behind_a_new_snapshot_gets_entries(self) -> None:
+        """Every edge and the slower follower got a whole snapshot whenever one was written."""
         lab = Lab()
         for consensus in (lab.leader, lab.follower):
             self.assertTrue(consensus.replicated_log.append(entries(1, 200, 1)))
@@ -140,19 +140,19 @@
         self.assertTrue(again.replicated_log.reaches_back(1000))
         self.assertFalse(again.replicated_log.reaches_back(999))
 
-    def test_an_image_crosses_in_pieces_also_over_a_slow_link(self) -> None:
+    def test_a_snapshot_crosses_in_chunks_also_over_a_slow_link(self) -> None:
         lab = self.with_snapshot(3_000_000)
-        pieces: list[int] = []
+        chunk_sizes: list[int] = []
         while lab.peer.match_index < lab.leader.last_index:
             message: Any = lab.round(limit=100_000)
             if message["kind"] == "council.image":
-                pieces.append(len(message["piece"][-1]))
-        self.assertLess(max(pieces), SNAPSHOT_CHUNK_BYTES + 1)
-        self.assertLess(len(pieces), 80)
+                chunk_sizes.append(len(message["piece"][-1]))
+        self.assertLess(max(chunk_sizes), SNAPSHOT_CHUNK_BYTES + 1)
+        self.assertLess(len(chunk_sizes), 80)
         self.assertEqual([b"w" * 3_000_000], lab.applied(lab.follower))
         self.assertEqual((100, 120), (lab.follower.snapshot.index, lab.follower.last_index))
 
-    def test_an_image_goes_on_where_it_was_when_an_answer_is_lost(self) -> None:
+    def test_a_snapshot_goes_on_where_it_was_when_an_answer_is_lost(self) -> None:
         lab = self.with_snapshot(1_000_000)
         lab.round()
         before = lab.peer.outgoing
@@ -162,8 +162,8 @@
         self.assertEqual(SNAPSHOT_CHUNK_BYTES * 2, before.received)
         self.assertLess(lab.rounds_until_level(20), 12)
 
-    def test_an_image_is_finished_though_a_newer_one_was_written(self) -> None:
-        """Else a follower that is slower than the leader's images never has one."""
+    def test_a_snapshot_is_finished_though_a_newer_one_was_written(self) -> None:
+        """Else a follower that is slower than the leader's snapshots never has one."""
         lab = self.with_snapshot(1_000_000)
         lab.round()
         self.assertTrue(
@@ -176,7 +176,7 @@
         self.assertLess(lab.rounds_until_level(20), 12)
         self.assertEqual([b"x" * 900_000], lab.applied(lab.follower))
 
-    def test_a_follower_that_restarts_midway_is_given_the_image_anew(self) -> None:
+    def test_a_follower_that_restarts_midway_is_given_the_snapshot_anew(self) -> None:
         lab = self.with_snapshot(1_000_000)
         lab.round()
         lab.round()
@@ -184,7 +184,7 @@
         self.assertLess(lab.rounds_until_level(30), 12)
         self.assertEqual([b"w" * 1_000_000], lab.applied(lab.follower))
 
-    def test_pieces_that_do_not_fit_their_image_are_declined(self) -> None:
+    def test_chunks_that_do_not_fit_their_snapshot_are_declined(self) -> None:
         for chunk in (
             [1, 1, {}, 1, 10, 8, b"abc"],
             [1, 1, {}, 1, -1, 0, b""],
@@ -194,8 +194,8 @@
         ):
             self.assertRaises(MalformedMessageError, chunk_from_wire, chunk)
 
-    def test_a_word_sent_again_counts_once_on_an_edge_that_has_an_image(self) -> None:
-        """An edge's image has no outcomes, so the leader passes by words that had no effect."""
+    def test_a_command_sent_again_counts_once_on_an_edge_that_has_a_snapshot(self) -> None:
+        """An edge's snapshot has no outcomes: the leader leaves out commands without effect."""
         lab = Lab()
         consensus, replicated_state, edge = lab.leader, ReplicatedState(), ReplicatedState()
         consensus.applier.state_machine = replicated_state
@@ -274,7 +274,7 @@
     """A member that restarts stands by what it acknowledged."""
 
     def drawn(self, seed: int) -> None:
-        """Drawn batches, images of the leader, own images and losses of power."""
+        """Drawn batches, snapshots of the leader, own snapshots and losses of power."""
         random = Random(f"acknowledged {seed}")
         lab = Lab(snapshot_records=random.choice((5, 40, 1000)))
         lab.lead(1)
@@ -329,7 +329,7 @@
         with mock.patch.object(SimFolder, "sync", lambda _folder, _name: None):
             self.assertRaises(AssertionError, self.forgets)
 
-    def test_an_image_that_drops_the_entries_behind_it_forgets(self) -> None:
+    def test_a_snapshot_that_drops_the_entries_behind_it_forgets(self) -> None:
         def install(log: ReplicatedLog, snapshot: Snapshot) -> bool:
             return log.replace_start(snapshot, [])
 
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -145,7 +145,7 @@
 
     def promise(self, noted: bool) -> None:
         """Write whether a promise may stand."""
-        assert self.log.save_promise(noted)
+        assert self.log.save_lease_note(noted)
 
     def append(self, first: int, term: int, batch: list[tuple[str, bytes]]) -> None:
         """Write entries of one term from an index on."""
@@ -214,8 +214,8 @@
         return {
             "disk": self.disk,
             "term": log.term,
-            "vote": log.voted,
-            "promise_noted": log.promise_noted,
+            "vote": log.voted_for,
+            "promise_noted": log.lease_noted,
             "snapshot": {
                 "index": log.snapshot.index,
                 "term": log.snapshot.term,
--- a/tests/support/consensus_takeouts.py
+++ b/tests/support/consensus_takeouts.py
@@ -62,7 +62,7 @@
 
 
 @contextmanager
-def older_epochs_counted() -> Iterator[None]:
+def older_terms_counted() -> Iterator[None]:
     """An entry of an older term counts as committed once it stands on a majority."""
     counting = [False]
     count, advance = Replicator.count_commit, CommittedApplier.advance
@@ -109,7 +109,7 @@
 
 def votes_twice() -> AbstractContextManager[object]:
     def forget(election: Election, request: VoteRequest) -> VoteRequest:
-        election.state.replicated_log.voted = ""
+        election.state.replicated_log.voted_for = ""
         return request
 
     return altered_vote(forget)
@@ -168,7 +168,7 @@
 def snapshot_drops_tail() -> Iterator[None]:
     """Entries behind an installed snapshot go, and a follower whose disk failed is offered one.
 
-    A leader as it is now offers no image to a follower whose log reaches farther than that.
+    A leader as it is now offers no snapshot to a follower whose log reaches farther than that.
     """
     next_index_after = Replicator.next_index_after
 
@@ -300,7 +300,7 @@
 TAKE_OUTS: dict[str, TakeOut] = {
     "vote not synced": lambda: unsynced(MemberState, "save_vote"),
     "entries not synced": lambda: unsynced(CommittedApplier, "store"),
-    "older epochs counted": older_epochs_counted,
+    "older epochs counted": older_terms_counted,
     "any log elected": any_log_elected,
     "votes twice": votes_twice,
     "disk names ignored": disk_names_ignored,
