--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -2,6 +2,7 @@
 lifetimes do to copies that come by way of another edge."""
 
 from itertools import pairwise
+from typing import ClassVar
 from unittest import mock
 
 import testtools
@@ -252,7 +253,7 @@
 class HomeTests(testtools.TestCase):
     """Which edges of a region an object goes through, as every edge of it finds them."""
 
-    ZONES = {"a": "north", "b": "north", "c": "north", "far": "south"}
+    ZONES: ClassVar[dict[str, str]] = {"a": "north", "b": "north", "c": "north", "far": "south"}
 
     def edges(self) -> dict[str, Session]:
         found: dict[str, Session] = {}
--- a/tests/journal/test_journal_faults.py
+++ b/tests/journal/test_journal_faults.py
@@ -10,6 +10,7 @@
 """
 
 from collections.abc import Callable, Iterator
+from contextlib import suppress
 from itertools import product
 from random import Random
 from unittest import mock
@@ -26,7 +27,7 @@
 Records = list[bytes]
 
 
-class PowerLost(Exception):
+class PowerLostError(Exception):
     """The process ended at a point."""
 
 
@@ -76,7 +77,7 @@
         fault = self.faults.get(self.points, "")
         self.points += 1
         if fault == "crash before":
-            raise PowerLost
+            raise PowerLostError
         if fault == "error before":
             raise FolderError("nothing done")
         if fault in ("error partly", "crash partly") and partly is not None:
@@ -86,7 +87,7 @@
         if fault.startswith("error"):
             raise FolderError("done, or in part")
         if fault.startswith("crash"):
-            raise PowerLost
+            raise PowerLostError
 
     def names(self) -> list[str]:
         return sorted(self.files)
@@ -251,10 +252,8 @@
 class JournalFaultTests(testtools.TestCase):
     def played(self, faults: dict[int, str]) -> Writer:
         writer = Writer(ModelFolder(faults), [])
-        try:
+        with suppress(PowerLostError):
             writer.play()
-        except PowerLost:
-            pass
         return writer
 
     def check(self, files: Files, writer: Writer, told: object) -> None:
@@ -361,10 +360,8 @@
                 }
             )
             folder.faults = faults
-            try:
+            with suppress(PowerLostError):
                 open_disk(folder, RecordingLog("model"), SEGMENT_BYTES, Random(1))
-            except PowerLost:
-                pass
             for files in (folder.kept(), *folder.after_power_loss()):
                 found = open_disk(folder_of(files), RecordingLog("model"), SEGMENT_BYTES, Random(2))
                 self.assertTrue(found.is_ok())
--- a/tests/support/simulated_client.py
+++ b/tests/support/simulated_client.py
@@ -3,6 +3,7 @@
 import hashlib
 import json
 from collections.abc import Mapping
+from contextlib import suppress
 
 from observed import GREETING, frame, frames_in, message_in
 
@@ -197,8 +198,6 @@
     """Return an answer in its parts; a body of JSON as its value and its length."""
     first, fields, body = fields_in(data)
     shown: object = body.decode("latin-1")
-    try:
+    with suppress(ValueError):
         shown = json.loads(body)
-    except ValueError:
-        pass
     return {"status": first, "fields": fields, "body": shown}
