--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -56,9 +56,7 @@
         A request that has already waited for another's fetch of the same object does not wait
         as long again here.
         """
-        until = min(
-            self.deadline(exchange, route), exchange.response_started + gate.queue_timeout()
-        )
+        until = min(self.deadline(exchange, route), exchange.received_at + gate.queue_timeout())
         queue_timeout = until - self.scheduler.now()
         if not self.dialect.own and route.target_seconds:
             queue_timeout = min(queue_timeout, route.target_seconds * QUEUE_TIMEOUT_PART)
@@ -74,7 +72,7 @@
                 room_in=wait,
             )
         request.allowance = "allowed"
-        if exchange.seconds_left:
+        if exchange.client_disconnected:
             gate.release(request.route_name)
             return Failure(
                 FailureKind.CALLER_LEFT, 499, "the caller left before the order was sent"
--- a/packages/edge/ryelock/edge/dispatch.py
+++ b/packages/edge/ryelock/edge/dispatch.py
@@ -63,7 +63,7 @@
                         FailureKind.ROUTE_CHANGED, 503, "the term or the route changed; not sent"
                     )
                 )
-            if exchange.seconds_left:
+            if exchange.client_disconnected:
                 return Error(Failure(FailureKind.CALLER_LEFT, 499, "the caller left"))
             if any(record["sent"] for record in request.dispatches):
                 queue_timeout = until - self.scheduler.now()
@@ -118,7 +118,7 @@
                     continue
                 return Ok(carried)
             error = found.error
-            if exchange.seconds_left and self.ends_with_caller(request, fill):
+            if exchange.client_disconnected and self.ends_with_caller(request, fill):
                 self.metrics.cancelled.add(request.service)
                 error = Withdrawn(FailureKind.CALLER_LEFT, "the caller left", error.sent)
             record["fault"] = error.reason
@@ -195,7 +195,7 @@
                 return Error(ClientError("no link to the server", False))
             if not self.servers.is_live(state, request.service, self.scheduler.now()):
                 return Error(Withdrawn(FailureKind.SERVER_LEAVING, "the server is leaving or gone"))
-            if exchange.seconds_left:
+            if exchange.client_disconnected:
                 return Error(Withdrawn(FailureKind.CALLER_LEFT, "the caller left"))
             if not self.may_still_go(request):
                 return Error(Withdrawn(FailureKind.ROUTE_CHANGED, "the term or the route changed"))
--- a/packages/edge/ryelock/edge/handler.py
+++ b/packages/edge/ryelock/edge/handler.py
@@ -76,7 +76,7 @@
             if request.cache:
                 self.metrics.cache.add(request.service, request.asked_by, request.cache)
             if not request.outcome:
-                request.outcome = "caller left" if exchange.seconds_left else "ended"
+                request.outcome = "caller left" if exchange.client_disconnected else "ended"
             self.recent_requests.keep(request)
 
     async def serve_once(self, exchange: HttpExchange, request: Request, route: Route) -> None:
--- a/packages/edge/ryelock/edge/replies.py
+++ b/packages/edge/ryelock/edge/replies.py
@@ -87,7 +87,7 @@
         except (IncompleteMessageError, ReadTimeoutError, FramingError) as error:
             request.reason = f"the server's answer was cut: {error!r}"
             request.outcome = "cut"
-            if not exchange.seconds_left:
+            if not exchange.client_disconnected:
                 self.servers.fared(carried.server, False, 0.0)
                 self.log.write(
                     RESPONSE_BROKEN,
@@ -201,7 +201,7 @@
         request.outcome = "unknown" if failure.unknown else "not run"
         if request.klass == "repeatable" and any(record["sent"] for record in request.dispatches):
             request.outcome = "no answer"
-        if failure.status == 499 or exchange.seconds_left:
+        if failure.status == 499 or exchange.client_disconnected:
             exchange.abort()
             return
         fields: Fields = [
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -33,7 +33,7 @@
             head.method.decode("latin-1"),
             head.target.decode("latin-1"),
             host_of(field(head.fields, b"host")),
-            exchange.response_started,
+            exchange.received_at,
             self.scheduler.clock.wall(),
         )
         request.path = path_of(request.target)
@@ -98,11 +98,11 @@
     def deadline(self, exchange: HttpExchange, route: Route) -> float:
         until = exchange.deadline
         if route.deadline_seconds:
-            until = min(until, exchange.response_started + route.deadline_seconds)
+            until = min(until, exchange.received_at + route.deadline_seconds)
         if self.dialect.deadline:
             said = field(exchange.head.fields, self.dialect.deadline.lower()) or b""
             if said.isdigit() and len(said) < 10:
-                until = min(until, exchange.response_started + int(said) / 1000 - ANSWER_MARGIN)
+                until = min(until, exchange.received_at + int(said) / 1000 - ANSWER_MARGIN)
         return until
 
     def may_still_go(self, request: Request) -> bool:
--- a/packages/http/ryelock/http/server.py
+++ b/packages/http/ryelock/http/server.py
@@ -5,6 +5,7 @@
 for whole.
 """
 
+import dataclasses
 from collections.abc import Callable
 
 from ryelock.events import REQUEST_MALFORMED, Log
@@ -31,29 +32,24 @@
 """After a stop began, a connection without a request stays open for so long."""
 
 
+@dataclasses.dataclass(slots=True)
 class Limits:
-    __slots__ = ("body_bytes", "head_bytes", "idle_seconds", "links_most", "request_seconds")
+    """What a server takes from its clients; sizes in bytes, durations in seconds.
 
-    def __init__(
-        self,
-        head_bytes: int = 32_768,
-        body_bytes: int = 8_388_608,
-        connections_most: int = 4096,
-        idle_seconds: float = 30.0,
-        request_seconds: float = 10.0,
-    ) -> None:
-        self.head_bytes = head_bytes
-        self.body_bytes = body_bytes
-        self.links_most = connections_most
-        self.idle_seconds = idle_seconds
-        self.request_seconds = request_seconds
+    Not frozen: an edge changes the limits of a running server when its settings are read again.
+    """
+
+    head_bytes: int = 32_768
+    body_bytes: int = 8_388_608
+    max_connections: int = 4096
+    idle_seconds: float = 30.0
+    request_seconds: float = 10.0
 
 
 class HttpExchange:
     """One order and the answer to it."""
 
     __slots__ = (
-        "begun",
         "body",
         "chunked",
         "connection",
@@ -65,6 +61,7 @@
         "listener",
         "may_refuse",
         "reader",
+        "received_at",
         "response_started",
         "waits_to_send",
     )
@@ -84,9 +81,9 @@
         self.head = head
         self.body = body
         self.keep = keep
-        self.response_started = listener.scheduler.now()
-        self.deadline = self.response_started + listener.limits.request_seconds
-        self.begun = False
+        self.received_at = listener.scheduler.now()
+        self.deadline = self.received_at + listener.limits.request_seconds
+        self.response_started = False
         self.finished = False
         self.may_refuse = False
         self.chunked = False
@@ -94,7 +91,7 @@
         self.waits_to_send = b"100-continue" in tokens(head.fields, b"expect")
 
     @property
-    def seconds_left(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether the caller is gone."""
         return self.connection.closed
 
@@ -103,7 +100,7 @@
 
         One connection at a time; `keep_from_caller` takes it back.
         """
-        if self.seconds_left:
+        if self.client_disconnected:
             upstream.abort()
         else:
             self.connection.on_closed = upstream.abort
@@ -129,7 +126,7 @@
 
         Undated passes a server's answer on: no Date is made up for it here.
         """
-        self.begun = True
+        self.response_started = True
         bare = status < 200 or status in (204, 304)
         lines = [b"HTTP/1.1 %d %s" % (status, reason or reason_of(status))]
         lines += [name + b": " + value for name, value in fields]
@@ -232,7 +229,7 @@
         self.address = network.listen(address, self.accept)
 
     def accept(self, connection: Connection) -> None:
-        if len(self.connections) >= self.limits.links_most:
+        if len(self.connections) >= self.limits.max_connections:
             connection.write(
                 b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
                 b"Content-Length: 0\r\nConnection: close\r\n\r\n"
@@ -269,17 +266,17 @@
                     break
         except FramingError as error:
             self.log.write(REQUEST_MALFORMED, peer=connection.peer, fault=error.reason)
-            if exchange is None or not exchange.begun:
+            if exchange is None or not exchange.response_started:
                 self.say_bad(connection, error.status, error.reason)
         except ReadTimeoutError:
-            if reader.buffer or (exchange is not None and not exchange.begun):
+            if reader.buffer or (exchange is not None and not exchange.response_started):
                 self.say_bad(connection, 408, "the order did not come in time")
         except IncompleteMessageError:
             pass
         finally:
             self.connections.pop(connection, None)
             self.exchanges.pop(connection, None)
-            if exchange is not None and exchange.begun and not exchange.finished:
+            if exchange is not None and exchange.response_started and not exchange.finished:
                 connection.abort()
             else:
                 self.close(connection)
@@ -300,7 +297,7 @@
     def refuse_waiting(self) -> None:
         """Refuse the requests that wait and may be sent again; their connections end."""
         for connection, exchange in list(self.exchanges.items()):
-            if exchange.may_refuse and not exchange.begun:
+            if exchange.may_refuse and not exchange.response_started:
                 exchange.send_head(503, b"", [(b"Retry-After", b"0")], 0)
                 exchange.finish()
                 self.connections[connection].cancel()
--- a/packages/testing/ryelock/testing/hosting_platform.py
+++ b/packages/testing/ryelock/testing/hosting_platform.py
@@ -207,7 +207,7 @@
 
     def accept(self, connection: Connection) -> None:
         """Accept a connection, or reset it where there are too many."""
-        if len(self.connections) >= self.limits.links_most:
+        if len(self.connections) >= self.limits.max_connections:
             connection.abort()
             return
         super().accept(connection)
@@ -277,7 +277,7 @@
             address,
             Limits(
                 body_bytes=1 << 26,
-                connections_most=service.connections_most,
+                max_connections=service.connections_most,
                 idle_seconds=float(service.idle_seconds),
                 request_seconds=60.0,
             ),
@@ -406,7 +406,7 @@
         )
         while self.scheduler.now() < end:
             await self.scheduler.sleep(min(0.05, end - self.scheduler.now() + 1e-6))
-            if exchange.seconds_left:
+            if exchange.client_disconnected:
                 return
             if self.scheduler.now() >= until:
                 arrival.status = 504
@@ -547,7 +547,7 @@
         self.cut_pages: set[int] = set()
         self.raw: bytes | None = None
         self.listener = HttpServer(
-            scheduler, network, log, address, Limits(connections_most=2000), self.serve
+            scheduler, network, log, address, Limits(max_connections=2000), self.serve
         )
         self.address = self.listener.address
 
--- a/packages/testing/ryelock/testing/standins.py
+++ b/packages/testing/ryelock/testing/standins.py
@@ -143,7 +143,7 @@
             network,
             log,
             address,
-            Limits(connections_most=20_000, idle_seconds=60.0, request_seconds=60.0),
+            Limits(max_connections=20_000, idle_seconds=60.0, request_seconds=60.0),
             self.serve,
         )
         self.address = self.listener.address
@@ -249,7 +249,7 @@
         self.shown_since: list[tuple[float, str, str, bool]] = []
         self.silent = False
         self.listener = HttpServer(
-            scheduler, network, log, address, Limits(connections_most=2000), self.serve
+            scheduler, network, log, address, Limits(max_connections=2000), self.serve
         )
         self.address = self.listener.address
 
--- a/tests/platform/test_platform_standin.py
+++ b/tests/platform/test_platform_standin.py
@@ -117,7 +117,7 @@
         self.assertEqual([200] * 3 + [429] * 5, sorted(note.status for note in notes))
 
     def test_links_above_the_most_are_reset(self) -> None:
-        self.life.listener.limits.links_most = 2
+        self.life.listener.limits.max_connections = 2
         self.life.service.work_seconds = 0.5
         self.assertEqual(2, sum(note.served for note in self.many(5)))
 
