--- a/packages/http/ryelock/http/__init__.py
+++ b/packages/http/ryelock/http/__init__.py
@@ -1,44 +1,56 @@
-"""HTTP/1.1 on both sides, byte-exact and bounded.
+"""HTTP/1.1 on both sides, byte-exact and bounded (RFC 9110, RFC 9112).
 
-See heads.py for what circuits.web's parser is kept for and what it is not, reading.py for
-framing, http_server.py for the side that takes orders and caller.py for the side that sends them.
+`fields`, `heads` and `framing` parse and check without a connection; `reader` and `body` read from
+one. `client` sends requests. `server` listens, `connection` serves one connection, `exchange` is
+one request with its response.
 """
 
-from ryelock.http.client import ClientError, Response, fetch, read_response, send_request
-from ryelock.http.heads import (
-    Fields,
+from ryelock.http.body import Body
+from ryelock.http.client import Response, fetch, read_response, send_request
+from ryelock.http.errors import (
+    ClientError,
     FramingError,
+    HttpError,
+    IncompleteMessageError,
+    ReadTimeoutError,
+)
+from ryelock.http.exchange import HttpExchange
+from ryelock.http.fields import Fields, end_to_end, field, http_date, parse_http_date, tokens
+from ryelock.http.framing import content_length, is_chunked
+from ryelock.http.heads import (
     RequestHead,
     ResponseHead,
-    end_to_end,
-    field,
-    http_date,
-    parse_http_date,
     parse_request_head,
     parse_response_head,
     reason_of,
-    tokens,
 )
+from ryelock.http.limits import Limits
 from ryelock.http.protocol_profile import ProtocolProfile
 from ryelock.http.reader import Reader
-from ryelock.http.server import HttpExchange, HttpServer, Limits
+from ryelock.http.server import HttpServer
 
 __all__ = [
+    "Body",
     "ClientError",
     "Fields",
     "FramingError",
+    "HttpError",
     "HttpExchange",
     "HttpServer",
+    "IncompleteMessageError",
     "Limits",
     "ProtocolProfile",
+    "ReadTimeoutError",
     "Reader",
     "RequestHead",
     "Response",
     "ResponseHead",
+    "content_length",
     "end_to_end",
     "fetch",
     "field",
     "http_date",
+    "is_chunked",
     "parse_http_date",
     "parse_request_head",
     "parse_response_head",
--- a/packages/http/ryelock/http/protocol_profile.py
+++ b/packages/http/ryelock/http/protocol_profile.py
@@ -1,41 +1,36 @@
-"""The words in which callers and servers are spoken to, where they have words of their own.
+"""The names of the fields by which clients, edges and servers speak, where they differ.
 
-An edge is given one dialect for its life. An empty word is not spoken: with none, orders are as
-this project's own interface has them. What each word means, and what an edge does with it, is
-said here once; which bytes stand for it is the deployment's business.
+An edge has one profile for as long as it runs. A field without a name is not used: with none, HTTP
+is as this project's own interface has it. What a field means, and what an edge does with it, is the
+same under every name; which bytes stand for it is the deployment's business.
 """
 
+import dataclasses
 
+
+@dataclasses.dataclass(frozen=True, slots=True)
 class ProtocolProfile:
-    """Names of fields, as they stand in a head.
+    """Names of fields, as they are written in a head; empty where a field is not used.
 
-    `identity`: an order's own name, given by the caller, handed to the server, repeated by it in
-    the answer; an answer under another name belongs to another order. `deadline`: milliseconds
-    that the sender still waits. `seal`: the server's mark on an answer; a success without it is
-    none. `expected`: the life of the server that an order is for; another declines it with 421.
-    `not_run`: in an answer, that the order did not run. `labels`: what an object can be purged by,
-    divided by spaces. `fractions`: whether Retry-After may be a part of a second.
+    Attributes:
+        identity: a request's id, given by the client, passed to the server and repeated in its
+            response; a response with another id belongs to another request.
+        deadline: milliseconds that the sender still waits.
+        seal: proves that a response is the server's; a success without it does not count.
+        expected: the incarnation of the server that a request is for; another one rejects it
+            with 421.
+        not_run: in a response: the request was not executed.
+        labels: what an object can be purged by, divided by spaces.
+        fractions: whether Retry-After may be a fraction of a second.
     """
 
-    __slots__ = ("deadline", "expected", "fractions", "identity", "labels", "not_run", "seal")
-
-    def __init__(
-        self,
-        identity: bytes = b"",
-        deadline: bytes = b"",
-        seal: bytes = b"",
-        expected: bytes = b"",
-        not_run: bytes = b"",
-        labels: bytes = b"",
-        fractions: bool = False,
-    ) -> None:
-        self.identity = identity
-        self.deadline = deadline
-        self.seal = seal
-        self.expected = expected
-        self.not_run = not_run
-        self.labels = labels
-        self.fractions = fractions
+    identity: bytes = b""
+    deadline: bytes = b""
+    seal: bytes = b""
+    expected: bytes = b""
+    not_run: bytes = b""
+    labels: bytes = b""
+    fractions: bool = False
 
     @property
     def own(self) -> bool:
--- a/packages/testing/ryelock/testing/hosting_platform.py
+++ b/packages/testing/ryelock/testing/hosting_platform.py
@@ -347,7 +347,7 @@
         if status in (429, 503):
             fields.append((b"Retry-After", b"0.05"))
         if self.draining:
-            exchange.keep = False
+            exchange.keep_alive = False
         await exchange.respond(status, fields, b"")
 
     def named(self, arrival: Arrival) -> Fields:
@@ -434,7 +434,7 @@
             fields.append((self.words.dialect.seal, self.service.seal(arrival.target, revision)))
         arrival.status = status
         if manner == Manner.CLOSING or self.draining:
-            exchange.keep = False
+            exchange.keep_alive = False
         if manner == Manner.TWIN:
             self.late[exchange.connection] = raw_answer(status, fields, body)
         exchange.send_head(status, b"", fields, None if status == 304 else len(body))
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -18,11 +18,11 @@
     ProtocolProfile,
     Reader,
     RequestHead,
+    content_length,
     fetch,
     field,
     parse_request_head,
 )
-from ryelock.http.heads import content_length
 from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Connection
 from ryelock.settings import read_settings
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -13,12 +13,13 @@
     Reader,
     RequestHead,
     ResponseHead,
+    content_length,
     end_to_end,
+    is_chunked,
     parse_request_head,
     parse_response_head,
     read_response,
 )
-from ryelock.http.heads import content_length, is_chunked
 from ryelock.replicated_state import Route
 from ryelock.testing.simulated import World
 
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -16,7 +16,7 @@
 from ryelock.edge.member import EdgeSession
 from ryelock.edge.orders import Failed
 from ryelock.edge.servers import Servers
-from ryelock.http.reader import Body, IncompleteMessageError
+from ryelock.http import Body, IncompleteMessageError
 from ryelock.http.server import HttpServer
 from ryelock.rate_limit import QuotaAllocator, RetryBudget
 from ryelock.replicated_state import ReplicatedState
