--- a/packages/control_plane/ryelock/control_plane/leading.py
+++ b/packages/control_plane/ryelock/control_plane/leading.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ryelock.consensus import Consensus
-from ryelock.control_plane.renewals import LeaseRenewals
+from ryelock.control_plane.lease_renewal import LeaseRenewals
 from ryelock.events import (
     CHANGE_ACCEPTED,
     CHANGE_REJECTED,
@@ -130,7 +130,7 @@
         if result.get("status") != "accepted":
             self.log.write(CHANGE_REJECTED, id=identity, status=str(result.get("status")))
             return {**result, "id": identity}
-        await self.renewals.settle(int(str(result["index"])))
+        await self.renewals.leases.wait_until_in_force(int(str(result["index"])))
         self.log.write(
             PURGE_ACCEPTED if kind == "purge" else CHANGE_ACCEPTED,
             id=identity,
--- a/packages/control_plane/ryelock/control_plane/metrics.py
+++ b/packages/control_plane/ryelock/control_plane/metrics.py
@@ -1,7 +1,7 @@
 """The figures that a control node tells: whether it leads, and how it divides the rates."""
 
 from ryelock.consensus import Consensus
-from ryelock.control_plane.renewals import LeaseRenewals
+from ryelock.control_plane.lease_renewal import LeaseRenewals
 from ryelock.metrics import Labels, Metrics
 from ryelock.replicated_state import ReplicatedState
 
@@ -43,10 +43,10 @@
         now = self.renewals.scheduler.now()
         return {
             (name,): sum(given.largest(now) for given in shares.values())
-            for name, shares in self.renewals.divider.given.items()
+            for name, shares in self.renewals.quota.allocator.given.items()
         }
 
     def demands(self) -> dict[Labels, float]:
         """Return what all edges together ask of each service, in requests per second."""
-        demands = self.renewals.divider.demands
+        demands = self.renewals.quota.allocator.demands
         return {(name,): sum(amounts.values()) for name, amounts in demands.items()}
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -8,10 +8,10 @@
 from ryelock.control_plane.aggregator import Aggregator
 from ryelock.control_plane.keeper import RoleAssigner
 from ryelock.control_plane.leading import OperatorRequests
+from ryelock.control_plane.lease_renewal import LeaseRenewals
 from ryelock.control_plane.metrics import ControlMetrics
 from ryelock.control_plane.platform import DUTY as READER
 from ryelock.control_plane.platform import PlatformReader
-from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.control_plane.voters import LEAVE
 from ryelock.events import ROLE_FENCED, STARTED, STOPPED, STOPPING, VOTER_LEAVING, Log
 from ryelock.journal import Journal
@@ -127,7 +127,7 @@
             self.replicated_state,
             self.membership,
             duties,
-            self.renewals.objects,
+            self.renewals.served_objects,
             settings.derive_watches,
         )
         self.leading.replicas = self.keeper.voters.replicas
@@ -136,8 +136,8 @@
         )
         self.consensus.say = self.say
         self.consensus.hear = self.on_said
-        self.consensus.applied_news.append(self.renewals.tell)
-        self.platform.on_news = self.renewals.tell
+        self.consensus.applied_news.append(self.renewals.wake_waiting)
+        self.platform.on_news = self.renewals.wake_waiting
         self.control_api = ControlApi(
             scheduler,
             network,
@@ -323,7 +323,7 @@
             for slot in Session.__slots__:
                 setattr(fresh, slot, getattr(self.session, slot))
             self.membership.renew(fresh)
-            self.renewals.lapse()
+            self.renewals.expire_sessions()
             await self.scheduler.sleep(0.25)
 
     def fitness(self) -> Message:
--- /dev/null
+++ b/packages/control_plane/ryelock/control_plane/quota_shares.py
@@ -0,0 +1,147 @@
+"""What each edge may spend of the services' rates: quota shares, or grants of whole requests."""
+
+import math
+from dataclasses import dataclass
+
+from ryelock.control_plane.edge_leases import EdgeLeases
+from ryelock.rate_limit import QuotaAllocator, is_narrow
+from ryelock.replicated_state import ReplicatedState
+from ryelock.settings import Settings
+
+
+@dataclass(frozen=True, slots=True)
+class EdgeQuota:
+    """What one edge may spend until its lease expires.
+
+    Attributes:
+        shares: requests per second, by service.
+        grants: whole requests of services whose rate is too low to be shared, by service.
+    """
+
+    shares: dict[str, float]
+    grants: dict[str, object]
+
+
+class QuotaShares:
+    """Divides the rate of each limited service among the edges by their demand."""
+
+    __slots__ = ("allocator", "leases", "replicated_state", "settings")
+
+    def __init__(
+        self, settings: Settings, leases: EdgeLeases, replicated_state: ReplicatedState
+    ) -> None:
+        """Create an allocator that knows no demand yet."""
+        self.settings = settings
+        self.leases = leases
+        self.replicated_state = replicated_state
+        self.allocator = QuotaAllocator()
+
+    def reset(self) -> None:
+        """Forget demand and shares: they belong to an earlier Raft term."""
+        self.allocator = QuotaAllocator()
+
+    def report(
+        self, edge: str, demand: dict[str, float], waiting: dict[str, int], now: float
+    ) -> None:
+        """Record an edge's demand.
+
+        Args:
+            edge: name of the edge.
+            demand: requests per second by service.
+            waiting: requests in the edge's queues by service.
+            now: monotonic time in seconds.
+        """
+        self.allocator.report(edge, demand)
+        for service in self.replicated_state.configuration.services:
+            self.allocator.want(service, edge, waiting.get(service, 0), now)
+
+    def allocate(
+        self,
+        edge: str,
+        edges: list[str],
+        holding: dict[str, float],
+        waiting: dict[str, int],
+        now: float,
+    ) -> EdgeQuota:
+        """Return what an edge may spend, beside all that the other edges may still be spending.
+
+        Args:
+            edge: name of the edge.
+            edges: names of all edges that are members.
+            holding: requests per second that the edge holds now, by service.
+            waiting: requests in the edge's queues by service.
+            now: monotonic time in seconds.
+        """
+        takeover_is_complete = self.leases.takeover_is_complete(now)
+        expires_at = now + self.leases.lease_seconds
+        shares: dict[str, float] = {}
+        grants: dict[str, object] = {}
+        for name, service in self.replicated_state.configuration.services.items():
+            if not service.limited:
+                continue
+            held = holding.get(name, 0.0)
+            if is_narrow(service.rate, service.burst_seconds, len(edges)):
+                grants[name] = self.allocator.grant(
+                    name, service.rate, edge, waiting.get(name, 0), held, now, takeover_is_complete
+                )
+                continue
+            shares[name] = self.allocator.share(
+                name,
+                service.rate,
+                service.burst_seconds,
+                edge,
+                edges,
+                held,
+                now,
+                expires_at,
+                takeover_is_complete,
+                self.settings.serve_lapsed,
+            )
+        return EdgeQuota(shares, grants)
+
+    def seconds_until_grant(self, waiting: dict[str, int], edge_count: int, now: float) -> float:
+        """Return seconds until a service that an edge has waiting requests for can grant one.
+
+        Infinite where no grant is to be expected.
+        """
+        if not any(waiting.values()) or not self.leases.takeover_is_complete(now):
+            return math.inf
+        services = self.replicated_state.configuration.services
+        return min(
+            (
+                self.allocator.soon(name, services[name].rate, now)
+                for name in waiting
+                if self.is_granted_whole(name, edge_count)
+            ),
+            default=math.inf,
+        )
+
+    def lacks_share(self, holding: dict[str, float], edge_count: int) -> bool:
+        """Tell whether an edge holds nothing of a service whose rate is shared."""
+        return any(held <= 0 and self.is_shared(name, edge_count) for name, held in holding.items())
+
+    def is_granted_whole(self, name: str, edge_count: int) -> bool:
+        """Tell whether a service's rate is too low for shares among so many edges."""
+        service = self.replicated_state.configuration.services.get(name)
+        return (
+            service is not None
+            and service.limited
+            and is_narrow(service.rate, service.burst_seconds, edge_count)
+        )
+
+    def is_shared(self, name: str, edge_count: int) -> bool:
+        """Tell whether a service has a rate that is divided into shares."""
+        service = self.replicated_state.configuration.services.get(name)
+        return (
+            service is not None
+            and service.limited
+            and not is_narrow(service.rate, service.burst_seconds, edge_count)
+        )
+
+    def forget(self, edge: str) -> None:
+        """Drop the demand of an edge that is lost; its shares run out by themselves."""
+        self.allocator.forget(edge)
+
+    def release(self, edge: str) -> None:
+        """Take back the shares of an edge that has stopped serving."""
+        self.allocator.release(edge)
--- /dev/null
+++ b/packages/control_plane/ryelock/control_plane/renewal_messages.py
@@ -0,0 +1,225 @@
+"""The messages of a lease renewal, to and from their form on the wire."""
+
+from dataclasses import dataclass
+
+from ryelock.control_plane.configuration_updates import ConfigurationUpdate
+from ryelock.control_plane.errors import MalformedRenewalError
+from ryelock.control_plane.failed_callers import CALLER_BYTES, MAX_FAILED_CALLERS
+from ryelock.control_plane.quota_shares import EdgeQuota
+from ryelock.membership import Session, session_of
+from ryelock.replicated_state import DERIVED_MOST, vector_of
+from ryelock.rpc import Message
+
+STATE_SOURCE = "register"
+"""Name under which a node keeps the log index that it has applied, among its versions."""
+MAX_AMOUNT = 1e9
+MAX_OBJECT_CHARACTERS = 1000
+"""Host and target of an object are shorter than this together."""
+CachedObject = tuple[str, str]
+"""Host and target of a request that a cached object answers."""
+
+
+@dataclass(frozen=True, slots=True)
+class RenewalRequest:
+    """One node's request to renew its session, and its lease where it is an edge.
+
+    Attributes:
+        session: what the node is.
+        versions: the version that the node has, by source.
+        sequence: grows with each request of one run of the node.
+        demand: requests per second that the node wants to send, by service.
+        holding: requests per second that the node holds as quota shares, by service.
+        waiting: requests in the node's queues, by service.
+        hold_seconds: how long the response may be held back while there is nothing new.
+        failed_callers: callers who got a failure from this node lately.
+        served_objects: an object that the node served lately, by route.
+    """
+
+    session: Session
+    versions: dict[str, int]
+    sequence: int
+    demand: dict[str, float]
+    holding: dict[str, float]
+    waiting: dict[str, int]
+    hold_seconds: float
+    failed_callers: list[bytes]
+    served_objects: dict[str, CachedObject]
+
+    @classmethod
+    def from_wire(cls, message: Message) -> "RenewalRequest":
+        """Return the request in a message; raises MalformedRenewalError."""
+        try:
+            return cls.parse(message)
+        except (KeyError, TypeError, ValueError) as error:
+            raise MalformedRenewalError(error) from error
+
+    @classmethod
+    def parse(cls, message: Message) -> "RenewalRequest":
+        """Return the request; raises KeyError, TypeError or ValueError with the first fault."""
+        session = session_of(message["session"])
+        versions = vector_of(message["vector"])
+        sequence = message["sequence"]
+        demand = parse_amounts(message["demand"])
+        holding = parse_amounts(message["holding"])
+        waiting = {name: int(count) for name, count in parse_amounts(message["wanted"]).items()}
+        hold_seconds = float(str(message["hold"]))
+        failed_callers = parse_callers(message["failed"])
+        served_objects = parse_objects(message.get("objects", []))
+        if isinstance(sequence, bool) or not isinstance(sequence, int):
+            raise ValueError("sequence")
+        return cls(
+            session=session,
+            versions=versions,
+            sequence=sequence,
+            demand=demand,
+            holding=holding,
+            waiting=waiting,
+            hold_seconds=hold_seconds,
+            failed_callers=failed_callers,
+            served_objects=served_objects,
+        )
+
+    @property
+    def applied_index(self) -> int:
+        """The log index that the node has applied, 0 where it has nothing."""
+        return self.versions.get(STATE_SOURCE, 0)
+
+    @property
+    def node(self) -> tuple[str, str]:
+        """Name and incarnation of the node."""
+        return self.session.name, self.session.incarnation
+
+
+def parse_callers(value: object) -> list[bytes]:
+    """Return digests of callers; raises ValueError."""
+    if not isinstance(value, list) or len(value) > MAX_FAILED_CALLERS:
+        raise ValueError("not callers")
+    if not all(isinstance(caller, bytes) and len(caller) == CALLER_BYTES for caller in value):
+        raise ValueError("not callers")
+    return value
+
+
+def parse_objects(value: object) -> dict[str, CachedObject]:
+    """Return host and target of an object by route; raises ValueError."""
+    if not isinstance(value, list) or len(value) > DERIVED_MOST:
+        raise ValueError("not objects")
+    objects: dict[str, CachedObject] = {}
+    for item in value:
+        match item:
+            case [str(route), str(host), str(target)] if (
+                len(host) + len(target) < MAX_OBJECT_CHARACTERS
+            ):
+                objects[route] = (host, target)
+            case _:
+                raise ValueError("not objects")
+    return objects
+
+
+def parse_amounts(value: object) -> dict[str, float]:
+    """Return numbers from 0 on by name; raises ValueError."""
+    if not isinstance(value, dict):
+        raise ValueError("not amounts")
+    amounts: dict[str, float] = {}
+    for name, amount in value.items():
+        if not isinstance(name, str) or isinstance(amount, bool):
+            raise ValueError("not amounts")
+        if not isinstance(amount, int | float) or not 0 <= amount < MAX_AMOUNT:
+            raise ValueError("not amounts")
+        amounts[name] = float(amount)
+    return amounts
+
+
+@dataclass(frozen=True, slots=True)
+class EdgeAllowance:
+    """What only edges get: their quota, and the number of edges that are members."""
+
+    quota: EdgeQuota
+    edge_count: int
+
+    def to_wire(self) -> Message:
+        """Return the fields of a renewal's response."""
+        return {
+            "shares": self.quota.shares,
+            "grants": self.quota.grants,
+            "edges": max(1, self.edge_count),
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class RenewalResponse:
+    """A renewed session, with a lease, and whatever the node lacks.
+
+    Attributes:
+        majority_age_seconds: age of the leader's last contact with a majority; the lease counts
+            from then.
+        update: the configuration.
+        allowance: the quota of an edge, None for other nodes.
+        server_list: the platform's servers, None where they are not known.
+        failed_callers: callers who got failures from other edges.
+        members: the membership, None where the node has the present version.
+    """
+
+    majority_age_seconds: float
+    update: ConfigurationUpdate
+    allowance: EdgeAllowance | None
+    server_list: Message | None
+    failed_callers: Message
+    members: Message | None
+
+    def to_wire(self) -> Message:
+        """Return the response's form on the wire."""
+        message: Message = {"ok": True, "age": self.majority_age_seconds, "term": True}
+        message.update(self.update.to_wire())
+        if self.allowance is not None:
+            message.update(self.allowance.to_wire())
+        if self.server_list is not None:
+            message["listing"] = self.server_list
+        message["failed"] = self.failed_callers
+        if self.members is not None:
+            message["members"] = self.members
+        return message
+
+
+@dataclass(frozen=True, slots=True)
+class UnconfirmedRenewalResponse:
+    """A response without a lease and without any state: another leader may have a newer one.
+
+    Attributes:
+        majority_age_seconds: age of this leader's last contact with a majority.
+        applied_index: the log index that the node has anyway.
+    """
+
+    majority_age_seconds: float
+    applied_index: int
+
+    def to_wire(self) -> Message:
+        """Return the response's form on the wire."""
+        return {
+            "ok": True,
+            "age": self.majority_age_seconds,
+            "term": False,
+            "words": [],
+            "index": self.applied_index,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class NotLeaderResponse:
+    """This node does not lead; the address of the one that does, empty where it is unknown."""
+
+    leader_address: str
+
+    def to_wire(self) -> Message:
+        """Return the response's form on the wire."""
+        return {"ok": False, "leader": self.leader_address}
+
+
+@dataclass(frozen=True, slots=True)
+class RejectedRenewalResponse:
+    """The request is malformed, or older than one that was answered."""
+
+    reason: str
+
+    def to_wire(self) -> Message:
+        """Return the response's form on the wire."""
+        return {"ok": False, "fault": self.reason}
--- a/packages/testing/ryelock/testing/catchup_measure.py
+++ b/packages/testing/ryelock/testing/catchup_measure.py
@@ -19,7 +19,7 @@
 from ryelock.consensus.compaction import Compaction
 from ryelock.consensus.entries import COMMAND
 from ryelock.consensus.types import Peer
-from ryelock.control_plane.renewals import LeaseRenewals
+from ryelock.control_plane.configuration_updates import ConfigurationUpdates
 from ryelock.events import RecordingLog
 from ryelock.journal import Journal, MachineFolder, open_journal
 from ryelock.replicated_state import ReplicatedState, encode_command
@@ -147,13 +147,10 @@
 
 def edge_figures(leader: Consensus) -> Figures:
     """What an edge at the first change is sent, and how long it takes to apply that."""
-    renewals = object.__new__(LeaseRenewals)
-    renewals.consensus = leader
     assert isinstance(leader.state_machine, ReplicatedState)
-    renewals.replicated_state = leader.state_machine
-    renewals.last_edge_snapshot, renewals.last_edge_snapshot_index = b"", 0
+    updates = ConfigurationUpdates(leader, leader.state_machine)
     words = leader.commands_since(1) or []
-    answer = renewals.words({"register": 1})
+    answer = updates.update_since(1).to_wire()
     edge = ReplicatedState()
     started = time.process_time()
     snapshot = answer.get("image")
--- a/packages/testing/ryelock/testing/pieces.py
+++ b/packages/testing/ryelock/testing/pieces.py
@@ -14,6 +14,7 @@
 import cbor2
 
 from ryelock.cache.store import CacheStore, Variants
+from ryelock.control_plane.edge_leases import Lease
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
 from ryelock.events import RecordingLog
@@ -115,14 +116,16 @@
     """Measure the pieces of a renewal, with a share and a lease given to every session."""
     renewals, now = node.renewals, node.scheduler.now()
     sessions = list(node.membership.sessions.values())
-    renewals.note_members()
-    look = seconds_of(lambda: [renewals.note_members() for _ in range(LOOKS)]) / LOOKS
+    renewals.membership_changes.refresh()
+    look = seconds_of(lambda: [renewals.membership_changes.refresh() for _ in range(LOOKS)]) / LOOKS
     give_shares(node, sessions)
     rates = dict.fromkeys(SERVICE_NAMES, 1.0)
-    shares = seconds_of(lambda: renewals.shares(sessions[0], renewals.edges(), rates, {}, now))
+    shares = seconds_of(
+        lambda: renewals.quota.allocate(sessions[0].name, renewals.edges(), rates, {}, now)
+    )
     for session in sessions:
-        renewals.terms.give((session.name, "run"), 1, now + TERM_SECONDS, now)
-    behind = seconds_of(lambda: renewals.terms.behind(2, now))
+        renewals.leases.table.grant((session.name, "run"), Lease(1, now + TERM_SECONDS), now)
+    behind = seconds_of(lambda: renewals.leases.table.lagging_edges(2, now))
     return {
         "leader: µs of one look for news of members": 1e6 * look,
         "leader: µs of one edge's shares, 2 services": 1e6 * shares,
@@ -132,7 +135,7 @@
 
 def give_shares(node: ControlNode, sessions: list[Session]) -> None:
     """Let every session demand and hold a share of each service."""
-    divider, ends = node.renewals.divider, node.scheduler.now() + SHARE_SECONDS
+    divider, ends = node.renewals.quota.allocator, node.scheduler.now() + SHARE_SECONDS
     for session in sessions:
         divider.report(session.name, dict.fromkeys(SERVICE_NAMES, 10.0))
         for service in SERVICE_NAMES:
--- a/tests/control_plane/test_control_cases.py
+++ b/tests/control_plane/test_control_cases.py
@@ -8,8 +8,8 @@
 import testtools
 
 from ryelock.consensus import Consensus
-from ryelock.control_plane import renewals
 from ryelock.control_plane.leading import OperatorRequests
+from ryelock.control_plane.renewal_messages import UnconfirmedRenewalResponse
 from ryelock.journal import FolderError
 from ryelock.replicated_state import ReplicatedState, outcomes
 from ryelock.replicated_state.outcomes import Outcomes
@@ -133,7 +133,7 @@
 
 class UnconfirmedRenewalTests(testtools.TestCase):
     def test_it_carries_no_state(self) -> None:
-        answer = renewals.unconfirmed_renewal({"register": 7}, 0.9)
+        answer = UnconfirmedRenewalResponse(0.9, 7).to_wire()
         self.assertEqual({"ok": True, "age": 0.9, "term": False, "words": [], "index": 7}, answer)
 
 
--- a/tests/edge/test_edge_catchup.py
+++ b/tests/edge/test_edge_catchup.py
@@ -10,7 +10,7 @@
 
 from ryelock.consensus.entries import COMMAND, INTERNAL, Entry
 from ryelock.consensus.node import Consensus
-from ryelock.control_plane.renewals import WORDS_BYTES_SMALL, LeaseRenewals
+from ryelock.control_plane.configuration_updates import MAX_COMMANDS_BYTES, ConfigurationUpdates
 from ryelock.replicated_state import ReplicatedState, encode_command
 
 
@@ -43,32 +43,27 @@
     return consensus
 
 
-def renewals_of(consensus: Consensus) -> LeaseRenewals:
-    """The leader's answers, with nothing of it but consensus and register."""
-    renewals = object.__new__(LeaseRenewals)
-    renewals.consensus = consensus
+def updates_of(consensus: Consensus) -> ConfigurationUpdates:
+    """The leader's updates for edges, with nothing of it but consensus and replicated state."""
     assert isinstance(consensus.state_machine, ReplicatedState)
-    renewals.replicated_state = consensus.state_machine
-    renewals.last_edge_snapshot = b""
-    renewals.last_edge_snapshot_index = 0
-    return renewals
+    return ConfigurationUpdates(consensus, consensus.state_machine)
 
 
 class EdgeCatchUpTests(testtools.TestCase):
     def test_many_large_words_give_way_to_an_image(self) -> None:
-        renewals = renewals_of(leader_with(60, 50))
-        since_one: Any = renewals.words({"register": 1})
+        updates = updates_of(leader_with(60, 50))
+        since_one: Any = updates.update_since(1).to_wire()
         self.assertIn("image", since_one)
         edge = ReplicatedState()
         edge.restore(since_one["image"])
         self.assertEqual(60, edge.version)
-        words = renewals.consensus.commands_since(1) or []
+        words = updates.consensus.commands_since(1) or []
         self.assertLess(len(cbor2.dumps(since_one)) * 10, sum(len(data) for _, data in words))
 
     def test_a_few_words_come_as_words(self) -> None:
-        renewals = renewals_of(leader_with(60, 50))
-        self.assertIn("words", renewals.words({"register": 59}))
-        self.assertIn("image", renewals.words({}))
+        updates = updates_of(leader_with(60, 50))
+        self.assertIn("words", updates.update_since(59).to_wire())
+        self.assertIn("image", updates.update_since(0).to_wire())
 
     def test_many_small_words_come_as_words_where_the_image_is_larger(self) -> None:
         consensus = leader_with(1, 1500)
@@ -76,14 +71,14 @@
             word = encode_command("drain", id=f"d{index}", target=f"edge{index % 2}", on=True)
             self.assertTrue(consensus.store([Entry(index, 1, COMMAND, word)]))
             consensus.advance(index)
-        renewals = renewals_of(consensus)
+        updates = updates_of(consensus)
         words = consensus.commands_since(1) or []
         size = sum(len(data) for _, data in words)
-        self.assertTrue(WORDS_BYTES_SMALL // 2 < size < len(renewals.edge_snapshot()), size)
-        self.assertIn("words", renewals.words({"register": 1}))
+        self.assertTrue(MAX_COMMANDS_BYTES // 2 < size < len(updates.edge_snapshot()), size)
+        self.assertIn("words", updates.update_since(1).to_wire())
 
     def test_an_image_is_made_once_for_all_edges_that_return_together(self) -> None:
-        renewals = renewals_of(leader_with(60, 50))
+        updates = updates_of(leader_with(60, 50))
         made = SimpleNamespace(count=0)
         plain = ReplicatedState.edge_snapshot
 
@@ -93,18 +88,18 @@
 
         with mock.patch.object(ReplicatedState, "edge_snapshot", counted):
             for _ in range(20):
-                self.assertIn("image", renewals.words({"register": 1}))
-            consensus = renewals.consensus
+                self.assertIn("image", updates.update_since(1).to_wire())
+            consensus = updates.consensus
             note = encode_command("claim", key=b"key", order="order")
             self.assertTrue(consensus.store([Entry(consensus.last_index + 1, 1, INTERNAL, note)]))
             consensus.advance(consensus.last_index)
-            answer = renewals.words({"register": 1})
+            answer = updates.update_since(1).to_wire()
             self.assertEqual((1, consensus.applied_index), (made.count, answer["index"]))
             word = encode_command("drain", id="d", target="edge", on=True)
             self.assertTrue(consensus.store([Entry(consensus.last_index + 1, 1, COMMAND, word)]))
             consensus.advance(consensus.last_index)
             edge = ReplicatedState()
-            answer = renewals.words({"register": 1})
+            answer = updates.update_since(1).to_wire()
             assert isinstance(answer["image"], bytes)
             edge.restore(answer["image"])
         self.assertEqual((2, {"edge"}), (made.count, set(edge.drains)))
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -7,7 +7,7 @@
 import testtools
 from clocks import SteppedClock, raise_fault
 
-from ryelock.control_plane.renewals import LeaseRenewals
+from ryelock.control_plane.membership_changes import MembershipChanges
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.peers import Peers, owner_of
 from ryelock.http import fetch, field
@@ -175,14 +175,14 @@
         """Nodes that follow by changes know what one that was told all knows."""
         scenario = shared(5, edges=4)
         told: list[bool] = []
-        plain = LeaseRenewals.members_since
+        plain = MembershipChanges.update_since
 
-        def noted(renewals: LeaseRenewals, version: int | None) -> Message:
-            found = plain(renewals, version)
+        def noted(changes: MembershipChanges, version: int | None) -> Message:
+            found = plain(changes, version)
             told.append("since" in found)
             return found
 
-        with mock.patch.object(LeaseRenewals, "members_since", noted):
+        with mock.patch.object(MembershipChanges, "update_since", noted):
             scenario.world.kill(scenario.edges[0], True)
             scenario.world.run(5.0)
             scenario.start(scenario.edges[0])
