--- a/packages/control_plane/ryelock/control_plane/keeper.py
+++ b/packages/control_plane/ryelock/control_plane/keeper.py
@@ -10,9 +10,9 @@
     Watch,
     derivable_routes,
     derived_name,
+    derived_targets,
     derived_watches,
     encode_command,
-    places_of,
 )
 from ryelock.runtime import Scheduler
 from ryelock.singleton import SingletonRole, next_assignment
@@ -77,7 +77,7 @@
                 await self.give(wanted)
 
     async def give(self, duty: SingletonRole) -> None:
-        outcome = await self.consensus.propose(encode_command("duty", **duty.plain()))
+        outcome = await self.consensus.propose(encode_command("duty", **duty.to_wire()))
         if outcome.is_ok():
             self.log.write(
                 ROLE_ASSIGNED,
@@ -95,7 +95,7 @@
         """
         replicated_state, gone = self.replicated_state, self.replicated_state.verdict.get("gone")
         before = replicated_state.derived
-        places = places_of(before)
+        places = derived_targets(before)
         for name, watch in before.items():
             lost = isinstance(gone, dict) and gone.get(derived_name(name)) == watch_fingerprint(
                 watch
@@ -112,7 +112,7 @@
             ):
                 places[name] = list(place)
                 kept = derived_watches(replicated_state.configuration, places)
-                places = places_of(kept)
+                places = derived_targets(kept)
         if kept != before:
             outcome = await self.consensus.propose(encode_command("derived", places=places))
             if outcome.is_ok():
--- a/packages/control_plane/ryelock/control_plane/leading.py
+++ b/packages/control_plane/ryelock/control_plane/leading.py
@@ -19,10 +19,10 @@
 from ryelock.membership import Membership
 from ryelock.replicated_state import (
     ReplicatedState,
+    derived_targets,
     encode_command,
     merge_change,
-    places_of,
-    plan_of,
+    plan_change,
 )
 from ryelock.rpc import Message
 from ryelock.runtime import Scheduler
@@ -79,7 +79,7 @@
             return {
                 "version": self.replicated_state.version,
                 "index": self.replicated_state.index,
-                "configuration": self.replicated_state.configuration.plain(),
+                "configuration": self.replicated_state.configuration.to_wire(),
             }
         if what == "plan":
             return self.plan(given)
@@ -106,7 +106,7 @@
         found = merge_change(self.replicated_state.configuration, change)
         if found.is_error():
             return {"status": "invalid", "faults": found.error, "version": version}
-        return {"base": version, "plan": plan_of(self.replicated_state.configuration, found.ok)}
+        return {"base": version, "plan": plan_change(self.replicated_state.configuration, found.ok)}
 
     async def take(self, kind: str, given: object, fields: Message) -> Message:
         """A word with an id, agreed on and carried to every edge."""
@@ -277,9 +277,9 @@
     def shown_members(self) -> dict[str, object]:
         found: dict[str, object] = {}
         for name, session in sorted(self.membership.members().items()):
-            found[name] = session.plain()
+            found[name] = session.to_wire()
         for name, session in sorted(self.membership.lost().items()):
-            found[name] = {**session.plain(), "gone": True, "ready": False}
+            found[name] = {**session.to_wire(), "gone": True, "ready": False}
         return found
 
     def record(self) -> Message:
@@ -290,8 +290,8 @@
             "version": replicated_state.version,
             "verdict": replicated_state.verdict,
             "drains": replicated_state.drains,
-            "derived": places_of(replicated_state.derived),
-            "duties": {name: duty.plain() for name, duty in replicated_state.singletons.items()},
+            "derived": derived_targets(replicated_state.derived),
+            "duties": {name: duty.to_wire() for name, duty in replicated_state.singletons.items()},
             "decisions": replicated_state.decisions[-100:],
             "members": self.shown_members(),
             "voters": self.consensus.voters,
--- a/packages/control_plane/ryelock/control_plane/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -13,7 +13,7 @@
 from ryelock.events import SERVER_LIST_REJECTED, SERVER_LIST_UNAVAILABLE, Log
 from ryelock.http import fetch
 from ryelock.membership import Server, ServerList, decode_server_list
-from ryelock.membership.servers import ServerListError, servers_from
+from ryelock.membership.servers import ServerListError, servers_from_wire
 from ryelock.runtime import Network, Scheduler, TaskCoroutine
 from ryelock.settings import Settings
 
@@ -129,7 +129,7 @@
             return None
         found: Plain = {"digest": self.digest, "age": now - held.since, "fresh": now - held.seen}
         if self.heard != self.digest:
-            found["servers"] = [server.plain() for server in held.servers]
+            found["servers"] = [server.to_wire() for server in held.servers]
         return found
 
     def hear(self, said: object, since: float | None) -> None:
@@ -143,7 +143,7 @@
             return
         age, fresh = seconds_of(said.get("age")), seconds_of(said.get("fresh"))
         if isinstance(servers, list):
-            found = servers_from(servers)
+            found = servers_from_wire(servers)
         elif self.listing is not None and digest == self.digest:
             found = self.listing.servers
         else:
@@ -164,7 +164,7 @@
             "fresh": now - held.seen,
         }
         if vector.get(self.source) != held.version:
-            found["servers"] = [server.plain() for server in held.servers]
+            found["servers"] = [server.to_wire() for server in held.servers]
         return found
 
 
--- a/packages/control_plane/ryelock/control_plane/renewals.py
+++ b/packages/control_plane/ryelock/control_plane/renewals.py
@@ -11,9 +11,9 @@
 from ryelock.consensus import Consensus
 from ryelock.control_plane.platform import PlatformReader
 from ryelock.events import SESSION_ENDED, SESSION_STARTED, Log
-from ryelock.membership import Membership, Session, session_of
+from ryelock.membership import Membership, Session
 from ryelock.rate_limit import QuotaAllocator, is_narrow
-from ryelock.replicated_state import DERIVED_MOST, ReplicatedState, vector_of
+from ryelock.replicated_state import MAX_DERIVED_WATCHES, ReplicatedState, vector_from_wire
 from ryelock.rpc import Message, Reply
 from ryelock.runtime import Queue, Scheduler
 from ryelock.settings import Settings
@@ -162,7 +162,7 @@
         found: Message = {
             "source": self.source,
             "version": self.members_version,
-            "gone": [lost.plain() for lost in self.membership.lost().values()],
+            "gone": [lost.to_wire() for lost in self.membership.lost().values()],
         }
         changes = [
             names
@@ -170,12 +170,12 @@
             if version is not None and number > version
         ]
         if version is None or self.members_version - version != len(changes):
-            return {**found, "sessions": [member.plain() for member in members.values()]}
+            return {**found, "sessions": [member.to_wire() for member in members.values()]}
         names = set().union(*changes)
         return {
             **found,
             "since": version,
-            "sessions": [members[name].plain() for name in sorted(names) if name in members],
+            "sessions": [members[name].to_wire() for name in sorted(names) if name in members],
             "removed": sorted(name for name in names if name not in members),
         }
 
@@ -186,8 +186,8 @@
             return
         self.lead()
         try:
-            session = session_of(message["session"])
-            vector = vector_of(message["vector"])
+            session = Session.from_wire(message["session"])
+            vector = vector_from_wire(message["vector"])
             sequence = message["sequence"]
             demand, holding = amounts(message["demand"]), amounts(message["holding"])
             wanted = {name: int(count) for name, count in amounts(message["wanted"]).items()}
@@ -458,7 +458,7 @@
 
 def objects_of(plain: object) -> dict[str, tuple[str, str]]:
     """Host and target of an object lately served, by route, as an edge tells them."""
-    if not isinstance(plain, list) or len(plain) > DERIVED_MOST:
+    if not isinstance(plain, list) or len(plain) > MAX_DERIVED_WATCHES:
         raise ValueError("not objects")
     found: dict[str, tuple[str, str]] = {}
     for object_told in plain:
--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -11,8 +11,8 @@
 
 from ryelock.edge.promises import QuorumLeaseVote, are_enough, decode_vote
 from ryelock.events import LEASE_ACQUIRED, LEASE_EXPIRED, LEASE_GRANTED_BY_QUORUM, Log
-from ryelock.membership import ServerList, Session, session_of
-from ryelock.membership.servers import servers_from
+from ryelock.membership import ServerList, Session
+from ryelock.membership.servers import servers_from_wire
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message, RpcClients
 from ryelock.runtime import Queue, Scheduler, Task
@@ -222,7 +222,7 @@
         if self.members_version[0]:
             vector[self.members_version[0]] = self.members_version[1]
         return {
-            "session": self.session.plain(),
+            "session": self.session.to_wire(),
             "sequence": self.sequence,
             "vector": vector,
             "demand": self.demand(),
@@ -309,7 +309,7 @@
         members = answer.get("members")
         if isinstance(members, dict):
             self.take_members(members)
-            gone = [session_of(plain) for plain in members["gone"]]
+            gone = [Session.from_wire(plain) for plain in members["gone"]]
             self.gone = {session.name: session for session in gone}
             self.cores = [
                 session.wire for session in self.members.values() if session.role == "core"
@@ -321,7 +321,7 @@
         sessions, removed = plain["sessions"], plain.get("removed", [])
         if not isinstance(sessions, list) or not isinstance(removed, list):
             raise ValueError("members")
-        found = {session.name: session for session in map(session_of, sessions)}
+        found = {session.name: session for session in map(Session.from_wire, sessions)}
         if "since" in plain:
             if (source, plain["since"]) != self.members_version:
                 return
@@ -347,7 +347,7 @@
             None,
         )
         if "servers" in plain:
-            fresh = ServerList(source, version, servers_from(plain["servers"]), 0.0)
+            fresh = ServerList(source, version, servers_from_wire(plain["servers"]), 0.0)
         if fresh is None:
             return
         fresh.since, fresh.seen = max(fresh.since, since), max(fresh.seen, seen)
--- a/packages/edge/ryelock/edge/replies.py
+++ b/packages/edge/ryelock/edge/replies.py
@@ -26,7 +26,7 @@
 )
 from ryelock.http.heads import FramingError
 from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
-from ryelock.replicated_state import DERIVED_MOST, Route
+from ryelock.replicated_state import MAX_DERIVED_WATCHES, Route
 
 OBJECT_MOST = 300
 UNROUTED_BACK_SECONDS = 0.2
@@ -172,7 +172,9 @@
         """Per cached route that needs a watch, the object it served last; what others need not."""
         derivable = self.member.replicated_state.derivable
         self.lately = {route: place for route, place in self.lately.items() if route in derivable}
-        return [[route, *place] for route, place in sorted(self.lately.items())[:DERIVED_MOST]]
+        return [
+            [route, *place] for route, place in sorted(self.lately.items())[:MAX_DERIVED_WATCHES]
+        ]
 
     def peer_fields(self, request: Request) -> Fields:
         """What another edge is told: how many servers its order reached from here."""
--- a/packages/membership/ryelock/membership/__init__.py
+++ b/packages/membership/ryelock/membership/__init__.py
@@ -5,6 +5,6 @@
 """
 
 from ryelock.membership.servers import Server, ServerList, decode_server_list
-from ryelock.membership.sessions import Membership, Session, session_of
+from ryelock.membership.sessions import Membership, Session
 
-__all__ = ["Membership", "Server", "ServerList", "Session", "decode_server_list", "session_of"]
+__all__ = ["Membership", "Server", "ServerList", "Session", "decode_server_list"]
--- a/packages/membership/ryelock/membership/servers.py
+++ b/packages/membership/ryelock/membership/servers.py
@@ -45,8 +45,8 @@
         """Service, address and incarnation: what tells one life of a server from another."""
         return self.service, self.address, self.incarnation
 
-    def plain(self) -> list[object]:
-        """Return the server as a list for the wire; see `servers_from`."""
+    def to_wire(self) -> list[object]:
+        """Return the server as a list for the wire; see `servers_from_wire`."""
         return [
             self.service,
             self.address,
@@ -79,7 +79,7 @@
 
     def digest(self) -> bytes:
         """Return 16 bytes that tell whether two listings name the same servers."""
-        plain = cbor2.dumps([server.plain() for server in self.servers])
+        plain = cbor2.dumps([server.to_wire() for server in self.servers])
         return hashlib.sha256(plain).digest()[:16]
 
 
@@ -136,7 +136,7 @@
     return Server(service, address, zone, str(incarnation), leaving)
 
 
-def servers_from(plain: object) -> list[Server]:
+def servers_from_wire(plain: object) -> list[Server]:
     """Servers as they came over the wire; raises ValueError."""
     if not isinstance(plain, list):
         raise ValueError("not servers")
--- a/packages/membership/ryelock/membership/sessions.py
+++ b/packages/membership/ryelock/membership/sessions.py
@@ -73,8 +73,8 @@
         """One run of one node: a node that starts again is another."""
         return f"{self.name}/{self.incarnation}"
 
-    def plain(self) -> Plain:
-        """Return the session as a map for the wire; see `session_of`."""
+    def to_wire(self) -> Plain:
+        """Return the session as a map for the wire; see `from_wire`."""
         return {
             **{key: getattr(self, key) for key in TEXTS},
             "probes": self.probes,
@@ -83,27 +83,27 @@
             "applied": self.applied,
         }
 
-
-def session_of(plain: object) -> Session:
-    """A session as it came over the wire; raises ValueError when it is none."""
-    if not isinstance(plain, dict):
-        raise ValueError("not a session")
-    session = Session()
-    for key in TEXTS:
-        value = plain.get(key, "")
-        if not isinstance(value, str) or len(value) > TEXT_MOST:
-            raise ValueError(f"session: {key}")
-        setattr(session, key, value)
-    if not session.name or session.role not in ROLES:
-        raise ValueError("session: name or role")
-    for key in ("served", "applied"):
-        value = plain.get(key, 0)
-        if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-            raise ValueError(f"session: {key}")
-        setattr(session, key, value)
-    session.probes = plain.get("probes") is True
-    session.ready = plain.get("ready") is True
-    return session
+    @classmethod
+    def from_wire(cls, data: object) -> "Session":
+        """Return a session from the map that `to_wire` gives; raises ValueError."""
+        if not isinstance(data, dict):
+            raise ValueError("not a session")
+        session = cls()
+        for key in TEXTS:
+            value = data.get(key, "")
+            if not isinstance(value, str) or len(value) > TEXT_MOST:
+                raise ValueError(f"session: {key}")
+            setattr(session, key, value)
+        if not session.name or session.role not in ROLES:
+            raise ValueError("session: name or role")
+        for key in ("served", "applied"):
+            value = data.get(key, 0)
+            if isinstance(value, bool) or not isinstance(value, int) or value < 0:
+                raise ValueError(f"session: {key}")
+            setattr(session, key, value)
+        session.probes = data.get("probes") is True
+        session.ready = data.get("ready") is True
+        return session
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,7 +163,7 @@
         self.gone.pop(fresh.name, None)
         if fresh.role == EDGE:
             self.seen[fresh.name] = fresh
-        if joined or (before is not None and before.plain() != fresh.plain()):
+        if joined or (before is not None and before.to_wire() != fresh.to_wire()):
             self.version += 1
         return joined
 
@@ -216,8 +216,8 @@
         return {
             "source": self.source,
             "version": self.version,
-            "sessions": [session.plain() for session in self.sessions.values()],
-            "gone": [session.plain() for session, _ in self.gone.values()],
+            "sessions": [session.to_wire() for session in self.sessions.values()],
+            "gone": [session.to_wire() for session, _ in self.gone.values()],
             "left": list(self.left),
         }
 
@@ -232,7 +232,7 @@
             return
         if not isinstance(sessions, list) or not isinstance(gone, list):
             return
-        found = [session_of(plain) for plain in sessions]
+        found = [Session.from_wire(plain) for plain in sessions]
         now = self.scheduler.now()
         left = said.get("left")
         for key in left if isinstance(left, list) else []:
@@ -243,7 +243,7 @@
                 del self.gone[name]
         self.told[source] = Told(version, now, {session.name: session for session in found})
         for plain in gone:
-            lost = session_of(plain)
+            lost = Session.from_wire(plain)
             if (
                 lost.name not in self.sessions
                 and lost.name not in self.gone
--- a/packages/replicated_state/ryelock/replicated_state/__init__.py
+++ b/packages/replicated_state/ryelock/replicated_state/__init__.py
@@ -12,22 +12,22 @@
     Route,
     Service,
     Watch,
-    configuration_of,
     merge_change,
-    plan_of,
+    parse_configuration,
+    plan_change,
 )
 from ryelock.replicated_state.derived import (
-    DERIVED_MOST,
+    MAX_DERIVED_WATCHES,
     derivable_routes,
     derived_name,
+    derived_targets,
     derived_watches,
-    places_of,
 )
 from ryelock.replicated_state.state import Purge, ReplicatedState, encode_command
-from ryelock.replicated_state.vector import Vector, vector_of
+from ryelock.replicated_state.vector import Vector, vector_from_wire
 
 __all__ = [
-    "DERIVED_MOST",
+    "MAX_DERIVED_WATCHES",
     "CallerLimits",
     "Configuration",
     "Purge",
@@ -36,13 +36,13 @@
     "Service",
     "Vector",
     "Watch",
-    "configuration_of",
+    "parse_configuration",
     "derivable_routes",
     "derived_name",
     "derived_watches",
     "encode_command",
     "merge_change",
-    "places_of",
-    "plan_of",
-    "vector_of",
+    "derived_targets",
+    "plan_change",
+    "vector_from_wire",
 ]
--- a/packages/replicated_state/ryelock/replicated_state/configuration.py
+++ b/packages/replicated_state/ryelock/replicated_state/configuration.py
@@ -95,7 +95,7 @@
     watches: dict[str, Watch] = field(default_factory=dict)
     limits: dict[str, CallerLimits] = field(default_factory=dict)
 
-    def plain(self) -> dict[str, object]:
+    def to_wire(self) -> dict[str, object]:
         return {
             part: {name: asdict(value) for name, value in getattr(self, part).items()}
             for part in PARTS
@@ -227,7 +227,7 @@
     within(faults, f"{path}.stale_seconds", watch.stale_seconds, 0, 1e6)
 
 
-def configuration_of(plain: object) -> Result[Configuration, list[Fault]]:
+def parse_configuration(plain: object) -> Result[Configuration, list[Fault]]:
     """A whole configuration, or every fault in it."""
     faults: list[Fault] = []
     if not isinstance(plain, dict):
@@ -297,7 +297,7 @@
     import jsonpatch
     import jsonpointer
 
-    before = current.plain()
+    before = current.to_wire()
     if not isinstance(patch, list) or not patch:
         return Error([fault("patch", "not a list of operations")])
     try:
@@ -322,10 +322,10 @@
                 name: known[name] if name in known and old[name] == value else value
                 for name, value in values.items()
             }
-    return configuration_of(merged)
+    return parse_configuration(merged)
 
 
-def plan_of(current: Configuration, after: Configuration) -> dict[str, object]:
+def plan_change(current: Configuration, after: Configuration) -> dict[str, object]:
     """What would be added, removed and changed, part by part, by name."""
     plan: dict[str, object] = {}
     for part in PARTS:
@@ -403,4 +403,4 @@
             merged[part].update({str(name): value for name, value in values.items()})
     if faults:
         return Error(faults)
-    return configuration_of(merged)
+    return parse_configuration(merged)
--- a/packages/replicated_state/ryelock/replicated_state/derived.py
+++ b/packages/replicated_state/ryelock/replicated_state/derived.py
@@ -8,7 +8,7 @@
 from ryelock.replicated_state.configuration import Configuration, Fault, Route, Watch, check_watch
 
 DERIVED = "derived "
-DERIVED_MOST = 4
+MAX_DERIVED_WATCHES = 4
 STALE_SLACK = 30.0
 
 
@@ -19,7 +19,7 @@
 
 def derivable_routes(configuration: Configuration, derived: dict[str, Watch]) -> frozenset[str]:
     """Cached routes of services that have no watch yet; none once there are enough watches."""
-    if len(derived) >= DERIVED_MOST:
+    if len(derived) >= MAX_DERIVED_WATCHES:
         return frozenset()
     routes = configuration.routes
     watched = {routes[watch.route].service for watch in configuration.watches.values()}
@@ -63,7 +63,7 @@
     return found
 
 
-def places_of(derived: dict[str, Watch]) -> dict[str, list[str]]:
+def derived_targets(derived: dict[str, Watch]) -> dict[str, list[str]]:
     return {name: [watch.host, watch.object] for name, watch in sorted(derived.items())}
 
 
--- a/packages/replicated_state/ryelock/replicated_state/outcomes.py
+++ b/packages/replicated_state/ryelock/replicated_state/outcomes.py
@@ -38,7 +38,7 @@
         """The entry whose outcome holds as long as no other takes its place."""
         self.standing = (kind, identity)
 
-    def plain(self) -> list[object]:
+    def to_wire(self) -> list[object]:
         """The form in which a snapshot holds it."""
         kinds = [[kind, list(known.items())] for kind, known in sorted(self.by_kind.items())]
         return [list(self.standing), kinds]
--- a/packages/replicated_state/ryelock/replicated_state/state.py
+++ b/packages/replicated_state/ryelock/replicated_state/state.py
@@ -14,14 +14,14 @@
 from ryelock.replicated_state.configuration import (
     Configuration,
     Watch,
-    configuration_of,
     merge_change,
+    parse_configuration,
 )
 from ryelock.replicated_state.derived import (
     derivable_routes,
     derived_name,
+    derived_targets,
     derived_watches,
-    places_of,
     still_standing,
 )
 from ryelock.replicated_state.outcomes import Outcomes, outcomes_of
@@ -50,7 +50,7 @@
         self.host = host
         self.text = text
 
-    def plain(self) -> list[object]:
+    def to_wire(self) -> list[object]:
         return [self.number, self.kind, self.host, self.text]
 
 
@@ -270,7 +270,7 @@
         whole = {
             **self.shared(),
             "decisions": self.decisions,
-            "outcomes": self.outcomes.plain(),
+            "outcomes": self.outcomes.to_wire(),
             "claims": list(self.claims.items()),
         }
         return cbor2.dumps(whole)
@@ -283,20 +283,20 @@
         return {
             "index": self.index,
             "version": self.version,
-            "configuration": self.configuration.plain(),
+            "configuration": self.configuration.to_wire(),
             "purge_number": self.purge_number,
-            "purges": [purge.plain() for purge in self.purges],
+            "purges": [purge.to_wire() for purge in self.purges],
             "drains": self.drains,
-            "duties": {name: duty.plain() for name, duty in self.singletons.items()},
+            "duties": {name: duty.to_wire() for name, duty in self.singletons.items()},
             "verdict": self.verdict,
-            "derived": places_of(self.derived),
+            "derived": derived_targets(self.derived),
         }
 
     def restore(self, data: bytes) -> None:
         found = cbor2.loads(data)
         if not isinstance(found, dict):
             raise ValueError("not an image of the register")
-        configuration = configuration_of(found["configuration"])
+        configuration = parse_configuration(found["configuration"])
         if configuration.is_error():
             raise ValueError("the image's configuration is not valid")
         self.clear()
--- a/packages/replicated_state/ryelock/replicated_state/vector.py
+++ b/packages/replicated_state/ryelock/replicated_state/vector.py
@@ -3,7 +3,7 @@
 Vector = dict[str, int]
 
 
-def vector_of(plain: object) -> Vector:
+def vector_from_wire(plain: object) -> Vector:
     """A vector as it came over the wire; raises ValueError when it is none."""
     if not isinstance(plain, dict):
         raise ValueError("not a vector")
--- a/packages/singleton/ryelock/singleton/__init__.py
+++ b/packages/singleton/ryelock/singleton/__init__.py
@@ -25,7 +25,7 @@
     fencing_token: int
     successor: str
 
-    def plain(self) -> dict[str, object]:
+    def to_wire(self) -> dict[str, object]:
         """Return the duty as plain data, for the log of decisions and the wire."""
         return {
             "name": self.name,
--- a/packages/testing/ryelock/testing/control_cases.py
+++ b/packages/testing/ryelock/testing/control_cases.py
@@ -318,7 +318,7 @@
     message: Message = {
         "kind": "renew",
         "hold": 0.0,
-        "session": session.plain(),
+        "session": session.to_wire(),
         "sequence": 1,
         "vector": {},
         "demand": {},
--- a/packages/testing/ryelock/testing/hollow.py
+++ b/packages/testing/ryelock/testing/hollow.py
@@ -195,7 +195,7 @@
             "rows": counts.rows,
             "members": len(first.member.members) if first else 0,
             "members_bytes": len(
-                cbor2.dumps([session.plain() for session in first.member.members.values()])
+                cbor2.dumps([session.to_wire() for session in first.member.members.values()])
             )
             if first
             else 0,
--- a/packages/testing/ryelock/testing/pieces.py
+++ b/packages/testing/ryelock/testing/pieces.py
@@ -18,7 +18,7 @@
 from ryelock.control_plane.process import ControlNode
 from ryelock.events import RecordingLog
 from ryelock.journal import MachineFolder
-from ryelock.membership import Membership, Server, Session, session_of
+from ryelock.membership import Membership, Server, Session
 from ryelock.rate_limit.quota_allocator import Given
 from ryelock.replicated_state import Purge, ReplicatedState, encode_command
 from ryelock.runtime.reactor import Reactor
@@ -150,7 +150,7 @@
     hear = seconds_of(lambda: other.hear(cbor2.loads(said)))
     told = cbor2.dumps(members_told(membership))
     tell = seconds_of(lambda: cbor2.dumps(members_told(membership)))
-    take = seconds_of(lambda: [session_of(plain) for plain in cbor2.loads(told)])
+    take = seconds_of(lambda: [Session.from_wire(plain) for plain in cbor2.loads(told)])
     return {
         "leader: KB of sessions to a follower, each beat": len(said) / 1e3,
         "leader: ms to write them": 1e3 * say,
@@ -163,7 +163,7 @@
 
 def members_told(membership: Membership) -> list[dict[str, object]]:
     """Return all members as a renewal tells them."""
-    return [session.plain() for session in membership.members().values()]
+    return [session.to_wire() for session in membership.members().values()]
 
 
 def measure_configuration(servers: int, routes: int) -> Figures:
@@ -178,7 +178,7 @@
             zone_name(number, 4),
             "1",
             False,
-        ).plain()
+        ).to_wire()
         for number in range(servers)
     ]
     return {
--- a/tests/golden/test_golden_lists.py
+++ b/tests/golden/test_golden_lists.py
@@ -92,7 +92,7 @@
 
 def checked_configuration(plain: object) -> object:
     """Return the faults of a configuration; "fine" where there are none."""
-    found = register_configuration.configuration_of(plain)
+    found = register_configuration.parse_configuration(plain)
     return found.error if found.is_error() else "fine"
 
 
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -75,9 +75,9 @@
     covered = {
         "index": replicated_state.index,
         "version": replicated_state.version,
-        "configuration": replicated_state.configuration.plain(),
+        "configuration": replicated_state.configuration.to_wire(),
         "purge_number": replicated_state.purge_number,
-        "purges": [purge.plain() for purge in replicated_state.purges],
+        "purges": [purge.to_wire() for purge in replicated_state.purges],
         "drains": replicated_state.drains,
         "duties": [
             [name, duty.name, duty.owner, duty.fencing_token, duty.successor]
@@ -90,7 +90,7 @@
             for name, watch in replicated_state.derived.items()
         ],
         "derivable": replicated_state.derivable,
-        "outcomes": replicated_state.outcomes.plain(),
+        "outcomes": replicated_state.outcomes.to_wire(),
         "claims": list(replicated_state.claims.items()),
     }
     assert len(covered) == len(ReplicatedState.__slots__), (
--- a/tests/project/test_checked.py
+++ b/tests/project/test_checked.py
@@ -16,7 +16,7 @@
     ReplicatedState,
     encode_command,
     merge_change,
-    plan_of,
+    plan_change,
 )
 from ryelock.rpc import FrameDecoder, FrameError, encode_frame
 from ryelock.settings import Settings, SettingsError, declared_settings, read_settings
@@ -167,7 +167,7 @@
             {"op": "add", "path": "/routes/b", "value": {"path": "/b", "service": "pages"}},
         ]
         after = merge_change(current, change(patch=patch)).ok
-        plan = plan_of(current, after)
+        plan = plan_change(current, after)
         self.assertEqual(
             {"added": [], "removed": [], "changed": {"pages": {"rate": [5.0, 9.0]}}},
             plan["services"],
--- a/tests/rpc/test_bad_input.py
+++ b/tests/rpc/test_bad_input.py
@@ -63,13 +63,13 @@
         core = scenario.node(name).core
         return [
             core.replicated_state.version,
-            core.replicated_state.configuration.plain(),
+            core.replicated_state.configuration.to_wire(),
             core.replicated_state.drains,
             core.replicated_state.purge_number,
             core.consensus.term,
             sorted(core.consensus.voters),
             sorted(core.membership.members()),
-            {key: duty.plain() for key, duty in core.replicated_state.singletons.items()},
+            {key: duty.to_wire() for key, duty in core.replicated_state.singletons.items()},
         ]
 
     def test_bad_frames_and_asks_move_nothing(self) -> None:
