--- a/packages/control_plane/ryelock/control_plane/membership_changes.py
+++ b/packages/control_plane/ryelock/control_plane/membership_changes.py
@@ -72,15 +72,15 @@
         update: Message = {
             "source": self.source,
             "version": self.version,
-            "gone": [lost.plain() for lost in self.membership.lost().values()],
+            "gone": [lost.to_wire() for lost in self.membership.lost().values()],
         }
         names = self.names_changed_since(version)
         if names is None:
-            return {**update, "sessions": [member.plain() for member in members.values()]}
+            return {**update, "sessions": [member.to_wire() for member in members.values()]}
         return {
             **update,
             "since": version,
-            "sessions": [members[name].plain() for name in sorted(names) if name in members],
+            "sessions": [members[name].to_wire() for name in sorted(names) if name in members],
             "removed": sorted(name for name in names if name not in members),
         }
 
--- a/packages/control_plane/ryelock/control_plane/renewal_messages.py
+++ b/packages/control_plane/ryelock/control_plane/renewal_messages.py
@@ -6,8 +6,8 @@
 from ryelock.control_plane.errors import MalformedRenewalError
 from ryelock.control_plane.failed_callers import CALLER_BYTES, MAX_FAILED_CALLERS
 from ryelock.control_plane.quota_shares import EdgeQuota
-from ryelock.membership import Session, session_of
-from ryelock.replicated_state import DERIVED_MOST, vector_of
+from ryelock.membership import Session
+from ryelock.replicated_state import MAX_DERIVED_WATCHES, vector_from_wire
 from ryelock.rpc import Message
 
 STATE_SOURCE = "register"
@@ -56,8 +56,8 @@
     @classmethod
     def parse(cls, message: Message) -> "RenewalRequest":
         """Return the request; raises KeyError, TypeError or ValueError with the first fault."""
-        session = session_of(message["session"])
-        versions = vector_of(message["vector"])
+        session = Session.from_wire(message["session"])
+        versions = vector_from_wire(message["vector"])
         sequence = message["sequence"]
         demand = parse_amounts(message["demand"])
         holding = parse_amounts(message["holding"])
@@ -101,7 +101,7 @@
 
 def parse_objects(value: object) -> dict[str, CachedObject]:
     """Return host and target of an object by route; raises ValueError."""
-    if not isinstance(value, list) or len(value) > DERIVED_MOST:
+    if not isinstance(value, list) or len(value) > MAX_DERIVED_WATCHES:
         raise ValueError("not objects")
     objects: dict[str, CachedObject] = {}
     for item in value:
