--- a/packages/cache/ryelock/cache/rules.py
+++ b/packages/cache/ryelock/cache/rules.py
@@ -9,10 +9,29 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ryelock.http import Fields, RequestHead, ResponseHead, field, parse_http_date, tokens
+from ryelock.http import (
+    Fields,
+    RequestHead,
+    ResponseHead,
+    end_to_end,
+    field,
+    parse_http_date,
+    tokens,
+)
 from ryelock.replicated_state import Route
 
 KEPT_STATUSES = frozenset([200, 203, 300, 301, 308, 404, 410])
+CONDITIONAL_FIELDS = frozenset(
+    [
+        b"range",
+        b"if-range",
+        b"if-none-match",
+        b"if-modified-since",
+        b"if-match",
+        b"if-unmodified-since",
+    ]
+)
+"""Request fields that are the caller's alone (RFC 9110, 13.1 and 14.2), in lower case."""
 ONE_RANGE = re.compile(rb"bytes=(\d*)-(\d*)")
 NOT_MODIFIED_FIELDS = frozenset(
     [
@@ -162,6 +181,32 @@
     )
 
 
+def freshen(stored: StoredResponse, head: ResponseHead, sent: float, now: float) -> StoredResponse:
+    """Return a stored response with the newer fields of a 304 (RFC 9111, 4.3.4).
+
+    Args:
+        stored: the response that its server says is unchanged.
+        head: head of the 304.
+        sent: monotonic time at which the validation was sent.
+        now: monotonic time.
+    """
+    updated = {name.lower() for name, _ in head.fields}
+    fields = [(name, value) for name, value in stored.fields if name.lower() not in updated]
+    fields += [pair for pair in end_to_end(head.fields) if pair[0].lower() != b"age"]
+    given_age = field(head.fields, b"age")
+    age = float(given_age) if given_age is not None and given_age.isdigit() else 0.0
+    lifetime = freshness(fields)
+    return StoredResponse(
+        ResponseHead(stored.status, stored.reason, 1, fields),
+        fields,
+        stored.body,
+        now,
+        age + (now - sent),
+        stored.lifetime if lifetime is None else lifetime,
+        stored.vary,
+    )
+
+
 def lifetime_under(copy: StoredResponse, route: Route) -> float:
     """The lifetime of a copy: the server's, but never above the route's."""
     if copy.lifetime is None:
--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -1,140 +1,191 @@
-"""Whether an order may go to its service: room at the gate, its key, the budget of repeats."""
+"""Admission control: whether a request may go to its service, and the caller's idempotency key."""
 
 import hashlib
 
+from ryelock.edge.admission_queue import AdmissionQueue, retry_after
+from ryelock.edge.context import EdgeContext
 from ryelock.edge.failures import Failure, FailureKind
-from ryelock.edge.gate import AdmissionQueue, come_back
-from ryelock.edge.orders import Caller, Request
-from ryelock.edge.replies import NO_SHARE, Replies
-from ryelock.http import (
-    HttpExchange,
-    field,
-)
+from ryelock.edge.request import AdmissionOutcome, Request
+from ryelock.edge.retry_detector import Caller
+from ryelock.edge.routing import Router
+from ryelock.http import HttpExchange, field
 from ryelock.replicated_state import Route
 
 QUEUE_TIMEOUT_PART = 0.2
+"""Part of a route's latency target that a request may wait in the queue."""
 CLAIM_SECONDS = 1.0
+"""Longest wait for the claim of an idempotency key."""
+RETRY_BUDGET_BACKOFF_SECONDS = 2.0
 CALLER_FIELDS = (b"user-agent", b"authorization", b"cookie")
-REPEAT_FIELDS = (b"x-retry-count", b"x-retry-attempt", b"retry-attempt")
+RETRY_FIELDS = (b"x-retry-count", b"x-retry-attempt", b"retry-attempt")
+"""Fields by which callers mark retries; a value of 0 marks a first attempt."""
+
+SERVICE_UNKNOWN = Failure(FailureKind.SERVICE_UNKNOWN, 503, "the service is not known here yet")
+OVER_RETRY_BUDGET = Failure(
+    FailureKind.RETRY_BUDGET,
+    429,
+    "too many repeats of orders to this service",
+    retry_after=RETRY_BUDGET_BACKOFF_SECONDS,
+)
+KEY_ALREADY_USED = Failure(
+    FailureKind.KEY_IN_USE,
+    409,
+    "an order with this Idempotency-Key was sent before; it is not sent again",
+    True,
+)
+KEY_NOT_CLAIMED = Failure(
+    FailureKind.KEY_NOT_CLAIMED,
+    503,
+    "the Idempotency-Key could not be noted; the order was not sent",
+)
+CALLER_LEFT = Failure(FailureKind.CALLER_LEFT, 499, "the caller left before the order was sent")
+NO_LEASE = Failure(FailureKind.NO_LEASE, 503, "no term: cut off")
 
 
-class Admission(Replies):
-    """Letting orders through to a service."""
+class AdmissionController:
+    """Admits requests to services, by the service's queue, rate and budget of retries."""
 
-    __slots__ = ()
+    __slots__ = ("context", "router")
 
-    async def enter(
-        self, exchange: HttpExchange, request: Request, route: Route, key: bytes | None
+    def __init__(self, context: EdgeContext, router: Router) -> None:
+        """Create the admission control of an edge."""
+        self.context = context
+        self.router = router
+
+    async def admit(
+        self, exchange: HttpExchange, request: Request, route: Route, key: bytes | None = None
     ) -> Failure | None:
-        """Room at the service: at once, after a short wait, or not at all."""
-        gate = self.gates.get(request.service)
-        if gate is None:
-            return Failure(FailureKind.SERVICE_UNKNOWN, 503, "the service is not known here yet")
-        fields = exchange.head.fields
-        if not self.dialect.own:
-            return await self.pass_gate(exchange, request, route, gate)
-        request.repeat = (key is not None and self.keys.seen(request.service, key)) or any(
-            (field(fields, name) or b"0").strip() not in (b"0", b"") for name in REPEAT_FIELDS
+        """Take a slot at the service: at once, after a short wait, or not at all.
+
+        Whoever serves the request gives `request.admitted_to` its slot back.
+
+        Args:
+            exchange: the caller's exchange.
+            request: the request.
+            route: its route.
+            key: its Idempotency-Key, if it has one.
+        """
+        queue = self.context.admission_queues.get(request.service)
+        if queue is None:
+            return SERVICE_UNKNOWN
+        if self.context.profile.own:
+            request.is_retry = self.is_retry(exchange, request, key)
+            if request.is_retry and queue.budget.room < 1.0:
+                request.admission = AdmissionOutcome.OVER_RETRY_BUDGET
+                return OVER_RETRY_BUDGET
+        wait = await queue.acquire(
+            request.route_name,
+            route.share,
+            self.queue_timeout(exchange, route, queue),
+            request.is_probe,
         )
-        caller = caller_of(exchange, request)
-        request.repeat = request.repeat or self.failed.repeats(caller, self.scheduler.now())
-        if request.repeat and gate.budget.room < 1.0:
-            request.allowance = "over the budget of repeats"
-            return Failure(
-                FailureKind.RETRY_BUDGET,
-                429,
-                "too many repeats of orders to this service",
-                back=2.0,
-            )
-        return await self.pass_gate(exchange, request, route, gate)
-
-    async def pass_gate(
-        self, exchange: HttpExchange, request: Request, route: Route, gate: AdmissionQueue
-    ) -> Failure | None:
-        """Wait for room for at most the service's patience, counted from the request's arrival.
+        if wait is not None:
+            return self.reject_for_room(request, queue, wait)
+        request.admission = AdmissionOutcome.ADMITTED
+        failure = self.check_after_wait(exchange)
+        if failure is not None:
+            queue.release(request.route_name)
+            return failure
+        request.admitted_to = queue
+        return None
+
+    def is_retry(self, exchange: HttpExchange, request: Request, key: bytes | None) -> bool:
+        """Whether a caller sends again: by its key, by a field, or by an earlier failure."""
+        if key is not None and self.context.idempotency_keys.was_seen(request.service, key):
+            return True
+        fields = exchange.head.fields
+        if any((field(fields, name) or b"0").strip() not in (b"0", b"") for name in RETRY_FIELDS):
+            return True
+        now = self.context.scheduler.now()
+        return self.context.retry_detector.is_retry(caller_of(exchange, request), now)
+
+    def queue_timeout(self, exchange: HttpExchange, route: Route, queue: AdmissionQueue) -> float:
+        """Return the seconds that a request may wait, counted from its arrival.
 
         A request that has already waited for another's fetch of the same object does not wait
         as long again here.
         """
         until = min(
-            self.deadline(exchange, route), exchange.response_started + gate.queue_timeout()
+            self.router.deadline(exchange, route),
+            exchange.response_started + queue.queue_timeout(),
         )
-        queue_timeout = until - self.scheduler.now()
-        if not self.dialect.own and route.target_seconds:
-            queue_timeout = min(queue_timeout, route.target_seconds * QUEUE_TIMEOUT_PART)
-        wait = await gate.acquire(request.route_name, route.share, queue_timeout, request.probe)
-        if wait is not None:
-            bare = gate.bucket.holding(self.scheduler.now()) <= 0 and not gate.bucket.counted
-            request.allowance = NO_SHARE if bare else "declined: over the service's rate or queue"
-            return Failure(
-                FailureKind.NO_SHARE if bare else FailureKind.OVER_RATE,
-                503,
-                "the service is at its rate; the order was not sent",
-                back=come_back(wait),
-                room_in=wait,
-            )
-        request.allowance = "allowed"
+        timeout = until - self.context.scheduler.now()
+        if not self.context.profile.own and route.target_seconds:
+            timeout = min(timeout, route.target_seconds * QUEUE_TIMEOUT_PART)
+        return timeout
+
+    def reject_for_room(self, request: Request, queue: AdmissionQueue, wait: float) -> Failure:
+        """Return the failure of a request that got no slot; `wait` is the seconds until room."""
+        bucket = queue.bucket
+        has_no_share = bucket.holding(self.context.scheduler.now()) <= 0 and not bucket.counted
+        request.admission = (
+            AdmissionOutcome.NO_SHARE if has_no_share else AdmissionOutcome.OVER_RATE
+        )
+        return Failure(
+            FailureKind.NO_SHARE if has_no_share else FailureKind.OVER_RATE,
+            503,
+            "the service is at its rate; the order was not sent",
+            retry_after=retry_after(wait),
+            room_in=wait,
+        )
+
+    def check_after_wait(self, exchange: HttpExchange) -> Failure | None:
+        """The caller may have left, or the lease run out, while the request waited."""
         if exchange.seconds_left:
-            gate.release(request.route_name)
-            return Failure(
-                FailureKind.CALLER_LEFT, 499, "the caller left before the order was sent"
-            )
-        if not self.member.serving:
-            gate.release(request.route_name)
-            return Failure(FailureKind.NO_LEASE, 503, "no term: cut off")
+            return CALLER_LEFT
+        if not self.context.member.serving:
+            return NO_LEASE
         return None
 
-    async def claim(
-        self, exchange: HttpExchange, request: Request, route: Route, key: bytes | None
+    async def claim_key(
+        self, exchange: HttpExchange, request: Request, route: Route, key: bytes
     ) -> Failure | None:
-        """Before an order with a key is sent: a majority of disks holds that it may have run."""
-        if key is None:
-            return None
-        left = self.deadline(exchange, route) - self.scheduler.now()
-        found = await self.member.claim(
-            key_of(exchange, request, key), request.identity, max(0.0, min(CLAIM_SECONDS, left))
+        """Have a majority of control nodes record the key before its request is sent.
+
+        Without that record another edge could send the same request a second time.
+        """
+        left = self.router.deadline(exchange, route) - self.context.scheduler.now()
+        status = await self.context.member.claim(
+            digest_of_key(exchange, request, key),
+            request.identity,
+            max(0.0, min(CLAIM_SECONDS, left)),
         )
-        if found == "claimed":
+        if status == "claimed":
             return None
-        if found == "known":
-            return Failure(
-                FailureKind.KEY_IN_USE,
-                409,
-                "an order with this Idempotency-Key was sent before; it is not sent again",
-                True,
-            )
-        self.give_back(exchange, request, key)
-        return Failure(
-            FailureKind.KEY_NOT_CLAIMED,
-            503,
-            "the Idempotency-Key could not be noted; the order was not sent",
-        )
-
-    def give_back(self, exchange: HttpExchange, request: Request, key: bytes) -> None:
-        self.scheduler.create_task(
-            self.member.release(key_of(exchange, request, key), request.identity), name="release"
+        if status == "known":
+            return KEY_ALREADY_USED
+        self.release_key(exchange, request, key)
+        return KEY_NOT_CLAIMED
+
+    def release_key(self, exchange: HttpExchange, request: Request, key: bytes) -> None:
+        """Give a key back whose request certainly did not run, in the background."""
+        self.context.scheduler.create_task(
+            self.context.member.release(digest_of_key(exchange, request, key), request.identity),
+            name="release",
         )
 
-    def account(self, exchange: HttpExchange, request: Request) -> bool:
-        """At an order's first sending: a first earns room for repeats, a repeat takes some.
+    def count_send(self, exchange: HttpExchange, request: Request) -> bool:
+        """Account for a request that is about to be sent; False where it must not be.
 
-        Only what is sent counts: a service that nothing reaches earns no repeats.
+        At its first sending a first request earns room for retries, a retry takes some. Only what
+        is sent counts: a service that nothing reaches earns no retries.
         """
-        gate = self.gates.get(request.service)
-        if gate is None or any(record["sent"] for record in request.dispatches):
-            return gate is not None
-        if not request.repeat:
-            if self.dialect.own or not (request.probe or request.peer):
-                gate.budget.first()
+        queue = self.context.admission_queues.get(request.service)
+        if queue is None or request.was_sent:
+            return queue is not None
+        if not request.is_retry:
+            if self.context.profile.own or not (request.is_probe or request.peer is not None):
+                queue.budget.first()
             return True
-        if not gate.budget.repeat():
-            request.allowance = "over the budget of repeats"
+        if not queue.budget.repeat():
+            request.admission = AdmissionOutcome.OVER_RETRY_BUDGET
             return False
-        self.failed.sent(caller_of(exchange, request))
+        self.context.retry_detector.count_retry(caller_of(exchange, request))
         return True
 
 
 def caller_of(exchange: HttpExchange, request: Request) -> Caller:
+    """Return the digest of who asks for what; ports differ from one connection to the next."""
     fields = exchange.head.fields
     return digest_of(
         exchange.connection.peer.rpartition(":")[0].encode(),
@@ -145,8 +196,8 @@
     )
 
 
-def key_of(exchange: HttpExchange, request: Request, key: bytes) -> bytes:
-    """A caller's key, told apart by service, place and the caller's credentials."""
+def digest_of_key(exchange: HttpExchange, request: Request, key: bytes) -> bytes:
+    """Return the digest of a caller's key with service, target and the caller's credentials."""
     return digest_of(
         request.service.encode(),
         request.method.encode(),
@@ -158,5 +209,6 @@
 
 
 def digest_of(*parts: bytes) -> bytes:
-    whole = b"".join(b"%d:%s" % (len(part), part) for part in parts)
-    return hashlib.sha256(whole).digest()[:16]
+    """Return 16 bytes that stand for all parts; their lengths keep ("ab", "c") from ("a", "bc")."""
+    joined = b"".join(b"%d:%s" % (len(part), part) for part in parts)
+    return hashlib.sha256(joined).digest()[:16]
--- /dev/null
+++ b/packages/edge/ryelock/edge/attempts.py
@@ -0,0 +1,234 @@
+"""Sends a request to one server after another until one answers or it must be given up."""
+
+from expression import Error, Ok, Result
+
+from ryelock.edge.admission import OVER_RETRY_BUDGET
+from ryelock.edge.context import EdgeContext
+from ryelock.edge.failures import (
+    AttemptCancelledError,
+    ConnectFailedError,
+    Failure,
+    FailureKind,
+)
+from ryelock.edge.rejections import backoff_seconds
+from ryelock.edge.request import Attempt, RequestClass
+from ryelock.edge.routing import Router
+from ryelock.edge.servers import ServerState
+from ryelock.edge.upstream_client import UpstreamClient
+from ryelock.edge.upstream_request import UpstreamCall
+from ryelock.edge.upstream_response import UpstreamResponse
+from ryelock.http import ClientError, ResponseTimeoutError
+
+FULL_SECONDS = 0.15
+"""How long a server that rejected a request is taken for full."""
+SHORT_ATTEMPT_SECONDS = 0.25
+SHORT_ATTEMPT_LATENCIES = 3.0
+"""An attempt shorter than the longer of both says nothing of its server."""
+TOO_MANY_REQUESTS = 429
+ROUTE_CHANGED = Failure(FailureKind.ROUTE_CHANGED, 503, "the term or the route changed; not sent")
+CALLER_LEFT = Failure(FailureKind.CALLER_LEFT, 499, "the caller left")
+
+Ended = Result[UpstreamResponse, Failure]
+
+
+class AttemptSequence:
+    """All attempts of one request.
+
+    Attributes:
+        tried: identities of the servers that were tried.
+        failure: why there is no response, by the last attempt.
+        error_response: a server's own failure (5xx), given to the caller where no other server
+            can be tried.
+    """
+
+    __slots__ = ("call", "client", "context", "error_response", "failure", "router", "tried")
+
+    def __init__(
+        self, context: EdgeContext, router: Router, client: UpstreamClient, call: UpstreamCall
+    ) -> None:
+        """Create the sequence of a request of which nothing was sent from here."""
+        self.context = context
+        self.router = router
+        self.client = client
+        self.call = call
+        self.tried: set[tuple[str, str, str]] = set()
+        self.failure = Failure(
+            FailureKind.NO_SERVER, 503, f"no live server of service {call.request.service}"
+        )
+        self.error_response: UpstreamResponse | None = None
+
+    async def run(self) -> Ended:
+        """Try servers in turn."""
+        request = self.call.request
+        limit = request.attempts_left
+        for number in range(limit):
+            failure = self.check_before_attempt()
+            if failure is not None:
+                return Error(failure)
+            if request.was_sent and not await self.admit_retry():
+                break
+            server = self.pick_server(is_first=number == 0)
+            if server is None:
+                break
+            self.drop_error_response()
+            is_last = number + 1 >= limit or request.peer is not None
+            ended = await self.try_server(server, is_last)
+            if ended is not None:
+                return ended
+        return Ok(self.error_response) if self.error_response is not None else Error(self.failure)
+
+    def check_before_attempt(self) -> Failure | None:
+        """Lease, route and caller may have gone since the last attempt."""
+        if not self.router.may_still_send(self.call.request):
+            return ROUTE_CHANGED
+        if self.call.exchange.seconds_left:
+            return CALLER_LEFT
+        return None
+
+    async def admit_retry(self) -> bool:
+        """Whether the budget of retries and the rate let one more attempt through."""
+        left = self.call.until - self.context.scheduler.now()
+        admitted = await self.call.queue.admit_retry(left)
+        if not admitted:
+            self.call.request.retry_refused = True
+        return admitted
+
+    def pick_server(self, is_first: bool) -> ServerState | None:
+        """Return the server for the next attempt, one that was not tried where there is one."""
+        request = self.call.request
+        candidates: list[dict[str, object]] = []
+        server = self.context.servers.pick(
+            request.service,
+            self.tried,
+            request.zone_verdicts,
+            candidates,
+            self.context.member.edges,
+            self.call.queue.service.links,
+        )
+        if is_first:
+            request.candidates = candidates
+        return server
+
+    def drop_error_response(self) -> None:
+        """Another server is tried: the last one's failure goes to nobody."""
+        if self.error_response is not None:
+            self.error_response.connection.abort()
+            self.error_response = None
+
+    async def try_server(self, server: ServerState, is_last: bool) -> Ended | None:
+        """Make one attempt; None where the next server is to be tried."""
+        self.tried.add(server.server.identity)
+        attempt = Attempt(server.server.address, server.server.zone)
+        self.call.request.attempts.append(attempt)
+        started = self.context.scheduler.now()
+        server.sent_at.append(started)
+        try:
+            found = await self.client.fetch(self.call, server, attempt, is_last)
+        finally:
+            server.sent_at.remove(started)
+        taken = self.context.scheduler.now() - started
+        attempt.seconds = round(taken, 4)
+        if found.is_ok():
+            return self.on_response(found.ok, attempt, taken, is_last)
+        return self.on_error(found.error, server, attempt, taken)
+
+    def on_response(
+        self, response: UpstreamResponse, attempt: Attempt, taken: float, is_last: bool
+    ) -> Ended | None:
+        """A response ends the request, but for a failure that another server may make good."""
+        failed = response.head.status >= 500
+        self.context.servers.fared(response.server, not failed, taken)
+        attempt.status = response.head.status
+        idempotent = self.call.request.request_class is RequestClass.IDEMPOTENT
+        if failed and idempotent and not is_last and not self.context.profile.own:
+            self.error_response = response
+            return None
+        return Ok(response)
+
+    def on_error(
+        self, error: ClientError, server: ServerState, attempt: Attempt, taken: float
+    ) -> Ended | None:
+        """An error ends the request where it may have run, or where no time is left."""
+        call = self.call
+        if call.exchange.seconds_left and call.ends_with_caller:
+            self.context.metrics.cancelled.add(call.request.service)
+            error = AttemptCancelledError(FailureKind.CALLER_LEFT, "the caller left", error.sent)
+        attempt.fault = error.reason
+        if error.rejected:
+            return self.on_rejected(error, server, attempt)
+        if isinstance(error, AttemptCancelledError) and error.kind is FailureKind.RETRY_BUDGET:
+            server.trying = False
+            return Error(OVER_RETRY_BUDGET)
+        if self.blames_server(error, server, taken):
+            self.context.servers.fared(server, False, taken)
+        else:
+            server.trying = False
+        if error.sent and call.request.request_class is RequestClass.AT_MOST_ONCE:
+            return Error(unknown_outcome(error))
+        is_late = self.context.scheduler.now() >= call.until
+        status = 504 if is_late else 502
+        self.failure = Failure(kind_of(error, is_late), status, error.reason)
+        return Error(self.failure) if is_late else None
+
+    def on_rejected(
+        self, error: ClientError, server: ServerState, attempt: Attempt
+    ) -> Ended | None:
+        """A server did not run the request: another may be tried, unless it set a limit (429)."""
+        attempt.rejected_status = error.rejected
+        self.context.servers.declined(server, error.rejected, FULL_SECONDS)
+        self.failure = Failure(
+            FailureKind.SERVER_REJECTED,
+            503,
+            error.reason,
+            retry_after=backoff_seconds(self.context, self.call.route),
+        )
+        return Error(self.failure) if error.rejected == TOO_MANY_REQUESTS else None
+
+    def blames_server(self, error: ClientError, server: ServerState, taken: float) -> bool:
+        """Whether a failure tells of the server: not where the request had no time left for it.
+
+        Nor where nothing was sent for reasons of the caller, the route or the listing.
+        """
+        if isinstance(error, AttemptCancelledError):
+            return False
+        too_short = taken < max(SHORT_ATTEMPT_SECONDS, SHORT_ATTEMPT_LATENCIES * server.latency)
+        return not (
+            too_short
+            and isinstance(error, ResponseTimeoutError | ConnectFailedError)
+            and not server.server.leaving
+            and taken < self.context.settings.connect_seconds
+        )
+
+
+class UpstreamAttempts:
+    """Makes the attempts of requests that were admitted."""
+
+    __slots__ = ("client", "context", "router")
+
+    def __init__(self, context: EdgeContext, router: Router, client: UpstreamClient) -> None:
+        """Create the maker of an edge's attempts."""
+        self.context = context
+        self.router = router
+        self.client = client
+
+    async def run(self, call: UpstreamCall) -> Ended:
+        """Send a request to servers in turn until one answers or it must be given up."""
+        return await AttemptSequence(self.context, self.router, self.client, call).run()
+
+
+def unknown_outcome(error: ClientError) -> Failure:
+    """Return the failure of a request that may run once and may have run."""
+    timed_out = isinstance(error, ResponseTimeoutError)
+    return Failure(
+        kind_of(error, timed_out),
+        504 if timed_out else 502,
+        f"outcome unknown: {error.reason}",
+        True,
+    )
+
+
+def kind_of(error: ClientError, is_late: bool) -> FailureKind:
+    """Return the kind of a request's failure by the error of its last attempt."""
+    if isinstance(error, AttemptCancelledError):
+        return error.kind
+    return FailureKind.SERVER_SILENT if is_late else FailureKind.SERVER_FAILED
--- /dev/null
+++ b/packages/edge/ryelock/edge/cache_fill.py
@@ -0,0 +1,121 @@
+"""Fills the cache: what of a server's or a peer's response is stored, and who is woken by it.
+
+A purge that comes while a fetch is under way spoils it: what the fetch brings answers its own
+request and is not stored.
+"""
+
+from dataclasses import dataclass
+
+from ryelock.cache import Fill, StoredResponse, copy_of, freshen
+from ryelock.edge.cache_lookup import CacheLookup
+from ryelock.edge.context import EdgeContext
+from ryelock.edge.request import CacheStatus, Request
+from ryelock.edge.response_validator import ResponseValidator
+from ryelock.edge.upstream_response import UpstreamResponse
+from ryelock.http import HttpExchange, end_to_end
+from ryelock.replicated_state import Route
+
+NOT_MODIFIED = 304
+
+
+@dataclass(frozen=True, slots=True)
+class FillInProgress:
+    """One request's fetch for the cache.
+
+    Attributes:
+        fill: what others wait for.
+        stale: a stored response that may turn out to be unchanged.
+        purged_before: number of the newest purge when the fetch began.
+    """
+
+    fill: Fill
+    stale: StoredResponse | None
+    purged_before: int
+
+
+class CacheFiller:
+    """Stores what fetches bring."""
+
+    __slots__ = ("context", "lookup", "validator")
+
+    def __init__(
+        self, context: EdgeContext, lookup: CacheLookup, validator: ResponseValidator
+    ) -> None:
+        """Create the filler of an edge's cache."""
+        self.context = context
+        self.lookup = lookup
+        self.validator = validator
+
+    def begin(
+        self, request: Request, stored: StoredResponse | None, shareable: bool
+    ) -> FillInProgress:
+        """Begin a fetch; others can wait for it where it is shareable and the first of its key.
+
+        Whoever serves the request ends `request.fill`, so that nobody waits for ever.
+        """
+        store, key = self.context.store, request.cache_key
+        fill = store.begin(key) if shareable and key not in store.fills else Fill(key)
+        request.fill = fill
+        stale = stored if stored is not None and stored.etag is not None else None
+        return FillInProgress(fill, stale, store.purged)
+
+    def store_from_owner(self, progress: FillInProgress, response: StoredResponse) -> None:
+        """Store what the owner of the object gave."""
+        self.finish(progress, response if self.may_store(progress, response) else None)
+
+    def store_from_server(
+        self,
+        exchange: HttpExchange,
+        request: Request,
+        route: Route,
+        progress: FillInProgress,
+        upstream: UpstreamResponse,
+    ) -> StoredResponse | None:
+        """Store a server's response where it may be stored.
+
+        A probe that asks past the cache leaves what is stored as it is: it must not mend what it
+        then looks at as a reader would.
+
+        Returns:
+            The response in the form that is sent; None where the server's is to be streamed.
+        """
+        response = self.storable(exchange, request, route, progress, upstream)
+        if response is None:
+            if upstream.complete and request.cache_status is CacheStatus.MISS:
+                request.cache_status = CacheStatus.NOT_STORED
+            if not request.is_probe:
+                self.context.store.drop(progress.fill.key)
+            self.finish(progress, None)
+            return None
+        bypasses = request.is_probe and not self.lookup.may_reuse(response, route, exchange)
+        stores = not bypasses and self.may_store(progress, response)
+        self.finish(progress, response if stores else None)
+        return response
+
+    def storable(
+        self,
+        exchange: HttpExchange,
+        request: Request,
+        route: Route,
+        progress: FillInProgress,
+        upstream: UpstreamResponse,
+    ) -> StoredResponse | None:
+        """Return what may be stored: a new response, or one that its server says is unchanged."""
+        head, now = upstream.head, self.context.scheduler.now()
+        if head.status == NOT_MODIFIED and progress.stale is not None:
+            request.cache_status = CacheStatus.REVALIDATED
+            return freshen(progress.stale, head, upstream.sent_at, now)
+        if not upstream.complete or not self.validator.is_sealed(head):
+            return None
+        fields = end_to_end(head.fields)
+        return copy_of(exchange.head, route, head, fields, upstream.prefix, upstream.sent_at, now)
+
+    def may_store(self, progress: FillInProgress, response: StoredResponse) -> bool:
+        """Whether no purge since the fetch began names the response."""
+        fill = progress.fill
+        purged = self.context.store.purged_since(progress.purged_before, fill.key, response)
+        return not fill.spoiled and not purged
+
+    def finish(self, progress: FillInProgress, response: StoredResponse | None) -> None:
+        """Store a response, if there is one, and wake those who wait for it."""
+        self.context.store.end(progress.fill, response)
--- a/packages/edge/ryelock/edge/context.py
+++ b/packages/edge/ryelock/edge/context.py
@@ -1,63 +1,39 @@
-"""What all steps of a request's path share: the edge's parts, and a server's answer."""
+"""What the steps of a request's path share: the parts and the state of one edge."""
 
 from random import Random
 
 from ryelock.cache import CacheStore
-from ryelock.edge.gate import AdmissionQueue
+from ryelock.edge.admission_queue import AdmissionQueue
+from ryelock.edge.idempotency import IdempotencyKeys
 from ryelock.edge.member import EdgeSession
 from ryelock.edge.metrics import EdgeMetrics
-from ryelock.edge.orders import Failed, Keys, RecentRequests
 from ryelock.edge.peers import Peers
 from ryelock.edge.plan import Plan
-from ryelock.edge.servers import Servers, ServerState
+from ryelock.edge.request import RecentRequests
+from ryelock.edge.retry_detector import RetryDetector
+from ryelock.edge.servers import Servers
 from ryelock.events import Log
-from ryelock.http import (
-    ProtocolProfile,
-    Reader,
-    Response,
-    ResponseHead,
-)
-from ryelock.runtime import Connection, Network, Scheduler
+from ryelock.http import ProtocolProfile
+from ryelock.runtime import Network, Scheduler
 from ryelock.settings import Settings
 
-REPEAT_SECONDS = 30.0
-
-
-class UpstreamResponse:
-    """A server's answer: its head, what was read of its body, and the rest to come."""
-
-    __slots__ = ("answer", "connection", "first", "head", "reader", "sent", "server", "whole")
-
-    def __init__(
-        self,
-        head: ResponseHead,
-        first: bytes,
-        whole: bool,
-        answer: Response,
-        connection: Connection,
-        reader: Reader,
-        server: ServerState,
-        sent: float,
-    ) -> None:
-        self.head = head
-        self.first = first
-        self.whole = whole
-        self.answer = answer
-        self.connection = connection
-        self.reader = reader
-        self.server = server
-        self.sent = sent
+RETRY_WINDOW_SECONDS = 30.0
 
 
 class EdgeContext:
-    """The parts of one edge that an order needs on its way."""
+    """The parts of one edge that a request needs on its way.
+
+    Attributes:
+        plan: the present configuration version; another object once a new one is in force.
+        admission_queues: by service, as services come and go.
+        peers: the other edges of the region; None where edges do not share what they store.
+        requests_opened: requests since the start, which numbers those without a caller's name.
+        requests_served: those that a client sent, without probes and peers.
+    """
 
     __slots__ = (
-        "dialect",
-        "failed",
-        "gates",
-        "keys",
-        "lately",
+        "admission_queues",
+        "idempotency_keys",
         "log",
         "member",
         "metrics",
@@ -65,11 +41,13 @@
         "network",
         "peers",
         "plan",
+        "profile",
         "random",
         "recent_requests",
+        "requests_opened",
+        "requests_served",
+        "retry_detector",
         "scheduler",
-        "sequence",
-        "served",
         "servers",
         "settings",
         "store",
@@ -83,10 +61,11 @@
         log: Log,
         member: EdgeSession,
         random: Random,
-        dialect: ProtocolProfile,
+        profile: ProtocolProfile,
     ) -> None:
+        """Create the parts of an edge that has served nothing yet."""
         self.settings = settings
-        self.dialect = dialect
+        self.profile = profile
         self.name = settings.name
         self.scheduler = scheduler
         self.network = network
@@ -95,17 +74,16 @@
         self.random = random
         self.plan = Plan(0, member.replicated_state.configuration)
         self.servers = Servers(scheduler, log, settings, random)
-        self.store = CacheStore(settings.cache_bytes, dialect.labels)
-        self.gates: dict[str, AdmissionQueue] = {}
-        self.metrics = EdgeMetrics(self.gates, scheduler)
+        self.store = CacheStore(settings.cache_bytes, profile.labels)
+        self.admission_queues: dict[str, AdmissionQueue] = {}
+        self.metrics = EdgeMetrics(self.admission_queues, scheduler)
         self.recent_requests = RecentRequests(settings.explain_orders)
-        self.keys = Keys()
+        self.idempotency_keys = IdempotencyKeys()
         self.peers = (
             Peers(scheduler, settings.name, settings.zone, settings.regions)
             if settings.share_copies
             else None
         )
-        self.failed = Failed(REPEAT_SECONDS)
-        self.sequence = 0
-        self.served = 0
-        self.lately: dict[str, tuple[str, str]] = {}
+        self.retry_detector = RetryDetector(RETRY_WINDOW_SECONDS)
+        self.requests_opened = 0
+        self.requests_served = 0
--- a/packages/edge/ryelock/edge/failures.py
+++ b/packages/edge/ryelock/edge/failures.py
@@ -1,5 +1,6 @@
-"""How a request can end without a server's answer, and how one attempt at a server can."""
+"""How a request can end without a server's response, and how one attempt at a server can."""
 
+from dataclasses import dataclass
 from enum import StrEnum
 
 from ryelock.http import ClientError
@@ -28,43 +29,48 @@
     SERVICE_UNKNOWN = "service unknown"
 
 
+@dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a request has no server's answer, and whether it may have run."""
-
-    __slots__ = ("back", "kind", "reason", "room_in", "status", "unknown")
-
-    def __init__(
-        self,
-        kind: FailureKind,
-        status: int,
-        reason: str,
-        unknown: bool = False,
-        back: float = 1.0,
-        room_in: float = 0.0,
-    ) -> None:
-        """Create a failure.
-
-        Args:
-            kind: why, in one of few words.
-            status: HTTP status for the caller.
-            reason: why, for the caller and the record of the request.
-            unknown: whether a server may have run the request.
-            back: seconds after which the caller should come back.
-            room_in: seconds until the service's rate is expected to have room; 0 where the
-                rate is not the reason, infinite where that is not known.
-        """
-        self.kind = kind
-        self.status = status
-        self.reason = reason
-        self.unknown = unknown
-        self.back = back
-        self.room_in = room_in
+    """Why a request has no server's response.
+
+    Attributes:
+        kind: why, as the metrics count it.
+        status: HTTP status for the caller.
+        reason: why, for the caller and for explain.
+        outcome_unknown: whether a server may have run the request.
+        retry_after: seconds after which the caller should come back.
+        room_in: seconds until the service's rate is expected to have room; 0 where the rate is
+            not the reason, infinite where that is not known.
+    """
+
+    kind: FailureKind
+    status: int
+    reason: str
+    outcome_unknown: bool = False
+    retry_after: float = 1.0
+    room_in: float = 0.0
 
 
-class Withdrawn(ClientError):
+class AttemptCancelledError(ClientError):
     """An attempt that was given up here, for a reason that tells nothing of the server."""
 
     def __init__(self, kind: FailureKind, reason: str, sent: bool = False) -> None:
         """Create the error; `sent` tells whether the server may have got the request."""
         super().__init__(reason, sent)
         self.kind = kind
+
+
+class ConnectFailedError(ClientError):
+    """No connection to the server came about, so nothing was sent."""
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("no link to the server", False)
+
+
+class ServerRejectedError(ClientError):
+    """The server says for certain that it did not run the request."""
+
+    def __init__(self, status: int) -> None:
+        """Create the error of a response's status."""
+        super().__init__(f"the server declined: {status}", False, status)
--- a/packages/edge/ryelock/edge/metrics.py
+++ b/packages/edge/ryelock/edge/metrics.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Mapping
 
-from ryelock.edge.gate import AdmissionQueue
+from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.metrics import Labels, Metrics
 from ryelock.runtime import Scheduler
 
--- /dev/null
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -0,0 +1,389 @@
+"""Asks the edge that keeps an object (its owner) for it.
+
+An owner that begins a fetch, or joins one, says so at once (102 Processing): one that is silent is
+told from one whose server is slow. One at work is waited for somewhat longer, up to the route's
+latency target.
+
+A request to an owner has one step or two on one connection. Where the budget of retries has no
+room for the owner's silence, a lookup comes first, which lets the owner send nothing to a server:
+it answers at once, with a stored response or that it has none. The fetch waits for a fill that is
+under way there, or begins one, and names how many servers it may send to; its response names how
+many it reached. So a silent owner has sent nothing to a server unless it fell silent within the
+fetch itself, and what it may have sent is known: nothing after a lookup, at most the number that
+the fetch named after a silence, the number it reported otherwise.
+
+Weighed: one step always (an owner that hangs then costs a retry for each request that it swallowed,
+and requests are rejected once none is left), a lookup always (on a site of 98 machines the round
+trips cost 0.05 to 0.1 of a scale day's value), and `Expect: 100-continue` as the second step (the
+same round trip, with framing that depends on whether the body is still to come).
+"""
+
+from dataclasses import dataclass
+
+from expression import Result
+
+from ryelock.cache import CONDITIONAL_FIELDS, StoredResponse, copy_of, freshen
+from ryelock.edge.context import EdgeContext
+from ryelock.edge.peer_protocol import (
+    AGE_FIELD,
+    LOOKUP,
+    PEER_FIELD,
+    PEER_FIELDS,
+    RELAYED_FIELD,
+    ROOM_FIELD,
+    SERVERS_FIELD,
+    parse_count,
+    parse_seconds,
+)
+from ryelock.edge.peers import Peers
+from ryelock.edge.request import Request
+from ryelock.edge.response_validator import ResponseValidator
+from ryelock.edge.routing import Router
+from ryelock.edge.upstream_response import read_prefix
+from ryelock.http import (
+    ClientError,
+    Fields,
+    HttpExchange,
+    Reader,
+    Response,
+    ResponseHead,
+    end_to_end,
+    field,
+    read_response,
+    send_request,
+)
+from ryelock.http.heads import FramingError
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.membership import Session
+from ryelock.replicated_state import Route
+from ryelock.runtime import Connection
+
+CONNECT_SECONDS = 0.1
+LOOKUP_SECONDS = 0.25
+DEADLINE_PART = 0.5
+"""Part of the time left that an owner may take."""
+SILENCE_TARGET_PART = 0.75
+"""Part of the latency target up to which an owner that says nothing is waited for."""
+TIMEOUT_SECONDS_LEAST = 0.25
+WORKING_TARGET_PART = 1.0
+"""An owner that works on a fetch is waited for up to this part of the latency target; then a server
+is asked from here, which also takes load from an owner whose connection is full."""
+HOME_PART = 0.7
+"""The owner of a zone waits less for the home's than the edge that asked waits for it."""
+UNFINAL_STATUSES = (304, 408, 421, 425, 429)
+
+
+@dataclass(frozen=True, slots=True)
+class RelayedResponse:
+    """A server's whole response that is not stored, as the owner relayed it."""
+
+    head: ResponseHead
+    body: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class OwnerRejection:
+    """The owner has nothing for this request.
+
+    Attributes:
+        status: what it answered.
+        servers_reached: how many servers it reached; None where it does not say.
+        room_in: seconds until it expects room in the service's rate; None where it is not for want
+            of room that it has nothing.
+    """
+
+    status: int
+    servers_reached: int | None
+    room_in: float | None = None
+
+
+OwnerReply = StoredResponse | RelayedResponse | OwnerRejection
+
+
+class OwnerClient:
+    """Asks the owners of objects."""
+
+    __slots__ = ("context", "router", "validator")
+
+    def __init__(self, context: EdgeContext, router: Router, validator: ResponseValidator) -> None:
+        """Create the client of an edge."""
+        self.context = context
+        self.router = router
+        self.validator = validator
+
+    def may_ask(self, request: Request) -> bool:
+        """Whether a request may go to another edge: no probe, and none without a name."""
+        return not request.is_probe and (request.named_by_caller or self.context.profile.own)
+
+    async def ask(
+        self,
+        exchange: HttpExchange,
+        request: Request,
+        route: Route,
+        stale: StoredResponse | None,
+    ) -> OwnerReply | None:
+        """Ask the edge that keeps an object for the zone or the region.
+
+        Returns:
+            What it gives; None where the object is to be fetched from a server here.
+        """
+        peers = self.context.peers
+        if peers is None or not self.may_ask(request):
+            return None
+        peers.follow(self.context.member.members)
+        zone = "" if request.peer is None else request.peer.zone
+        owner = peers.owner((request.host, request.target), zone)
+        if owner is None:
+            return None
+        return await OwnerRequest(self, peers, owner, exchange, request, route, stale).run()
+
+
+class OwnerRequest:
+    """One request to the owner of its object.
+
+    Attributes:
+        stale: a stored response that the owner may say is unchanged.
+        keep: whether the connection can be used again.
+        sent_at: monotonic time of the last step's sending.
+        until: monotonic time up to which a silent owner is waited for.
+        working_until: the same for one that says that it is at work.
+    """
+
+    __slots__ = (
+        "connection",
+        "context",
+        "exchange",
+        "keep",
+        "owner",
+        "peers",
+        "reader",
+        "request",
+        "route",
+        "router",
+        "sent_at",
+        "stale",
+        "until",
+        "validator",
+        "working_until",
+    )
+
+    def __init__(
+        self,
+        client: OwnerClient,
+        peers: Peers,
+        owner: Session,
+        exchange: HttpExchange,
+        request: Request,
+        route: Route,
+        stale: StoredResponse | None,
+    ) -> None:
+        """Take a connection to the owner; nothing is sent yet."""
+        self.context = client.context
+        self.router = client.router
+        self.validator = client.validator
+        self.peers = peers
+        self.owner = owner
+        self.exchange = exchange
+        self.request = request
+        self.route = route
+        self.stale = stale
+        self.keep = False
+        self.sent_at = 0.0
+        self.until, self.working_until = self.timeouts()
+        kept = peers.kept_connection(owner.order)
+        if kept is not None:
+            self.connection: Connection = kept[0]
+            self.reader = kept[1]
+        else:
+            self.connection = self.context.network.connect(owner.order)
+            self.reader = Reader(self.context.scheduler, self.connection)
+
+    def timeouts(self) -> tuple[float, float]:
+        """Return until when the owner is waited for: while it is silent, and while it works."""
+        now = self.context.scheduler.now()
+        left = self.router.deadline(self.exchange, self.route) - now
+        silent = working = most = DEADLINE_PART * max(0.0, left)
+        target = self.route.target_seconds
+        if target:
+            silent = min(most, max(TIMEOUT_SECONDS_LEAST, SILENCE_TARGET_PART * target))
+            working = min(most, max(TIMEOUT_SECONDS_LEAST, WORKING_TARGET_PART * target))
+        if self.request.peer is not None:
+            working *= HOME_PART
+        return now + silent, now + working
+
+    async def run(self) -> OwnerReply | None:
+        """Ask the owner; None where the object is to be fetched from a server here.
+
+        An owner without room in the service's rate rejects for all: what was fetched here instead
+        would take as much of the rate, and serve this edge alone.
+        """
+        self.peers.asked[self.owner.name] += 1
+        try:
+            if not self.connection.connected and not await self.connection.wait_connected(
+                CONNECT_SECONDS
+            ):
+                self.peers.doubt(self.owner)
+                return None
+            reply = await self.look_up_and_fetch()
+            if isinstance(reply, OwnerRejection) and reply.room_in is None:
+                return None
+            return reply
+        finally:
+            self.peers.asked[self.owner.name] -= 1
+            if self.keep:
+                self.peers.keep_connection(self.owner.order, self.connection, self.reader)
+            else:
+                self.connection.abort()
+
+    async def look_up_and_fetch(self) -> OwnerReply | None:
+        """Have the owner fetch, after a lookup where its silence could not be paid for."""
+        if not self.can_pay_for_silence():
+            reply = await self.look_up()
+            if not isinstance(reply, OwnerRejection) or reply.servers_reached != 0:
+                return reply
+        return await self.fetch()
+
+    def can_pay_for_silence(self) -> bool:
+        """Whether the budget of retries has room for this request and all others to the owner.
+
+        A fetch that the owner swallows may have reached a server, so the request that goes to
+        another one then is a retry.
+        """
+        queue = self.context.admission_queues.get(self.request.service)
+        return queue is not None and queue.budget.room >= self.peers.asked[self.owner.name]
+
+    async def look_up(self) -> OwnerReply | None:
+        """Ask for a stored response. Whatever comes of it, no server was sent anything."""
+        until = min(self.until, self.context.scheduler.now() + LOOKUP_SECONDS)
+        self.send(LOOKUP, until)
+        return await self.receive(until)
+
+    async def fetch(self) -> OwnerReply | None:
+        """Have the owner fetch; what it may have sent to servers is charged to the request."""
+        servers = max(1, self.request.attempts_left - 1)
+        self.send(servers, self.router.deadline(self.exchange, self.route))
+        reply = await self.receive(self.until, waits_longer=True)
+        if reply is None:
+            self.request.charge_owner(servers)
+        elif isinstance(reply, OwnerRejection):
+            reached = reply.servers_reached
+            self.request.charge_owner(servers if reached is None else reached)
+        return reply
+
+    def send(self, servers: int, until: float) -> None:
+        """Send one step.
+
+        Args:
+            servers: how many servers the owner may send the request to.
+            until: monotonic time up to which it may work on it.
+        """
+        profile = self.context.profile
+        head = self.exchange.head
+        dropped = {*CONDITIONAL_FIELDS, b"expect", *PEER_FIELDS, profile.deadline.lower()}
+        fields: Fields = [
+            (name, value) for name, value in end_to_end(head.fields) if name.lower() not in dropped
+        ]
+        self.sent_at = self.context.scheduler.now()
+        if profile.identity and field(fields, profile.identity.lower()) is None:
+            fields.append((profile.identity, self.request.identity.encode("latin-1")))
+        if profile.deadline:
+            left = int((until - self.sent_at) * 1000)
+            fields.append((profile.deadline, b"%d" % max(1, left)))
+        if self.stale is not None and self.stale.etag is not None:
+            fields.append((b"If-None-Match", self.stale.etag))
+        fields.append((PEER_FIELD, self.peer_field()))
+        fields.append((SERVERS_FIELD, b"%d" % servers))
+        send_request(self.connection, b"GET", head.target, fields, b"")
+
+    def peer_field(self) -> bytes:
+        """Return what the owner is told of this edge.
+
+        An owner that knows of fewer purges uses nothing that it has stored.
+        """
+        context, session = self.context, self.context.member.session
+        purges, version = context.store.purged, context.plan.version
+        return f"{session.name} {session.mark} {purges} {version}".encode()
+
+    async def receive(self, until: float, waits_longer: bool = False) -> OwnerReply | None:
+        """Return the owner's reply, or None where it gave no whole one to this request.
+
+        Args:
+            until: monotonic time up to which a silent owner is waited for.
+            waits_longer: whether to wait on where nothing can be sent to a server from here.
+        """
+        self.keep = False
+        try:
+            found = await self.read_head(until)
+            if found.is_error() and waits_longer and self.depends_on_owner():
+                until = self.router.deadline(self.exchange, self.route)
+                found = await self.read_head(until)
+            if found.is_error():
+                # An owner that answered others meanwhile is slow, not gone.
+                if self.peers.heard(self.owner) < self.sent_at:
+                    self.peers.doubt(self.owner)
+                return None
+            response = found.ok
+            if not self.validator.is_for(self.request, response.head):
+                return None
+            body, complete = await read_prefix(
+                response, max(until, self.working_until), self.context.settings.answer_bytes
+            )
+        except (IncompleteMessageError, ReadTimeoutError, FramingError):
+            self.peers.doubt(self.owner)
+            return None
+        self.keep = complete and response.keep_alive
+        return self.read_reply(response.head, body, complete)
+
+    async def read_head(self, until: float) -> Result[Response, ClientError]:
+        """Read the head of the final response."""
+        return await read_response(
+            self.reader, b"GET", self.context.settings.head_bytes, until, self.working_until
+        )
+
+    def depends_on_owner(self) -> bool:
+        """Whether no server may be sent the request from here, so that only the owner is left."""
+        queue = self.context.admission_queues.get(self.request.service)
+        return not self.connection.closed and (
+            self.request.attempts_left <= 1 or queue is None or queue.budget.room < 1.0
+        )
+
+    def read_reply(self, head: ResponseHead, body: bytes, complete: bool) -> OwnerReply:
+        """Tell a stored response from a relayed one and from a rejection."""
+        age = parse_seconds(field(head.fields, AGE_FIELD.lower()))
+        fields = [
+            pair
+            for pair in end_to_end(head.fields)
+            if pair[0].lower() not in PEER_FIELDS and pair[0].lower() != b"age"
+        ]
+        server_head = ResponseHead(head.status, head.reason, 1, fields)
+        if complete and age is not None:
+            self.peers.trust(self.owner)
+            stored = self.read_stored(server_head, body, age)
+            if stored is not None:
+                return stored
+        elif complete and is_final(head.status) and field(head.fields, RELAYED_FIELD.lower()):
+            self.peers.trust(self.owner)
+            return RelayedResponse(server_head, body)
+        return OwnerRejection(
+            head.status,
+            parse_count(field(head.fields, SERVERS_FIELD.lower())),
+            parse_seconds(field(head.fields, ROOM_FIELD.lower())),
+        )
+
+    def read_stored(self, head: ResponseHead, body: bytes, age: float) -> StoredResponse | None:
+        """Return the owner's stored response, as old as the owner says and the way here took."""
+        now = self.context.scheduler.now()
+        if head.status == 304 and self.stale is not None:
+            stored: StoredResponse | None = freshen(self.stale, head, self.sent_at, now)
+        else:
+            stored = copy_of(
+                self.exchange.head, self.route, head, head.fields, body, self.sent_at, now
+            )
+        if stored is not None:
+            stored.age_then = age + (now - self.sent_at)
+        return stored
+
+
+def is_final(status: int) -> bool:
+    """Whether a second server could not do better: not the server's own failure, nor "not run"."""
+    return status < 500 and status not in UNFINAL_STATUSES
--- /dev/null
+++ b/packages/edge/ryelock/edge/preview.py
@@ -0,0 +1,62 @@
+"""Tells an operator what would become of a request, without sending it."""
+
+from ryelock.cache import may_use
+from ryelock.edge.context import EdgeContext
+from ryelock.edge.plan import path_of
+from ryelock.edge.request import Request
+from ryelock.edge.routing import Router
+
+
+class RequestPreview:
+    """Answers operators who ask what would happen to a request."""
+
+    __slots__ = ("context", "router")
+
+    def __init__(self, context: EdgeContext, router: Router) -> None:
+        """Create the preview of an edge's path."""
+        self.context = context
+        self.router = router
+
+    def describe(self, method: str, target: str, host: str) -> dict[str, object]:
+        """Return what explain tells of a request that was not sent."""
+        context = self.context
+        now = context.scheduler.now()
+        request = Request("", method, target, host, now, context.scheduler.clock.wall())
+        request.path = path_of(target)
+        request.zone_verdicts = context.member.verdicts()
+        route = self.router.find_route(request)
+        found = {**request.to_wire(), "serving": context.member.serving}
+        if route is None:
+            return {**found, "status": 404, "reason": "no route"}
+        stored = context.store.find((request.route_name, host, target), [])
+        is_hit = stored is not None and may_use(stored, route, [], now)
+        candidates: list[dict[str, object]] = []
+        address = self.pick_address(request, candidates)
+        return {
+            **found,
+            "cache": "hit" if is_hit else "miss" if route.cached else "not cached",
+            "servers_weighed": candidates,
+            "would_go_to": "a copy" if is_hit else address,
+            "allowance": self.admission_state(request.service, now),
+        }
+
+    def pick_address(self, request: Request, candidates: list[dict[str, object]]) -> str:
+        """Return the server that would be picked; a trial that this would begin is taken back."""
+        state = self.context.servers.pick(request.service, set(), request.zone_verdicts, candidates)
+        if state is None:
+            return "no live server"
+        if state.trying:
+            state.trying = False
+        return state.server.address
+
+    def admission_state(self, service: str, now: float) -> dict[str, object]:
+        """Return what the service's admission queue holds; empty where there is none."""
+        queue = self.context.admission_queues.get(service)
+        if queue is None:
+            return {}
+        return {
+            "share": round(queue.bucket.holding(now), 3),
+            "flight": queue.in_flight,
+            "waiting": queue.waiting,
+            "repeats_left": round(queue.budget.room, 2),
+        }
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from ryelock.control_api import ControlApi
-from ryelock.edge.gate import AdmissionQueue
+from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.member import EdgeSession
 from ryelock.edge.plan import Plan
@@ -119,8 +119,8 @@
             self.member.wanted = self.wanted
             self.member.shares = self.on_shares
             self.member.grants = self.on_grants
-            self.member.failures = self.handler.failed.take_fresh
-            self.member.objects = self.handler.lately_served
+            self.member.failures = self.handler.context.retry_detector.take_new_reports
+            self.member.objects = self.handler.served_objects.report
             self.member.hear_failed = self.on_failed
             limits = Limits(
                 settings.head_bytes,
@@ -139,7 +139,7 @@
                 bulk=True,
             )
             self.session.order = self.request_server.address
-        figures = self.handler.metrics.all if self.handler is not None else Metrics()
+        figures = self.handler.context.metrics.all if self.handler is not None else Metrics()
         export_metrics(
             scheduler, network, log, figures, settings.metrics_address, settings.metrics_log_seconds
         )
@@ -198,9 +198,9 @@
         if handler is None:
             return
         configuration = self.replicated_state.configuration
-        if handler.plan.version != self.replicated_state.version:
-            before = handler.plan
-            handler.plan = Plan(self.replicated_state.version, configuration)
+        if handler.context.plan.version != self.replicated_state.version:
+            before = handler.context.plan
+            handler.context.plan = Plan(self.replicated_state.version, configuration)
             known = dict(zip(before.route_names, before.routes, strict=True))
             moved = {
                 name
@@ -209,20 +209,23 @@
                 or (now.service, now.split, now.cached)
                 != (route.service, route.split, route.cached)
             }
-            for key in [key for key in handler.store.responses if key[0] in moved]:
-                handler.store.drop(key)
-            for key, fill in list(handler.store.fills.items()):
+            for key in [key for key in handler.context.store.responses if key[0] in moved]:
+                handler.context.store.drop(key)
+            for key, fill in list(handler.context.store.fills.items()):
                 if key[0] in moved:
                     fill.spoiled = True
             self.limit(configuration.limits.get("callers"))
+            queues = handler.context.admission_queues
             for name, service in configuration.services.items():
-                gate = handler.gates.get(name)
+                gate = queues.get(name)
                 if gate is None:
-                    gate = handler.gates[name] = AdmissionQueue(self.scheduler, name, service)
+                    gate = queues[name] = AdmissionQueue(self.scheduler, name, service)
                 gate.resize(service, self.member.edges)
-            for name in [name for name in handler.gates if name not in configuration.services]:
-                handler.gates.pop(name).running.cancel()
-        handler.store.take_purges(self.replicated_state.purges, self.replicated_state.purge_number)
+            for name in [name for name in queues if name not in configuration.services]:
+                queues.pop(name).running.cancel()
+        handler.context.store.take_purges(
+            self.replicated_state.purges, self.replicated_state.purge_number
+        )
 
     def limit(self, said: CallerLimits | None) -> None:
         """What callers may send, by the configuration or else by this process's settings."""
@@ -236,18 +239,23 @@
 
     def on_listing(self, listing: ServerList) -> None:
         if self.handler is not None:
-            self.handler.servers.take(listing)
+            self.handler.context.servers.take(listing)
 
     def demand(self) -> dict[str, float]:
         if self.handler is None:
             return {}
-        return {name: gate.measure() for name, gate in self.handler.gates.items()}
+        return {
+            name: gate.measure() for name, gate in self.handler.context.admission_queues.items()
+        }
 
     def holding(self) -> dict[str, float]:
         if self.handler is None:
             return {}
         now = self.scheduler.now()
-        return {name: gate.bucket.holding(now) for name, gate in self.handler.gates.items()}
+        return {
+            name: gate.bucket.holding(now)
+            for name, gate in self.handler.context.admission_queues.items()
+        }
 
     def promised_shares(self) -> dict[str, float]:
         """What this edge may spend while there is no leader: what it held, or the reserve."""
@@ -255,7 +263,7 @@
             return {}
         edges = self.member.edges
         held = self.holding()
-        for name, gate in self.handler.gates.items():
+        for name, gate in self.handler.context.admission_queues.items():
             service = gate.service
             if gate.bucket.counted or is_narrow(service.rate, service.burst_seconds, edges):
                 held[name] = reserve(service.rate, service.burst_seconds, edges)
@@ -264,24 +272,27 @@
     def wanted(self) -> dict[str, int]:
         if self.handler is None:
             return {}
-        return {name: gate.wanted() for name, gate in self.handler.gates.items() if gate.wanted()}
+        return {
+            name: gate.wanted()
+            for name, gate in self.handler.context.admission_queues.items()
+            if gate.wanted()
+        }
 
     def on_grants(self, grants: dict[str, tuple[int, float, float]], asked: float) -> None:
         """Whole orders of narrow services; good for a moment from before they were asked for."""
         if self.handler is None:
             return
         for name, (granted, expected, found) in grants.items():
-            gate = self.handler.gates.get(name)
+            gate = self.handler.context.admission_queues.get(name)
             if gate is not None:
                 gate.bucket.grant(granted, expected, found, asked + GRANT_SECONDS)
-                if gate.waiting:
-                    gate.news.put(True)
+                gate.notify()
 
     def on_failed(self, callers: list[bytes]) -> None:
         """Failures that other edges told callers, who may come here next."""
         if self.handler is not None:
             for caller in callers:
-                self.handler.failed.hear(caller, self.scheduler.now())
+                self.handler.context.retry_detector.record(caller, self.scheduler.now())
 
     def on_shares(self, shares: dict[str, float], until: float, edges: int) -> None:
         if self.handler is None:
@@ -290,17 +301,17 @@
         if self.settings.serve_lapsed:
             until = LASTING
         for name, share in shares.items():
-            gate = self.handler.gates.get(name)
+            gate = self.handler.context.admission_queues.get(name)
             if gate is not None:
                 gate.bucket.give(share, until, now)
-        for gate in self.handler.gates.values():
+        for gate in self.handler.context.admission_queues.values():
             gate.resize(gate.service, edges)
 
     async def tend(self) -> None:
         """Keep what the session says of this node up to date."""
         while True:
             if self.handler is not None:
-                self.session.served = self.handler.served
+                self.session.served = self.handler.context.requests_served
             self.session.applied = self.replicated_state.index
             self.session.ready = self.ready
             await self.scheduler.sleep(0.1)
@@ -397,12 +408,12 @@
             return {"fault": "no orders come here"}
         identity = query.get("order")
         if isinstance(identity, str):
-            kept = handler.recent_requests.kept.get(identity)
+            kept = handler.context.recent_requests.kept.get(identity)
             if kept is None:
                 return {"fault": f"order {identity} is not remembered here"}
-            return kept.plain()
+            return kept.to_wire()
         method, target = str(query.get("method", "GET")), str(query.get("target", "/"))
-        return handler.foresee(method, target, str(query.get("host", "")))
+        return handler.preview.describe(method, target, str(query.get("host", "")))
 
     # The end.
 
--- /dev/null
+++ b/packages/edge/ryelock/edge/rejections.py
@@ -0,0 +1,146 @@
+"""The final response of a request that is given up: why, what became of it, when to come back."""
+
+import json
+import math
+from dataclasses import replace
+
+from ryelock.edge.context import EdgeContext
+from ryelock.edge.failures import Failure, FailureKind
+from ryelock.edge.peer_protocol import ROOM_FIELD, peer_fields
+from ryelock.edge.request import AdmissionOutcome, Outcome, Request, RequestClass
+from ryelock.http import Fields, HttpExchange, field
+from ryelock.replicated_state import Route
+
+UNROUTED_RETRY_AFTER_SECONDS = 0.2
+"""Retry-After of a rejection that belongs to no route."""
+DEFAULT_BACKOFF_SECONDS = 1.0
+BACKOFF_JITTER_SECONDS = 2.0
+BACKOFF_LEAST_PART = 0.05
+BACKOFF_SPREAD_PART = 0.15
+"""A caller comes back after these parts of the latency target, spread by chance."""
+ROOM_RETRY_AFTER_SECONDS_MOST = 0.9
+"""A caller is not kept away longer than this for want of room: the rate's shares move sooner."""
+COMES_BACK_STATUSES = (429, 503)
+OWN_COMES_BACK_STATUSES = (429, 502, 503, 504)
+CALLER_GONE_STATUS = 499
+CROWDED = (b"X-Ryelock-Outcome", b"crowded")
+"""Tells a prober that the service is at its rate, so that the edge is not taken for faulty."""
+
+
+class RejectionResponder:
+    """Answers requests that are given up."""
+
+    __slots__ = ("context",)
+
+    def __init__(self, context: EdgeContext) -> None:
+        """Create the responder of an edge."""
+        self.context = context
+
+    async def reject(self, exchange: HttpExchange, request: Request, failure: Failure) -> None:
+        """Send the final response of a request that is given up, at once.
+
+        No caller is led to think that a request which may run once has not run where a server may
+        have run it: such a one gets 502 in place of a status that asks it to come back.
+        """
+        comes_back = failure.status in COMES_BACK_STATUSES
+        if (
+            comes_back
+            and request.may_have_run
+            and request.request_class is RequestClass.AT_MOST_ONCE
+        ):
+            failure = replace(failure, status=502, room_in=0.0)
+        self.record(request, failure)
+        if failure.status == CALLER_GONE_STATUS or exchange.seconds_left:
+            exchange.abort()
+            return
+        if self.context.profile.own:
+            fields = self.own_fields(exchange, request, failure)
+        else:
+            fields = self.profile_fields(request, failure, comes_back)
+        fields += peer_fields(request)
+        if request.peer is not None and failure.kind in (
+            FailureKind.OVER_RATE,
+            FailureKind.OWNER_OVER_RATE,
+        ):
+            room_in = min(failure.room_in, ROOM_RETRY_AFTER_SECONDS_MOST)
+            fields.append((ROOM_FIELD, b"%.3f" % room_in))
+        body = b"" if exchange.head.method == b"HEAD" else rejection_body(request, failure)
+        await exchange.respond(failure.status, fields, body)
+
+    def record(self, request: Request, failure: Failure) -> None:
+        """Note the failure for the metrics and for explain."""
+        self.context.metrics.refusals.add(request.service, request.asked_by, failure.kind)
+        request.status = failure.status
+        request.reason = failure.reason
+        request.outcome = Outcome.UNKNOWN if failure.outcome_unknown else Outcome.NOT_RUN
+        if request.request_class is RequestClass.IDEMPOTENT and request.was_sent:
+            request.outcome = Outcome.NO_ANSWER
+
+    def own_fields(self, exchange: HttpExchange, request: Request, failure: Failure) -> Fields:
+        """Return the fields of a rejection on the project's own interface.
+
+        Retry-After (RFC 9110, 10.2.3) is spread by chance, lest all callers come back at once.
+        """
+        outcome = (b"X-Ryelock-Outcome", request.outcome.replace(" ", "-").encode())
+        has_key = field(exchange.head.fields, b"idempotency-key") is not None
+        retry_after: Fields = []
+        if request.is_probe and request.admission is AdmissionOutcome.NO_SHARE:
+            outcome = CROWDED
+        elif failure.status in OWN_COMES_BACK_STATUSES and (not failure.outcome_unknown or has_key):
+            jitter = self.context.random.random() * BACKOFF_JITTER_SECONDS
+            retry_after = [(b"Retry-After", b"%d" % math.ceil(failure.retry_after + jitter))]
+        return [
+            (b"Content-Type", b"application/json"),
+            (b"Cache-Control", b"no-store"),
+            outcome,
+            (b"X-Ryelock-Order", request.identity.encode()),
+            *retry_after,
+        ]
+
+    def profile_fields(self, request: Request, failure: Failure, comes_back: bool) -> Fields:
+        """Return the fields of a rejection on an interface with names of its own."""
+        profile = self.context.profile
+        seconds = self.retry_after(request, failure)
+        fields: Fields = [(b"Content-Type", b"application/json")]
+        if comes_back:
+            value = b"%.3f" % seconds if profile.fractions else b"%d" % math.ceil(seconds)
+            fields.append((b"Retry-After", value))
+        fields.append((profile.identity, request.identity.encode("latin-1")))
+        if request.is_probe and self.is_crowded(request):
+            fields.append(CROWDED)
+        return fields
+
+    def retry_after(self, request: Request, failure: Failure) -> float:
+        """Return the seconds after which a caller should come back.
+
+        Not before the service's rate is expected to have room: a caller that comes back sooner
+        is rejected again and uses up its attempts.
+        """
+        if request.route is None:
+            return UNROUTED_RETRY_AFTER_SECONDS
+        backoff = backoff_seconds(self.context, request.route)
+        if not math.isfinite(failure.room_in):
+            return backoff
+        return max(backoff, min(backoff + failure.room_in, ROOM_RETRY_AFTER_SECONDS_MOST))
+
+    def is_crowded(self, request: Request) -> bool:
+        """Whether a request failed since the service is at its rate or its servers are full."""
+        now = self.context.scheduler.now()
+        return request.admission in (AdmissionOutcome.OVER_RATE, AdmissionOutcome.NO_SHARE) or any(
+            now < state.full_until
+            for state in self.context.servers.by_service.get(request.service, ())
+        )
+
+
+def backoff_seconds(context: EdgeContext, route: Route) -> float:
+    """Return seconds after which to come back: within the time that is of full value."""
+    if context.profile.own or not route.target_seconds:
+        return DEFAULT_BACKOFF_SECONDS
+    spread = BACKOFF_SPREAD_PART * context.random.random()
+    return route.target_seconds * (BACKOFF_LEAST_PART + spread)
+
+
+def rejection_body(request: Request, failure: Failure) -> bytes:
+    """Return the body of a rejection: one JSON object on a line."""
+    told = {"error": failure.reason, "outcome": request.outcome.value, "order": request.identity}
+    return json.dumps(told).encode() + b"\n"
--- /dev/null
+++ b/packages/edge/ryelock/edge/retry_detector.py
@@ -0,0 +1,65 @@
+"""Detects retries: requests of callers that were lately given a failure for the same one.
+
+The budget of retries counts them, also where a caller does not mark them as such.
+"""
+
+from collections import OrderedDict
+
+Caller = bytes
+"""Digest of who asks for what: address, client, credentials, method, host and target."""
+NEW_REPORTS_MOST = 200
+
+
+class RetryDetector:
+    """Failures of requests that had been sent, as callers were given them lately.
+
+    Each failure accounts for one retry: the next such request of such a caller. Many callers
+    behind one address that ask for the same are told apart only by count: no more of their
+    requests are taken for retries than failures were given. The leader passes new failures to the
+    other edges, a moment later, since a caller may retry at any of them.
+    """
+
+    __slots__ = ("failures", "most", "new_reports", "seconds")
+
+    def __init__(self, seconds: float, most: int = 20_000) -> None:
+        """Create a detector.
+
+        Args:
+            seconds: how long after a failure a request counts as its retry.
+            most: how many callers are remembered.
+        """
+        self.seconds = seconds
+        self.most = most
+        self.failures: OrderedDict[Caller, list[float]] = OrderedDict()
+        self.new_reports: list[Caller] = []
+
+    def report(self, caller: Caller, now: float) -> None:
+        """Record a failure of this edge's, also for the other edges."""
+        if len(self.new_reports) < NEW_REPORTS_MOST:
+            self.new_reports.append(caller)
+        self.record(caller, now)
+
+    def take_new_reports(self) -> list[Caller]:
+        """Return this edge's failures since the last call, for the other edges."""
+        new_reports, self.new_reports = self.new_reports, []
+        return new_reports
+
+    def record(self, caller: Caller, now: float) -> None:
+        """Record a failure of this edge's or another's."""
+        self.failures.setdefault(caller, []).append(now)
+        self.failures.move_to_end(caller)
+        while len(self.failures) > self.most:
+            self.failures.popitem(last=False)
+
+    def is_retry(self, caller: Caller, now: float) -> bool:
+        """Whether a request of this caller follows a recent failure."""
+        failed_at = self.failures.get(caller)
+        return failed_at is not None and now - failed_at[-1] <= self.seconds
+
+    def count_retry(self, caller: Caller) -> None:
+        """A retry was sent: it uses up one failure, the oldest."""
+        failed_at = self.failures.get(caller)
+        if failed_at is not None:
+            failed_at.pop(0)
+            if not failed_at:
+                del self.failures[caller]
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -1,119 +1,140 @@
-"""An order is opened: who sent it, by what route it goes, and how much time it has."""
+"""Opens a request: who sent it, which route it takes, and how much time it has."""
 
 from ryelock.edge.context import EdgeContext
-from ryelock.edge.orders import Request
-from ryelock.edge.owner import (
-    SERVERS_FIELD,
-    number_of,
-)
+from ryelock.edge.peer_protocol import PEER_FIELD, SERVERS_FIELD, parse_count
 from ryelock.edge.plan import has_dots, host_of, path_of
-from ryelock.http import (
-    HttpExchange,
-    field,
-)
+from ryelock.edge.request import PeerOrigin, Request, RequestClass
+from ryelock.http import Fields, HttpExchange, field
 from ryelock.replicated_state import Route
 
-SAFE = (b"GET", b"HEAD", b"OPTIONS", b"TRACE")
-ANSWER_MARGIN = 0.02
+SAFE_METHODS = (b"GET", b"HEAD", b"OPTIONS", b"TRACE")
+"""Methods that may be retried (RFC 9110, 9.2.1)."""
+RESPONSE_MARGIN_SECONDS = 0.02
+"""Part of a caller's deadline that is left for the response to reach it."""
+NUMBER_DIGITS_MOST = 18
 
 
-class Routing(EdgeContext):
-    """Opening an order and finding its route."""
+class Router:
+    """Opens requests and finds their routes."""
 
-    __slots__ = ()
+    __slots__ = ("context",)
+
+    def __init__(self, context: EdgeContext) -> None:
+        """Create the router of an edge."""
+        self.context = context
 
     def open_request(self, exchange: HttpExchange) -> Request:
-        self.sequence += 1
+        """Return the record of a request that just arrived."""
+        context = self.context
+        context.requests_opened += 1
         head = exchange.head
-        said = field(head.fields, self.dialect.identity.lower()) if self.dialect.identity else None
+        identity = (
+            field(head.fields, context.profile.identity.lower())
+            if context.profile.identity
+            else None
+        )
         request = Request(
-            said.decode("latin-1")
-            if said
-            else f"{self.name}-{self.member.session.incarnation}-{self.sequence}",
+            identity.decode("latin-1")
+            if identity
+            else f"{context.name}-{context.member.session.incarnation}-{context.requests_opened}",
             head.method.decode("latin-1"),
             head.target.decode("latin-1"),
             host_of(field(head.fields, b"host")),
             exchange.response_started,
-            self.scheduler.clock.wall(),
+            context.scheduler.clock.wall(),
         )
         request.path = path_of(request.target)
-        request.named = bool(said)
-        request.probe = self.is_probe(field(head.fields, b"x-ryelock-probe"))
-        request.peer_zone, request.purged, request.known = self.peer_of(
-            field(head.fields, b"x-ryelock-peer")
-        )
-        request.peer = request.peer_zone != ""
-        if request.peer:
-            request.servers_given = number_of(field(head.fields, SERVERS_FIELD.lower()))
-        request.verdict = self.member.verdicts()
+        request.named_by_caller = bool(identity)
+        request.is_probe = self.is_probe(field(head.fields, b"x-ryelock-probe"))
+        request.peer = self.peer_origin(head.fields)
+        request.zone_verdicts = context.member.verdicts()
         return request
 
-    def peer_of(self, said: bytes | None) -> tuple[str, int, int]:
-        """The zone of the edge an order comes from, if it is a member; its purges and version.
+    def peer_origin(self, fields: Fields) -> PeerOrigin | None:
+        """Return the edge that a request comes from, if it is a member; None for any other caller.
 
         What is fetched for another edge goes under the caller's name: servers repeat no other.
         """
-        parts = (said or b"").decode("latin-1").split(" ")
-        if len(parts) != 4 or not all(
-            part.isascii() and part.isdigit() and len(part) < 19 for part in parts[2:]
-        ):
-            return "", 0, 0
-        session = self.member.members.get(parts[0])
-        if session is None or session.mark == "" or session.mark != parts[1]:
-            return "", 0, 0
-        return session.zone, int(parts[2]), int(parts[3])
-
-    def is_probe(self, said: bytes | None) -> bool:
-        """Whether an order comes from a prober that is a member; others may say so in vain."""
-        name, _, mark = (said or b"").decode("latin-1").partition(" ")
-        session = self.member.members.get(name)
+        value = field(fields, PEER_FIELD.lower())
+        if value is None:
+            return None
+        parts = value.decode("latin-1").split(" ")
+        if len(parts) != 4 or not all(is_number(part) for part in parts[2:]):
+            return None
+        session = self.context.member.members.get(parts[0])
+        if session is None or session.mark == "" or session.mark != parts[1] or not session.zone:
+            return None
+        attempt_limit = parse_count(field(fields, SERVERS_FIELD.lower()))
+        return PeerOrigin(session.zone, int(parts[2]), int(parts[3]), attempt_limit)
+
+    def is_probe(self, value: bytes | None) -> bool:
+        """Whether a request comes from a prober that is a member; others may claim it in vain."""
+        name, _, mark = (value or b"").decode("latin-1").partition(" ")
+        session = self.context.member.members.get(name)
         return session is not None and session.probes and mark != "" and session.mark == mark
 
     def find_route(self, request: Request) -> Route | None:
-        """Route, service and class by the version that is now in force."""
-        plan = self.plan
+        """Decide route, service and class by the configuration version that is now in force."""
+        plan = self.context.plan
         request.version = plan.version
         if has_dots(request.path):
             return None
-        request.route = plan.resolve(request.host, request.path)
-        if request.route < 0:
+        index = plan.resolve(request.host, request.path)
+        if index < 0:
             return None
-        route = request.rule = plan.routes[request.route]
-        request.route_name = plan.route_names[request.route]
-        request.service = self.service_of(route)
-        unsafe = request.method.encode("latin-1") not in SAFE
-        request.klass = "once" if route.once or unsafe else "repeatable"
-        request.servers_left = route.attempts
-        if request.peer and request.servers_given is not None:
-            request.servers_left = min(route.attempts, request.servers_given)
+        route = request.route = plan.routes[index]
+        request.route_name = plan.route_names[index]
+        request.service = self.choose_service(route)
+        unsafe = request.method.encode("latin-1") not in SAFE_METHODS
+        request.request_class = (
+            RequestClass.AT_MOST_ONCE if route.once or unsafe else RequestClass.IDEMPOTENT
+        )
+        request.attempts_left = route.attempts
+        if request.peer is not None and request.peer.attempt_limit is not None:
+            request.attempts_left = min(route.attempts, request.peer.attempt_limit)
         return route
 
-    def service_of(self, route: Route) -> str:
-        """The route's service, or one of several drawn by their weights."""
+    def choose_service(self, route: Route) -> str:
+        """Return the route's service, or one of several drawn by their weights."""
         if not route.split:
             return route.service
         names = list(route.split)
-        return self.random.choices(names, [route.split[name] for name in names])[0]
+        return self.context.random.choices(names, [route.split[name] for name in names])[0]
 
     def deadline(self, exchange: HttpExchange, route: Route) -> float:
+        """Return the monotonic time up to which a request may be worked on.
+
+        The earliest of the listener's, the route's and the caller's own deadline.
+        """
         until = exchange.deadline
         if route.deadline_seconds:
             until = min(until, exchange.response_started + route.deadline_seconds)
-        if self.dialect.deadline:
-            said = field(exchange.head.fields, self.dialect.deadline.lower()) or b""
-            if said.isdigit() and len(said) < 10:
-                until = min(until, exchange.response_started + int(said) / 1000 - ANSWER_MARGIN)
+        deadline_field = self.context.profile.deadline
+        if deadline_field:
+            value = field(exchange.head.fields, deadline_field.lower()) or b""
+            if value.isdigit() and len(value) < 10:
+                callers = exchange.response_started + int(value) / 1000
+                until = min(until, callers - RESPONSE_MARGIN_SECONDS)
         return until
 
-    def may_still_go(self, request: Request) -> bool:
-        """Whether the term holds and the version in force still names this service."""
-        if not self.member.serving:
+    def may_still_send(self, request: Request) -> bool:
+        """Whether the lease holds and the version in force still names this service.
+
+        Asked right before each attempt: either may have changed while the request waited.
+        """
+        if not self.context.member.serving:
             return False
-        if request.version == self.plan.version:
+        plan = self.context.plan
+        if request.version == plan.version:
             return True
-        index = self.plan.resolve(request.host, request.path)
+        index = plan.resolve(request.host, request.path)
         return (
             index >= 0
-            and self.plan.routes[index].allows(request.service)
-            and (request.klass == "once" or not self.plan.routes[index].once)
+            and plan.routes[index].allows(request.service)
+            and (request.request_class is RequestClass.AT_MOST_ONCE or not plan.routes[index].once)
         )
+
+
+def is_number(text: str) -> bool:
+    """Whether a text is a whole number of a size that the wire allows."""
+    return text.isascii() and text.isdigit() and len(text) <= NUMBER_DIGITS_MOST
--- /dev/null
+++ b/packages/edge/ryelock/edge/served_objects.py
@@ -0,0 +1,44 @@
+"""Objects that this edge served lately, of which the leader derives watches for probers."""
+
+from ryelock.edge.context import EdgeContext
+from ryelock.edge.request import Request
+from ryelock.http import HttpExchange, field
+from ryelock.replicated_state import DERIVED_MOST
+
+TARGET_LENGTH_MOST = 300
+
+
+class ServedObjects:
+    """Per cached route without a watch, the object that was served last."""
+
+    __slots__ = ("context", "latest")
+
+    def __init__(self, context: EdgeContext) -> None:
+        """Create an empty record."""
+        self.context = context
+        self.latest: dict[str, tuple[str, str]] = {}
+
+    def record(self, exchange: HttpExchange, request: Request, content: bytes | None) -> None:
+        """Remember a served object, if its route has no watch and anybody may fetch it."""
+        if request.route_name not in self.context.member.replicated_state.derivable:
+            return
+        fields = exchange.head.fields
+        if (
+            not self.context.settings.derive_watches
+            or request.is_probe
+            or not content
+            or exchange.head.method != b"GET"
+            or len(request.target) > TARGET_LENGTH_MOST
+            or field(fields, b"authorization") is not None
+            or field(fields, b"cookie") is not None
+        ):
+            return
+        own_host = self.context.member.session.order.rpartition(":")[0]
+        host = "" if request.host == own_host else request.host
+        self.latest[request.route_name] = (host, request.target)
+
+    def report(self) -> list[list[str]]:
+        """Return route, host and target of each object; what needs no watch is forgotten."""
+        derivable = self.context.member.replicated_state.derivable
+        self.latest = {route: found for route, found in self.latest.items() if route in derivable}
+        return [[route, *found] for route, found in sorted(self.latest.items())[:DERIVED_MOST]]
--- /dev/null
+++ b/packages/edge/ryelock/edge/upstream_client.py
@@ -0,0 +1,225 @@
+"""One attempt at one upstream server: a connection, the request, and the response's beginning."""
+
+from dataclasses import dataclass
+
+from expression import Error, Ok, Result
+
+from ryelock.edge.admission import AdmissionController
+from ryelock.edge.context import EdgeContext
+from ryelock.edge.failures import AttemptCancelledError, ConnectFailedError, FailureKind
+from ryelock.edge.request import Attempt, Request, RequestClass
+from ryelock.edge.response_validator import ResponseValidator
+from ryelock.edge.routing import Router
+from ryelock.edge.servers import ServerState
+from ryelock.edge.upstream_request import UpstreamCall, UpstreamRequestWriter
+from ryelock.edge.upstream_response import UpstreamResponse, read_prefix
+from ryelock.events import RESPONSE_BROKEN
+from ryelock.http import ClientError, Reader, Response, ResponseTimeoutError, read_response
+from ryelock.http.heads import FramingError
+from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.runtime import Connection
+
+RESPONSES_SKIPPED_MOST = 2
+"""How many responses to other requests are skipped on one connection."""
+ATTEMPT_PART = 0.6
+"""Part of the time left that an attempt may take where another one can follow it."""
+
+
+@dataclass(slots=True, eq=False)
+class UpstreamConnection:
+    """A connection to a server, with what is read from it.
+
+    Attributes:
+        connection: the connection.
+        reader: its bytes.
+        reused: whether another request went over it before.
+    """
+
+    connection: Connection
+    reader: Reader
+    reused: bool
+
+    @property
+    def has_stray_bytes(self) -> bool:
+        """Whether bytes came that nothing asked for."""
+        return bool(self.reader.buffer or self.connection.received.items)
+
+
+class UpstreamClient:
+    """Sends requests to servers and reads the beginning of their responses."""
+
+    __slots__ = ("admission", "context", "router", "validator", "writer")
+
+    def __init__(
+        self,
+        context: EdgeContext,
+        router: Router,
+        admission: AdmissionController,
+        validator: ResponseValidator,
+    ) -> None:
+        """Create the client of an edge."""
+        self.context = context
+        self.router = router
+        self.admission = admission
+        self.validator = validator
+        self.writer = UpstreamRequestWriter(context, router)
+
+    async def fetch(
+        self, call: UpstreamCall, server: ServerState, attempt: Attempt, is_last: bool
+    ) -> Result[UpstreamResponse, ClientError]:
+        """Make one attempt; `is_last` tells that no other server may follow it.
+
+        The connection is the response's where there is one; otherwise it is ended here.
+        """
+        upstream = self.open_connection(call.request, server)
+        succeeded = False
+        try:
+            error = await self.prepare(call, server, upstream)
+            if error is not None:
+                return Error(error)
+            attempt.sent = True
+            self.context.metrics.attempts.add(call.request.service)
+            sent_at = self.context.scheduler.now()
+            self.writer.write(call, server, upstream.connection)
+            found = await self.receive(call, server, upstream, sent_at, is_last)
+            succeeded = found.is_ok()
+            return found
+        except FramingError as error:
+            return Error(self.broken_response(call.request, server, error.reason, error.reason))
+        except IncompleteMessageError:
+            return Error(self.broken_response(call.request, server, "cut", "the answer was cut"))
+        except ReadTimeoutError:
+            return Error(ResponseTimeoutError())
+        finally:
+            if not succeeded:
+                call.exchange.keep_from_caller()
+                upstream.connection.abort()
+
+    def open_connection(self, request: Request, server: ServerState) -> UpstreamConnection:
+        """Return an idle connection to a server, or a new one."""
+        if self.validator.may_reuse_connection(request):
+            kept = self.context.servers.kept_connection(server)
+            if kept is not None:
+                return UpstreamConnection(*kept, reused=True)
+        connection = self.context.network.connect(server.server.address)
+        return UpstreamConnection(connection, Reader(self.context.scheduler, connection), False)
+
+    async def prepare(
+        self, call: UpstreamCall, server: ServerState, upstream: UpstreamConnection
+    ) -> ClientError | None:
+        """Wait for the connection; then check that the request may still be sent.
+
+        The checks stand behind the only wait before the first byte: what holds here holds when
+        the request leaves.
+        """
+        context, connection = self.context, upstream.connection
+        left = min(context.settings.connect_seconds, call.until - context.scheduler.now())
+        if not connection.connected and not await connection.wait_connected(max(0.0, left)):
+            return ConnectFailedError()
+        if not context.servers.is_live(server, call.request.service, context.scheduler.now()):
+            return AttemptCancelledError(
+                FailureKind.SERVER_LEAVING, "the server is leaving or gone"
+            )
+        if call.exchange.seconds_left:
+            return AttemptCancelledError(FailureKind.CALLER_LEFT, "the caller left")
+        if not self.router.may_still_send(call.request):
+            return AttemptCancelledError(FailureKind.ROUTE_CHANGED, "the term or the route changed")
+        if upstream.has_stray_bytes:
+            return ClientError("bytes came before the request was sent", False)
+        if call.ends_with_caller:
+            call.exchange.end_with_caller(connection)
+        if not self.admission.count_send(call.exchange, call.request):
+            return AttemptCancelledError(FailureKind.RETRY_BUDGET, "over the budget of repeats")
+        return None
+
+    async def receive(
+        self,
+        call: UpstreamCall,
+        server: ServerState,
+        upstream: UpstreamConnection,
+        sent_at: float,
+        is_last: bool,
+    ) -> Result[UpstreamResponse, ClientError]:
+        """Read this request's response, as far as it is to be read before it is judged."""
+        request, own = call.request, self.context.profile.own
+        found = await self.read_own_response(
+            call, upstream, self.response_deadline(call, sent_at, is_last)
+        )
+        if found.is_error():
+            return Error(found.error)
+        response, prefix, complete = found.ok
+        if request.is_probe and not own:
+            response.keep_alive = False
+        error = self.validator.find_error(request, response.head)
+        if error is not None:
+            return Error(error)
+        if complete and upstream.reader.buffer and own:
+            return Error(
+                self.broken_response(
+                    request, server, "bytes behind the answer", "bytes behind the answer's end"
+                )
+            )
+        return Ok(
+            UpstreamResponse(
+                response.head,
+                prefix,
+                complete,
+                response,
+                upstream.connection,
+                upstream.reader,
+                server,
+                sent_at,
+            )
+        )
+
+    def response_deadline(self, call: UpstreamCall, sent_at: float, is_last: bool) -> float:
+        """Return the time up to which the response's head is waited for.
+
+        An attempt that another one may follow leaves a part of the time to that.
+        """
+        until = min(call.until, sent_at + self.service_seconds(call.request))
+        idempotent = call.request.request_class is RequestClass.IDEMPOTENT
+        if idempotent and not is_last and not self.context.profile.own:
+            until = min(until, sent_at + ATTEMPT_PART * (call.until - sent_at))
+        return until
+
+    def service_seconds(self, request: Request) -> float:
+        """Return the longest time that the request's service may take."""
+        queue = self.context.admission_queues.get(request.service)
+        if queue is None:
+            return self.context.settings.order_seconds
+        return queue.service.answer_seconds
+
+    async def read_own_response(
+        self, call: UpstreamCall, upstream: UpstreamConnection, until: float
+    ) -> Result[tuple[Response, bytes, bool], ClientError]:
+        """Read up to the response that is not left over from another request.
+
+        Returns:
+            The response, what was read of its body, and whether that is the whole body.
+        """
+        settings = self.context.settings
+        storable_bytes = settings.answer_bytes if call.for_cache else None
+        for _ in range(RESPONSES_SKIPPED_MOST + 1):
+            found = await read_response(upstream.reader, call.method, settings.head_bytes, until)
+            if found.is_error():
+                return Error(found.error)
+            response = found.ok
+            prefix, complete = await read_prefix(response, call.until, storable_bytes)
+            if not complete or not self.validator.is_left_over(
+                call.request, response.head, upstream.reused
+            ):
+                break
+        return Ok((response, prefix, complete))
+
+    def broken_response(
+        self, request: Request, server: ServerState, fault: str, reason: str
+    ) -> ClientError:
+        """Log that a server's response breaks HTTP and return the attempt's error."""
+        self.context.log.write(
+            RESPONSE_BROKEN,
+            server=server.server.address,
+            order=request.identity,
+            fault=fault,
+        )
+        return ClientError(reason, True)
--- a/packages/http/ryelock/http/__init__.py
+++ b/packages/http/ryelock/http/__init__.py
@@ -4,7 +4,14 @@
 framing, http_server.py for the side that takes orders and caller.py for the side that sends them.
 """
 
-from ryelock.http.client import ClientError, Response, fetch, read_response, send_request
+from ryelock.http.client import (
+    ClientError,
+    Response,
+    ResponseTimeoutError,
+    fetch,
+    read_response,
+    send_request,
+)
 from ryelock.http.heads import (
     Fields,
     FramingError,
@@ -35,6 +42,7 @@
     "RequestHead",
     "Response",
     "ResponseHead",
+    "ResponseTimeoutError",
     "end_to_end",
     "fetch",
     "field",
--- a/packages/http/ryelock/http/client.py
+++ b/packages/http/ryelock/http/client.py
@@ -33,6 +33,14 @@
         self.sent = sent
 
 
+class ResponseTimeoutError(ClientError):
+    """The server may have got the request, but its response did not come in time."""
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("no answer in time", True)
+
+
 class Response:
     """An answer whose head was read and whose body is still to come."""
 
@@ -100,7 +108,7 @@
     except IncompleteMessageError:
         return Error(ClientError("link ended before the answer", True))
     except ReadTimeoutError:
-        return Error(ClientError("no answer in time", True))
+        return Error(ResponseTimeoutError())
 
 
 async def fetch(
--- a/packages/testing/ryelock/testing/answer_cases.py
+++ b/packages/testing/ryelock/testing/answer_cases.py
@@ -8,6 +8,7 @@
 from enum import Enum
 from random import Random
 
+from ryelock.edge.request import Attempt
 from ryelock.http import Fields
 from ryelock.testing.checks import Findings
 from ryelock.testing.scripted import (
@@ -97,9 +98,13 @@
         self.certain = all(arrival.turned_away for arrival in arrivals[:-1])
         self.right = told.body == body_of(name, target.encode())
         self.injected = False
-        request = fleet.handler().recent_requests.kept.get(name)
-        dispatches = request.dispatches if request is not None else []
-        self.why = [str(record["fault"]) for record in dispatches if "fault" in record]
+        request = fleet.handler().context.recent_requests.kept.get(name)
+        attempts = request.attempts if request is not None else []
+        self.why = [
+            attempt.fault
+            for attempt in attempts
+            if isinstance(attempt, Attempt) and attempt.fault is not None
+        ]
 
     def faults(self) -> list[str]:
         """What of the rules on this request is broken."""
@@ -185,7 +190,7 @@
             name = f"{stem}-warm{turn}-{number}"
             fleet.outside.scheduler.create_task(ignore(fleet, name), name="warm")
         fleet.world.run(SETTLE_SECONDS)
-        if all(state.kept for state in fleet.handler().servers.by_service[SERVICE]):
+        if all(state.kept for state in fleet.handler().context.servers.by_service[SERVICE]):
             return
     raise AssertionError(f"no connection is kept to some servers after {WARM_TURNS} turns")
 
@@ -306,7 +311,7 @@
     fleet.forget()
     fleet.world.run(10.0)
     for number in (0, 2):
-        fleet.handler(number).gates[SERVICE].budget.room = 0.0
+        fleet.handler(number).context.admission_queues[SERVICE].budget.room = 0.0
     fleet.world.freeze(fleet.edges[1], True)
     lost: list[str] = []
     for number in range(SILENT_REQUESTS):
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -453,11 +453,11 @@
         """Every edge as it was at first: no kept links, no servers set aside, repeats to spend."""
         for number in range(len(self.edges)):
             handler = self.handler(number)
-            for state in handler.servers.by_service.get(SERVICE, []):
-                handler.servers.end_connections(state)
+            for state in handler.context.servers.by_service.get(SERVICE, []):
+                handler.context.servers.end_connections(state)
                 state.failures, state.full_until, state.aside_for = 0, 0.0, 0.0
                 state.aside_until, state.trying, state.latency = 0.0, False, 0.0
-            budget = handler.gates[SERVICE].budget
+            budget = handler.context.admission_queues[SERVICE].budget
             budget.room = budget.allowance
         for server in self.servers:
             server.mute.clear()
--- a/tests/control_plane/test_finals.py
+++ b/tests/control_plane/test_finals.py
@@ -8,8 +8,8 @@
 
 from ryelock.control_plane.platform import PlatformReader
 from ryelock.control_plane.process import ControlNode
-from ryelock.edge.handler import RequestHandler
 from ryelock.edge.process import TrafficNode
+from ryelock.edge.rejections import RejectionResponder
 from ryelock.membership import ServerList
 from ryelock.testing.finals import FINALS, request_once, run_final
 from ryelock.testing.scenario import Scenario
@@ -25,16 +25,18 @@
             self.assertIn("final", self.broken("listing-out-of-leaders-reach"))
 
     def test_an_edge_that_lost_its_term_must_not_say_ready(self) -> None:
-        plain = RequestHandler.reject
+        plain = RejectionResponder.reject
 
-        async def decline(way: RequestHandler, exchange: Any, request: Any, failure: Any) -> Any:
+        async def decline(
+            responder: RejectionResponder, exchange: Any, request: Any, failure: Any
+        ) -> Any:
             if failure.reason == "no term: cut off":
-                await way.scheduler.sleep(20.0)
-            await plain(way, exchange, request, failure)
+                await responder.context.scheduler.sleep(20.0)
+            await plain(responder, exchange, request, failure)
 
         with (
             mock.patch.object(TrafficNode, "not_ready_for", property(lambda _node: "")),
-            mock.patch.object(RequestHandler, "reject", decline),
+            mock.patch.object(RejectionResponder, "reject", decline),
         ):
             self.assertIn("final", self.broken("edge-cut-off"))
 
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -8,9 +8,10 @@
 import testtools
 from answers_page import PAGE, played, with_tables
 
-from ryelock.edge.handler import RequestHandler
-from ryelock.edge.orders import Request
-from ryelock.edge.owner import OwnerRequest, Refusal
+from ryelock.edge.owner_client import OwnerRejection, OwnerRequest
+from ryelock.edge.request import Request, RequestClass
+from ryelock.edge.response_validator import ResponseValidator
+from ryelock.edge.routing import Router
 from ryelock.edge.servers import Servers
 from ryelock.testing.answer_cases import (
     RUNS_ONCE,
@@ -118,7 +119,7 @@
 
 
 def every_answer_is_mine() -> list[Patch]:
-    return [mock.patch.object(RequestHandler, "answers", lambda *_arguments: True)]
+    return [mock.patch.object(ResponseValidator, "is_for", lambda *_arguments: True)]
 
 
 def idle_bytes_are_read() -> list[Patch]:
@@ -133,14 +134,14 @@
 
 
 def sent_again_after_silence() -> list[Patch]:
-    plain = RequestHandler.find_route
+    plain = Router.find_route
 
-    def find_route(way: RequestHandler, request: Any) -> Any:
-        route = plain(way, request)
-        request.klass = "repeatable"
+    def find_route(router: Router, request: Any) -> Any:
+        route = plain(router, request)
+        request.request_class = RequestClass.IDEMPOTENT
         return route
 
-    return [mock.patch.object(RequestHandler, "find_route", find_route)]
+    return [mock.patch.object(Router, "find_route", find_route)]
 
 
 def owners_sends_are_not_counted() -> list[Patch]:
@@ -150,8 +151,8 @@
 def owners_fetch_unasked() -> list[Patch]:
     """No lookup: the fetch is sent to an owner that may not be there."""
 
-    async def look_up(_ask: OwnerRequest) -> Refusal:
-        return Refusal(504, 0)
+    async def look_up(_ask: OwnerRequest) -> OwnerRejection:
+        return OwnerRejection(504, 0)
 
     return [mock.patch.object(OwnerRequest, "look_up", look_up)]
 
--- a/tests/edge/test_caller_leaves.py
+++ b/tests/edge/test_caller_leaves.py
@@ -115,10 +115,10 @@
         node = deployment.node(edge).inner
         assert isinstance(node, TrafficNode)
         assert node.handler is not None
-        states = node.handler.servers.by_service["pages"]
+        states = node.handler.context.servers.by_service["pages"]
         self.assertEqual([0] * len(states), [state.failures for state in states])
         self.assertEqual([0] * len(states), [state.in_flight for state in states])
-        self.assertEqual(0, node.handler.gates["pages"].in_flight)
+        self.assertEqual(0, node.handler.context.admission_queues["pages"].in_flight)
         deployment.services["pages"].work_seconds = 0.02
         self.assertEqual(200, deployment.ask(SAFE, "GET", "/plain/b", edge=edge).status)
 
--- a/tests/edge/test_owner_asks.py
+++ b/tests/edge/test_owner_asks.py
@@ -27,12 +27,12 @@
 def kept_by(deployment: Deployment, asking: str, owner: str, number: int = 0) -> str:
     """An object that one edge keeps, as another edge finds it; each number names another."""
     way = deployment.node(asking).traffic.handler
-    assert way is not None and way.peers is not None
-    way.peers.follow(way.member.members)
+    assert way is not None and way.context.peers is not None
+    way.context.peers.follow(way.context.member.members)
     found = [
         target
         for target in (f"/covers/{place}" for place in range(400))
-        if owner_of((HOST, target), way.peers.names) == owner
+        if owner_of((HOST, target), way.context.peers.names) == owner
     ]
     return found[number]
 
@@ -40,13 +40,13 @@
 def repeats_left(deployment: Deployment, edge: str) -> float:
     way = deployment.node(edge).traffic.handler
     assert way is not None
-    return way.gates["pages"].budget.room
+    return way.context.admission_queues["pages"].budget.room
 
 
 def spend_all_repeats(deployment: Deployment, edge: str) -> None:
     way = deployment.node(edge).traffic.handler
     assert way is not None
-    way.gates["pages"].budget.room = 0.0
+    way.context.admission_queues["pages"].budget.room = 0.0
 
 
 def get(deployment: Deployment, target: str, edge: str, **more: Any) -> Note:
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -1,15 +1,18 @@
 """Objects kept by one edge of a zone for all of them: who owns what, and what purges, losses and
 lifetimes do to copies that come by way of another edge."""
 
+from dataclasses import replace
 from itertools import pairwise
+from typing import Any
 from unittest import mock
 
 import testtools
 from clocks import SteppedClock, raise_fault
 
 from ryelock.control_plane.renewals import LeaseRenewals
-from ryelock.edge.handler import RequestHandler
 from ryelock.edge.peers import Peers, owner_of
+from ryelock.edge.request import PeerOrigin
+from ryelock.edge.routing import Router
 from ryelock.http import fetch, field
 from ryelock.membership import Session
 from ryelock.rpc import Message
@@ -23,12 +26,12 @@
 def owned_by(scenario: Scenario, asking: str, owner: str) -> str:
     """An object that one edge keeps, as another edge finds it."""
     way = scenario.node(asking).traffic.handler
-    assert way is not None and way.peers is not None
-    way.peers.follow(way.member.members)
+    assert way is not None and way.context.peers is not None
+    way.context.peers.follow(way.context.member.members)
     return next(
         f"/covers/{number}"
         for number in range(300)
-        if owner_of((HOST, f"/covers/{number}"), way.peers.names) == owner
+        if owner_of((HOST, f"/covers/{number}"), way.context.peers.names) == owner
     )
 
 
@@ -124,12 +127,13 @@
 
     def test_an_owner_behind_a_purge_is_not_believed(self) -> None:
         """Without the number of purges an edge takes back what it has just dropped."""
-        plain = RequestHandler.peer_of
+        plain = Router.peer_origin
 
-        def believing(way: RequestHandler, said: bytes | None) -> tuple[str, int, int]:
-            return plain(way, said)[0], 0, 0
+        def believing(router: Router, fields: Any) -> PeerOrigin | None:
+            origin = plain(router, fields)
+            return None if origin is None else replace(origin, purges=0, version=0)
 
-        with mock.patch.object(RequestHandler, "peer_of", believing):
+        with mock.patch.object(Router, "peer_origin", believing):
             found = [self.behind(seed) for seed in range(3)]
         self.assertTrue(all(found), "an owner that is behind gave an old copy")
         self.assertFalse(any(self.behind(seed) for seed in range(3)))
@@ -142,8 +146,8 @@
         assert way is not None
         target = owned_by(scenario, scenario.edges[0], scenario.edges[1])
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
-        way.store.responses.clear()
-        way.store.purged += 1
+        way.context.store.responses.clear()
+        way.context.store.purged += 1
         before = self.arrivals(scenario, target)
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
         return self.arrivals(scenario, target) == before
@@ -165,9 +169,9 @@
     def test_one_edge_alone_asks_nobody(self) -> None:
         scenario = shared(4, edges=1)
         way = scenario.node(scenario.edges[0]).traffic.handler
-        assert way is not None and isinstance(way.peers, Peers)
-        way.peers.follow(way.member.members)
-        self.assertIsNone(way.peers.owner(("", "/covers/1")))
+        assert way is not None and isinstance(way.context.peers, Peers)
+        way.context.peers.follow(way.context.member.members)
+        self.assertIsNone(way.context.peers.owner(("", "/covers/1")))
 
 
 class MembersTests(testtools.TestCase):
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -6,7 +6,7 @@
 import testtools
 
 from ryelock.control_plane.leading import OperatorRequests
-from ryelock.edge.gate import AdmissionQueue
+from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.events import ROLE_FENCED
 from ryelock.health.evaluation import TargetVerdict
 from ryelock.testing.checks import Down, Findings, Probed, check_downs
@@ -396,9 +396,9 @@
         assert node.handler is not None
         mark = scenario.node(scenario.probers[0]).traffic.session.mark
         name = scenario.probers[0].encode()
-        self.assertTrue(node.handler.is_probe(name + b" " + mark.encode()))
+        self.assertTrue(node.handler.router.is_probe(name + b" " + mark.encode()))
         for said in (None, b"", b"x", name, name + b" ", name + b" 0123456789abcdef"):
-            self.assertFalse(node.handler.is_probe(said))
+            self.assertFalse(node.handler.router.is_probe(said))
 
     def test_the_checker_finds_planted_downs(self) -> None:
         def rows(count: int, machines: int) -> list[Probed]:
--- a/tests/platform/test_platform_listing.py
+++ b/tests/platform/test_platform_listing.py
@@ -170,7 +170,7 @@
         assert way is not None
         return {
             state.server.incarnation: state.server.leaving
-            for states in way.servers.by_service.values()
+            for states in way.context.servers.by_service.values()
             for state in states
         }
 
--- a/tests/platform/test_platform_takeouts.py
+++ b/tests/platform/test_platform_takeouts.py
@@ -10,7 +10,10 @@
 from deployment import HOST, Deployment
 from header_fields import DIALECT
 from ryelock.cache import CacheStore
-from ryelock.edge.handler import RequestHandler
+from ryelock.edge.failures import ServerRejectedError
+from ryelock.edge.request import RequestClass
+from ryelock.edge.response_validator import ResponseValidator
+from ryelock.edge.routing import Router
 from ryelock.http import ClientError
 from ryelock.rate_limit import RetryBudget, TokenBucket
 from ryelock.testing.hosting_platform import Manner
@@ -94,43 +97,43 @@
 
 def as_repeatable(self: Any, request: Any) -> Any:
     route = ROUTE_OF(self, request)
-    request.klass = "repeatable"
+    request.request_class = RequestClass.IDEMPOTENT
     return route
 
 
 def any_503(self: Any, request: Any, head: Any) -> ClientError | None:
     if head.status == 503:
-        return ClientError("believed", False, 503)
+        return ServerRejectedError(503)
     error = UNFIT(self, request, head)
     return error if error is None or isinstance(error, ClientError) else None
 
 
-ROUTE_OF = RequestHandler.find_route
-UNFIT = RequestHandler.unfit
+ROUTE_OF = Router.find_route
+UNFIT = ResponseValidator.find_error
 TAKEOUTS: dict[str, tuple[Run, Any, str, Any]] = {
     "answers_names": (
         broken_by(Manner.TWIN, SAFE, "GET", "/plain/"),
-        RequestHandler,
-        "answers",
+        ResponseValidator,
+        "is_for",
         lambda _self, _order, _head: True,
     ),
     "seals": (
         broken_by(Manner.UNSEALED, SAFE, "GET", "/plain/"),
-        RequestHandler,
-        "sealed",
+        ResponseValidator,
+        "is_sealed",
         lambda _self, _head: True,
     ),
     "lives": (handed_addresses, DIALECT, "expected", b"X-Nothing"),
     "once": (
         broken_by(Manner.LOST, UNSAFE, "POST", "/orders/"),
-        RequestHandler,
+        Router,
         "find_route",
         as_repeatable,
     ),
     "only_what_is_said_not_to_have_run": (
         broken_by(Manner.VAGUE, UNSAFE, "POST", "/orders/"),
-        RequestHandler,
-        "unfit",
+        ResponseValidator,
+        "find_error",
         any_503,
     ),
     "purges": (purged, CacheStore, "take_purges", lambda _self, _purges, _number: None),
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -12,9 +12,11 @@
 from ryelock.consensus import Consensus
 from ryelock.consensus.transfer import IncomingImage
 from ryelock.control_plane.voters import VoterManager
-from ryelock.edge.handler import RequestHandler
+from ryelock.edge.admission import AdmissionController
 from ryelock.edge.member import EdgeSession
-from ryelock.edge.orders import Failed
+from ryelock.edge.request import RequestClass
+from ryelock.edge.retry_detector import RetryDetector
+from ryelock.edge.routing import Router
 from ryelock.edge.servers import Servers
 from ryelock.http.reader import Body, IncompleteMessageError
 from ryelock.http.server import HttpServer
@@ -35,14 +37,14 @@
 
 
 def redispatched() -> list[Patch]:
-    plain = RequestHandler.find_route
+    plain = Router.find_route
 
-    def find_route(way: RequestHandler, request: Any) -> Any:
-        route = plain(way, request)
-        request.klass = "repeatable"
+    def find_route(router: Router, request: Any) -> Any:
+        route = plain(router, request)
+        request.request_class = RequestClass.IDEMPOTENT
         return route
 
-    return [mock.patch.object(RequestHandler, "find_route", find_route)]
+    return [mock.patch.object(Router, "find_route", find_route)]
 
 
 def cut_taken_for_whole() -> list[Patch]:
@@ -98,7 +100,7 @@
 
 
 def no_lifetime() -> list[Patch]:
-    return [mock.patch("ryelock.edge.handler.may_use", always(True))]
+    return [mock.patch("ryelock.edge.cache_lookup.may_use", always(True))]
 
 
 def no_sync() -> list[Patch]:
@@ -164,7 +166,7 @@
 
 
 def keys_never_given_back() -> list[Patch]:
-    return [mock.patch.object(RequestHandler, "give_back", always(None))]
+    return [mock.patch.object(AdmissionController, "release_key", always(None))]
 
 
 def requests_granted_as_wanted() -> list[Patch]:
@@ -185,17 +187,19 @@
 
 
 def unmarked_taken_for_first() -> list[Patch]:
-    return [mock.patch.object(Failed, "repeats", always(False))]
+    return [mock.patch.object(RetryDetector, "is_retry", always(False))]
 
 
 def unsent_requests_earn_repeats() -> list[Patch]:
-    plain = RequestHandler.enter
+    plain = AdmissionController.admit
 
-    async def enter(way: RequestHandler, exchange: Any, request: Any, route: Any, key: Any) -> Any:
-        way.gates[request.service].budget.first()
-        return await plain(way, exchange, request, route, key)
+    async def admit(
+        admission: AdmissionController, exchange: Any, request: Any, route: Any, key: Any = None
+    ) -> Any:
+        admission.context.admission_queues[request.service].budget.first()
+        return await plain(admission, exchange, request, route, key)
 
-    return [mock.patch.object(RequestHandler, "enter", enter)]
+    return [mock.patch.object(AdmissionController, "admit", admit)]
 
 
 def no_spare_voter() -> list[Patch]:
--- a/tests/rate_limit/test_rate_sharing.py
+++ b/tests/rate_limit/test_rate_sharing.py
@@ -109,14 +109,14 @@
         deployment.set_up()
         node = deployment.node(deployment.edges[0]).inner
         assert isinstance(node, TrafficNode) and node.handler is not None
-        peers = node.handler.peers
+        peers = node.handler.context.peers
         assert peers is not None
         asked = 0
         for number in range(12):
             for name in deployment.edges:
                 edge = deployment.node(name).inner
                 assert isinstance(edge, TrafficNode) and edge.handler is not None
-                edge.handler.gates["pages"].budget.room = 20.0
+                edge.handler.context.admission_queues["pages"].budget.room = 20.0
             shared = deque([Manner.HANGING])
             for life in deployment.of_service("pages"):
                 life.manners = shared
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -7,8 +7,8 @@
 
 import testtools
 
-from ryelock.edge.handler import RequestHandler
 from ryelock.edge.process import TrafficNode
+from ryelock.edge.rejections import RejectionResponder
 from ryelock.edge.servers import Servers
 from ryelock.edge.targets import Probing
 from ryelock.events import WATCH_DERIVED, WATCH_ENDED
@@ -192,7 +192,7 @@
         for name in fleet.scenario.edges:
             way = fleet.scenario.node(name).traffic.handler
             assert way is not None
-            self.assertEqual([], way.lately_served())
+            self.assertEqual([], way.served_objects.report())
         self.assertTrue(all(row.error == "" for _, row in fleet.rows()))
         nameless = [ran.target for ran in fleet.scenario.history if not ran.identity]
         self.assertGreater(len(nameless), 2)
@@ -293,9 +293,9 @@
             with (
                 mock.patch.object(ServerStandIn, "serve", serve),
                 mock.patch.object(
-                    RequestHandler,
-                    "crowded",
-                    RequestHandler.crowded if tells else lambda *_arguments: False,
+                    RejectionResponder,
+                    "is_crowded",
+                    RejectionResponder.is_crowded if tells else lambda *_arguments: False,
                 ),
             ):
                 fleet = Derived(8)
@@ -344,7 +344,7 @@
         target = fleet.replicated_state.derived["covers"].object
         fleet.scenario.world.run(8)
         self.assertNotEqual("stale", fleet.word("zone0"))
-        with mock.patch("ryelock.edge.handler.may_use", never_ends):
+        with mock.patch("ryelock.edge.cache_lookup.may_use", never_ends):
             fleet.scenario.objects["pages"].change(target, fleet.scenario.world.time)
             self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "stale", 30))
 
