--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -107,7 +107,7 @@
         """
         until = min(
             self.router.deadline(exchange, route),
-            exchange.response_started + queue.queue_timeout(),
+            exchange.received_at + queue.queue_timeout(),
         )
         timeout = until - self.context.scheduler.now()
         if not self.context.profile.own and route.target_seconds:
@@ -131,7 +131,7 @@
 
     def check_after_wait(self, exchange: HttpExchange) -> Failure | None:
         """The caller may have left, or the lease run out, while the request waited."""
-        if exchange.seconds_left:
+        if exchange.client_disconnected:
             return CALLER_LEFT
         if not self.context.member.serving:
             return NO_LEASE
--- a/packages/edge/ryelock/edge/attempts.py
+++ b/packages/edge/ryelock/edge/attempts.py
@@ -81,7 +81,7 @@
         """Lease, route and caller may have gone since the last attempt."""
         if not self.router.may_still_send(self.call.request):
             return ROUTE_CHANGED
-        if self.call.exchange.seconds_left:
+        if self.call.exchange.client_disconnected:
             return CALLER_LEFT
         return None
 
@@ -150,7 +150,7 @@
     ) -> Ended | None:
         """An error ends the request where it may have run, or where no time is left."""
         call = self.call
-        if call.exchange.seconds_left and call.ends_with_caller:
+        if call.exchange.client_disconnected and call.ends_with_caller:
             self.context.metrics.cancelled.add(call.request.service)
             error = AttemptCancelledError(FailureKind.CALLER_LEFT, "the caller left", error.sent)
         attempt.fault = error.reason
--- a/packages/edge/ryelock/edge/failures.py
+++ b/packages/edge/ryelock/edge/failures.py
@@ -74,3 +74,35 @@
     def __init__(self, status: int) -> None:
         """Create the error of a response's status."""
         super().__init__(f"the server declined: {status}", False, status)
+
+
+class ServerBusyError(ClientError):
+    """The server answers that it is busy, which does not say that it did not run the request."""
+
+    def __init__(self, status: int) -> None:
+        """Create the error of a response's status."""
+        super().__init__(f"the server failed: {status}", True)
+
+
+class ForeignResponseError(ClientError):
+    """The response does not say that it belongs to this request."""
+
+    def __init__(self, reason: str) -> None:
+        """Create the error with what the response says instead."""
+        super().__init__(reason, True)
+
+
+class UnsealedResponseError(ClientError):
+    """The response is a success without its server's seal."""
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("a success without its server's mark", True)
+
+
+class StrayBytesError(ClientError):
+    """Bytes stood on the connection before the request was sent, so nothing was."""
+
+    def __init__(self) -> None:
+        """Create the error."""
+        super().__init__("bytes came before the request was sent", False)
--- a/packages/edge/ryelock/edge/handler.py
+++ b/packages/edge/ryelock/edge/handler.py
@@ -301,7 +301,7 @@
         if request.cache_status:
             context.metrics.cache.add(request.service, request.asked_by, request.cache_status)
         if request.outcome is Outcome.OPEN:
-            request.outcome = Outcome.CALLER_LEFT if exchange.seconds_left else Outcome.ENDED
+            request.outcome = Outcome.CALLER_LEFT if exchange.client_disconnected else Outcome.ENDED
         context.recent_requests.keep(request)
 
 
--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -43,8 +43,11 @@
 from ryelock.http import (
     ClientError,
     Fields,
+    FramingError,
     HttpExchange,
+    IncompleteMessageError,
     Reader,
+    ReadTimeoutError,
     Response,
     ResponseHead,
     end_to_end,
@@ -52,8 +55,6 @@
     read_response,
     send_request,
 )
-from ryelock.http.heads import FramingError
-from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.membership import Session
 from ryelock.replicated_state import Route
 from ryelock.runtime import Connection
--- a/packages/edge/ryelock/edge/rejections.py
+++ b/packages/edge/ryelock/edge/rejections.py
@@ -50,7 +50,7 @@
         ):
             failure = replace(failure, status=502, room_in=0.0)
         self.record(request, failure)
-        if failure.status == CALLER_GONE_STATUS or exchange.seconds_left:
+        if failure.status == CALLER_GONE_STATUS or exchange.client_disconnected:
             exchange.abort()
             return
         if self.context.profile.own:
--- a/packages/edge/ryelock/edge/relay.py
+++ b/packages/edge/ryelock/edge/relay.py
@@ -8,9 +8,16 @@
 from ryelock.edge.served_objects import ServedObjects
 from ryelock.edge.upstream_response import UpstreamResponse
 from ryelock.events import RESPONSE_BROKEN
-from ryelock.http import Fields, HttpExchange, ResponseHead, end_to_end, tokens
-from ryelock.http.heads import FramingError
-from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.http import (
+    Fields,
+    FramingError,
+    HttpExchange,
+    IncompleteMessageError,
+    ReadTimeoutError,
+    ResponseHead,
+    end_to_end,
+    tokens,
+)
 
 BODILESS_STATUSES = (204, 304)
 """Statuses whose responses have no body (RFC 9110, 6.4.1)."""
@@ -84,7 +91,7 @@
         """A server's response ended early; that is the server's fault unless the caller left."""
         request.reason = f"the server's answer was cut: {error!r}"
         request.outcome = Outcome.CUT
-        if exchange.seconds_left:
+        if exchange.client_disconnected:
             return
         self.context.servers.fared(upstream.server, False, 0.0)
         self.context.log.write(
--- a/packages/edge/ryelock/edge/response_validator.py
+++ b/packages/edge/ryelock/edge/response_validator.py
@@ -6,7 +6,12 @@
 """
 
 from ryelock.edge.context import EdgeContext
-from ryelock.edge.failures import ServerRejectedError
+from ryelock.edge.failures import (
+    ForeignResponseError,
+    ServerBusyError,
+    ServerRejectedError,
+    UnsealedResponseError,
+)
 from ryelock.edge.request import Request, RequestClass
 from ryelock.http import ClientError, ResponseHead, field
 
@@ -66,19 +71,13 @@
         if profile.own:
             return None
         if not request.is_probe and not self.is_for(request, head):
-            nameless = field(head.fields, profile.identity.lower()) is None
-            return ClientError(
-                "an answer that does not say whose it is"
-                if nameless
-                else "an answer to another order",
-                True,
-            )
+            return ForeignResponseError(self.foreign_reason(head))
         if head.status == MISDIRECTED or self.says_not_run(head):
             return ServerRejectedError(head.status)
         if not self.is_sealed(head):
-            return ClientError("a success without its server's mark", True)
+            return UnsealedResponseError()
         if head.status in SERVER_BUSY_STATUSES:
-            return ClientError(f"the server failed: {head.status}", True)
+            return ServerBusyError(head.status)
         return None
 
     def foreign_reason(self, head: ResponseHead) -> str:
@@ -99,6 +98,6 @@
     def is_sealed(self, head: ResponseHead) -> bool:
         """Whether a success bears its server's seal, where servers add one."""
         seal = self.context.profile.seal
-        return (
-            not seal or not 200 <= head.status < 300 or field(head.fields, seal.lower()) is not None
-        )
+        if not seal or not 200 <= head.status < 300:
+            return True
+        return field(head.fields, seal.lower()) is not None
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -40,7 +40,7 @@
             head.method.decode("latin-1"),
             head.target.decode("latin-1"),
             host_of(field(head.fields, b"host")),
-            exchange.response_started,
+            exchange.received_at,
             context.scheduler.clock.wall(),
         )
         request.path = path_of(request.target)
@@ -108,12 +108,12 @@
         """
         until = exchange.deadline
         if route.deadline_seconds:
-            until = min(until, exchange.response_started + route.deadline_seconds)
+            until = min(until, exchange.received_at + route.deadline_seconds)
         deadline_field = self.context.profile.deadline
         if deadline_field:
             value = field(exchange.head.fields, deadline_field.lower()) or b""
             if value.isdigit() and len(value) < 10:
-                callers = exchange.response_started + int(value) / 1000
+                callers = exchange.received_at + int(value) / 1000
                 until = min(until, callers - RESPONSE_MARGIN_SECONDS)
         return until
 
--- a/packages/edge/ryelock/edge/upstream_client.py
+++ b/packages/edge/ryelock/edge/upstream_client.py
@@ -6,7 +6,12 @@
 
 from ryelock.edge.admission import AdmissionController
 from ryelock.edge.context import EdgeContext
-from ryelock.edge.failures import AttemptCancelledError, ConnectFailedError, FailureKind
+from ryelock.edge.failures import (
+    AttemptCancelledError,
+    ConnectFailedError,
+    FailureKind,
+    StrayBytesError,
+)
 from ryelock.edge.request import Attempt, Request, RequestClass
 from ryelock.edge.response_validator import ResponseValidator
 from ryelock.edge.routing import Router
@@ -14,9 +19,17 @@
 from ryelock.edge.upstream_request import UpstreamCall, UpstreamRequestWriter
 from ryelock.edge.upstream_response import UpstreamResponse, read_prefix
 from ryelock.events import RESPONSE_BROKEN
-from ryelock.http import ClientError, Reader, Response, ResponseTimeoutError, read_response
-from ryelock.http.heads import FramingError
-from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.http import (
+    ClientError,
+    FramingError,
+    IncompleteMessageError,
+    Reader,
+    ReadTimeoutError,
+    Response,
+    ResponseTimeoutError,
+    read_response,
+)
+from ryelock.http.errors import ResponseCutError, UnusableResponseError
 from ryelock.runtime import Connection
 
 RESPONSES_SKIPPED_MOST = 2
@@ -85,11 +98,13 @@
             succeeded = found.is_ok()
             return found
         except FramingError as error:
-            return Error(self.broken_response(call.request, server, error.reason, error.reason))
+            self.log_broken(call.request, server, error.reason)
+            return Error(UnusableResponseError(error.reason))
         except IncompleteMessageError:
-            return Error(self.broken_response(call.request, server, "cut", "the answer was cut"))
+            self.log_broken(call.request, server, "cut")
+            return Error(ResponseCutError("the answer was cut"))
         except ReadTimeoutError:
-            return Error(ResponseTimeoutError())
+            return Error(ResponseTimeoutError("no answer in time"))
         finally:
             if not succeeded:
                 call.exchange.keep_from_caller()
@@ -120,12 +135,12 @@
             return AttemptCancelledError(
                 FailureKind.SERVER_LEAVING, "the server is leaving or gone"
             )
-        if call.exchange.seconds_left:
+        if call.exchange.client_disconnected:
             return AttemptCancelledError(FailureKind.CALLER_LEFT, "the caller left")
         if not self.router.may_still_send(call.request):
             return AttemptCancelledError(FailureKind.ROUTE_CHANGED, "the term or the route changed")
         if upstream.has_stray_bytes:
-            return ClientError("bytes came before the request was sent", False)
+            return StrayBytesError()
         if call.ends_with_caller:
             call.exchange.end_with_caller(connection)
         if not self.admission.count_send(call.exchange, call.request):
@@ -154,11 +169,8 @@
         if error is not None:
             return Error(error)
         if complete and upstream.reader.buffer and own:
-            return Error(
-                self.broken_response(
-                    request, server, "bytes behind the answer", "bytes behind the answer's end"
-                )
-            )
+            self.log_broken(request, server, "bytes behind the answer")
+            return Error(UnusableResponseError("bytes behind the answer's end"))
         return Ok(
             UpstreamResponse(
                 response.head,
@@ -212,14 +224,11 @@
                 break
         return Ok((response, prefix, complete))
 
-    def broken_response(
-        self, request: Request, server: ServerState, fault: str, reason: str
-    ) -> ClientError:
-        """Log that a server's response breaks HTTP and return the attempt's error."""
+    def log_broken(self, request: Request, server: ServerState, fault: str) -> None:
+        """Log that a server's response breaks HTTP."""
         self.context.log.write(
             RESPONSE_BROKEN,
             server=server.server.address,
             order=request.identity,
             fault=fault,
         )
-        return ClientError(reason, True)
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -3,7 +3,7 @@
 
 from dataclasses import replace
 from itertools import pairwise
-from typing import Any
+from typing import Any, ClassVar
 from unittest import mock
 
 import testtools
@@ -256,7 +256,7 @@
 class HomeTests(testtools.TestCase):
     """Which edges of a region an object goes through, as every edge of it finds them."""
 
-    ZONES = {"a": "north", "b": "north", "c": "north", "far": "south"}
+    ZONES: ClassVar[dict[str, str]] = {"a": "north", "b": "north", "c": "north", "far": "south"}
 
     def edges(self) -> dict[str, Session]:
         found: dict[str, Session] = {}
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -18,7 +18,7 @@
 from ryelock.edge.retry_detector import RetryDetector
 from ryelock.edge.routing import Router
 from ryelock.edge.servers import Servers
-from ryelock.http.reader import Body, IncompleteMessageError
+from ryelock.http import Body, IncompleteMessageError
 from ryelock.http.server import HttpServer
 from ryelock.rate_limit import QuotaAllocator, RetryBudget
 from ryelock.replicated_state import ReplicatedState
