--- /dev/null
+++ b/packages/edge/ryelock/edge/idempotency_claims.py
@@ -0,0 +1,62 @@
+"""Claims of idempotency keys at the control leader: at most one request runs under a key."""
+
+from ryelock.edge.leader_discovery import LeaderDiscovery
+from ryelock.edge.session_messages import CLAIM, RELEASE, IdempotencyKeyRequest
+from ryelock.rpc import RpcClients
+from ryelock.rpc.codec import encode
+from ryelock.runtime import Scheduler
+
+CALL_TIMEOUT_SECONDS = 0.4
+CALL_TIMEOUT_MIN_SECONDS = 0.05
+RETRY_PAUSE_SECONDS = 0.05
+RELEASE_SECONDS = 30.0
+CLAIM_STATUSES = ("claimed", "known")
+RELEASE_STATUSES = ("released",)
+
+
+class IdempotencyClaims:
+    """Claims and releases keys, through another control node where the leader is unknown."""
+
+    __slots__ = ("discovery", "rpc_clients", "scheduler")
+
+    def __init__(
+        self, scheduler: Scheduler, rpc_clients: RpcClients, discovery: LeaderDiscovery
+    ) -> None:
+        """Create the client; `discovery` tells which control node to ask."""
+        self.scheduler = scheduler
+        self.rpc_clients = rpc_clients
+        self.discovery = discovery
+
+    async def claim(self, key: bytes, request: str, timeout: float) -> str:
+        """Claim a key for a request within `timeout` seconds.
+
+        Returns:
+            "claimed"; "known" where another request has the key; "" where nobody answered. A
+            request that claims again gets the same answer, so a lost answer does no harm.
+        """
+        message = IdempotencyKeyRequest(CLAIM, key, request)
+        return await self.call(message, CLAIM_STATUSES, timeout)
+
+    async def release(self, key: bytes, request: str) -> None:
+        """Release a key whose request certainly did not run; retried for RELEASE_SECONDS."""
+        message = IdempotencyKeyRequest(RELEASE, key, request)
+        await self.call(message, RELEASE_STATUSES, RELEASE_SECONDS)
+
+    async def call(
+        self, request: IdempotencyKeyRequest, final_statuses: tuple[str, ...], timeout: float
+    ) -> str:
+        """Repeat a call until a control node gives a final status; "" after `timeout` seconds."""
+        message = encode(request)
+        deadline = self.scheduler.now() + timeout
+        attempt = 0
+        while self.scheduler.now() < deadline:
+            others = self.discovery.control_nodes
+            address = self.discovery.leader or others[attempt % len(others)]
+            attempt += 1
+            left = max(CALL_TIMEOUT_MIN_SECONDS, deadline - self.scheduler.now())
+            found = await self.rpc_clients.call(address, message, min(CALL_TIMEOUT_SECONDS, left))
+            status = str(found.ok.get("status")) if found.is_ok() else ""
+            if status in final_statuses:
+                return status
+            await self.scheduler.sleep(RETRY_PAUSE_SECONDS)
+        return ""
--- /dev/null
+++ b/packages/edge/ryelock/edge/leader_discovery.py
@@ -0,0 +1,123 @@
+"""Finding the control leader, and avoiding one that does not answer."""
+
+from dataclasses import dataclass
+
+from ryelock.edge.membership_view import MembershipView
+from ryelock.edge.session_messages import LEADER_QUERY
+from ryelock.rpc import RpcClients
+from ryelock.runtime import Queue, Scheduler
+
+CALL_TIMEOUT_SECONDS = 0.4
+ROUND_SECONDS = 0.25
+AVOID_SECONDS = 0.5
+"""How long a leader that gave no answer is not taken again."""
+RELAY_AFTER_SECONDS = 0.4
+"""How long a leader must be unreachable before renewals go through another control node."""
+
+
+@dataclass(frozen=True, slots=True)
+class UnreachableLeader:
+    """A leader that gave no answer, avoided until a monotonic time."""
+
+    address: str
+    avoid_until: float
+
+
+class LeaderDiscovery:
+    """Knows the control nodes and which of them leads, as far as this node can tell."""
+
+    __slots__ = (
+        "leader",
+        "membership",
+        "named_by_others",
+        "rpc_clients",
+        "scheduler",
+        "seeds",
+        "unreachable",
+        "unreachable_since",
+    )
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        rpc_clients: RpcClients,
+        membership: MembershipView,
+        seeds: tuple[str, ...],
+    ) -> None:
+        """Create the discovery; `seeds` are control nodes' addresses from the settings."""
+        self.scheduler = scheduler
+        self.rpc_clients = rpc_clients
+        self.membership = membership
+        self.seeds = seeds
+        self.leader = ""
+        self.unreachable: UnreachableLeader | None = None
+        self.unreachable_since: float | None = None
+        self.named_by_others = False
+
+    @property
+    def control_nodes(self) -> list[str]:
+        """Addresses of all known control nodes, seeds first, without doubles."""
+        return list(dict.fromkeys([*self.seeds, *self.membership.control_addresses]))
+
+    async def find(self, candidates: list[str]) -> None:
+        """Ask control nodes at once; the first that knows a leader decides.
+
+        For a moment the leader that just gave no answer is not taken again: others may name
+        it until they notice themselves.
+        """
+        answers: Queue[str] = Queue(self.scheduler)
+        for address in candidates:
+            self.scheduler.create_task(
+                self.query(address, answers), name="leader query", urgent=True
+            )
+        deadline = self.scheduler.now() + ROUND_SECONDS
+        self.named_by_others = False
+        for _ in candidates:
+            found = await answers.get(max(0.0, deadline - self.scheduler.now()))
+            if found is None:
+                return
+            avoided = self.is_avoided(found)
+            self.named_by_others = self.named_by_others or avoided
+            if found and not avoided:
+                self.leader = found
+                return
+
+    async def query(self, address: str, answers: Queue[str]) -> None:
+        """Ask one control node who leads; an empty text where it knows nobody."""
+        found = await self.rpc_clients.call(address, {"kind": LEADER_QUERY}, CALL_TIMEOUT_SECONDS)
+        leader = found.ok.get("leader_address") if found.is_ok() else ""
+        answers.put(leader if isinstance(leader, str) else "")
+
+    def is_avoided(self, address: str) -> bool:
+        """Return whether an address is that of a leader which lately gave no answer."""
+        return (
+            self.unreachable is not None
+            and address == self.unreachable.address
+            and self.scheduler.now() < self.unreachable.avoid_until
+        )
+
+    def record_success(self) -> None:
+        """Note that the leader answered."""
+        self.unreachable_since = None
+
+    def record_failure(self) -> None:
+        """Note that the leader gave no answer, and look for another."""
+        now = self.scheduler.now()
+        same = self.unreachable is not None and self.unreachable.address == self.leader
+        if not same or self.unreachable_since is None:
+            self.unreachable_since = now
+        self.unreachable = UnreachableLeader(self.leader, now + AVOID_SECONDS)
+        self.leader = ""
+
+    def may_relay_through(self, address: str) -> bool:
+        """Return whether another control node may reach the leader that this node cannot.
+
+        Only where others still name it after a while: they would miss it by then, were it gone.
+        """
+        if self.unreachable is None or self.unreachable_since is None:
+            return False
+        return (
+            self.named_by_others
+            and address != self.unreachable.address
+            and self.scheduler.now() - self.unreachable_since >= RELAY_AFTER_SECONDS
+        )
--- /dev/null
+++ b/packages/edge/ryelock/edge/lease_renewal.py
@@ -0,0 +1,185 @@
+"""Renewing a node's session and lease with the control leader, and taking in what answers bring.
+
+One task renews with the leader: it reports what this node is, has and needs, and the answer
+brings log entries, members, servers, quota shares and a lease. The lease counts from before the
+request, less the age of the leader's own proof of its majority. See docs/design.md.
+"""
+
+from ryelock.edge.configuration_updates import UpdateOutcome, apply_update
+from ryelock.edge.member import EdgeSession
+from ryelock.edge.node_report import NodeReporter
+from ryelock.edge.quorum_lease import QuorumLeaseClient
+from ryelock.edge.session_delegate import SessionDelegate
+from ryelock.edge.session_messages import LEAVE, LeaveRequest, RenewalResponse, renewal_request
+from ryelock.events import Log
+from ryelock.rate_limit.quota_allocator import Grant
+from ryelock.rpc import Message, RpcClients
+from ryelock.rpc.codec import MalformedMessageError, decode, encode
+from ryelock.runtime import Scheduler, Task
+
+HOLD_SECONDS_PER_EDGE = 0.01
+HOLD_MAX_SECONDS = 1.0
+ANSWER_SECONDS = 0.4
+"""How long an answer may take beyond the time for which the leader may hold it back."""
+RETRY_PAUSE_SECONDS = 0.1
+LEAVE_TIMEOUT_SECONDS = 1.0
+
+
+class LeaseRenewal:
+    """The task that keeps a session alive, and the end of the session."""
+
+    __slots__ = (
+        "delegate",
+        "member",
+        "quorum_lease",
+        "reporter",
+        "rpc_clients",
+        "running",
+        "scheduler",
+        "unconfirmed",
+    )
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        rpc_clients: RpcClients,
+        log: Log,
+        member: EdgeSession,
+        delegate: SessionDelegate,
+    ) -> None:
+        """Create the renewal of a session; `start` makes it run.
+
+        Args:
+            scheduler: clock and tasks.
+            rpc_clients: connections to the control nodes.
+            log: where a lease without a leader is written.
+            member: the session.
+            delegate: the node whose state is reported and that follows updates.
+        """
+        self.scheduler = scheduler
+        self.rpc_clients = rpc_clients
+        self.member = member
+        self.delegate = delegate
+        self.reporter = NodeReporter(member, delegate)
+        self.quorum_lease = QuorumLeaseClient(
+            scheduler, rpc_clients, log, member, self.reporter, delegate
+        )
+        self.unconfirmed = False
+        self.running: Task | None = None
+
+    def start(self) -> None:
+        """Start renewing."""
+        self.running = self.scheduler.create_task(self.run(), name="lease renewal", urgent=True)
+
+    def stop(self) -> None:
+        """Stop renewing; the lease runs out by itself."""
+        if self.running is not None:
+            self.running.cancel()
+
+    async def leave(self) -> None:
+        """Release the lease and end the session: no member any more, and not missed."""
+        self.member.lease.release()
+        self.stop()
+        leader = self.member.leader
+        if not leader:
+            return
+        session = self.member.session
+        request = LeaveRequest(LEAVE, session.name, session.incarnation)
+        await self.rpc_clients.call(leader, encode(request), LEAVE_TIMEOUT_SECONDS)
+
+    async def run(self) -> None:
+        """Renew for ever; look for the leader where it is not known."""
+        discovery = self.member.discovery
+        attempt = 0
+        while True:
+            self.member.lease.log_transition()
+            if not discovery.leader:
+                candidates = discovery.control_nodes
+                await discovery.find(candidates)
+                attempt += 1
+            if not discovery.leader:
+                await self.renew_without_leader(candidates[attempt % len(candidates)])
+                continue
+            if await self.renew(discovery.leader):
+                discovery.record_success()
+            else:
+                discovery.record_failure()
+            if self.unconfirmed:
+                await self.quorum_lease.acquire()
+
+    async def renew_without_leader(self, relay: str) -> None:
+        """Renew through a control node that may reach the leader, or else by a quorum lease."""
+        if self.member.discovery.may_relay_through(relay) and await self.renew(relay):
+            return
+        await self.quorum_lease.acquire()
+        await self.scheduler.sleep(RETRY_PAUSE_SECONDS)
+
+    @property
+    def hold_seconds(self) -> float:
+        """How long the leader may hold the answer back.
+
+        Where edges serve without a lease, longer on large sites: renewals cost the leader less.
+        """
+        settings = self.member.settings
+        if not settings.serve_lapsed:
+            return settings.hold_seconds
+        by_size = min(HOLD_MAX_SECONDS, self.member.edges * HOLD_SECONDS_PER_EDGE)
+        return max(settings.hold_seconds, by_size)
+
+    async def renew(self, address: str) -> bool:
+        """Send one renewal and apply its answer; False where there was none to be used."""
+        requested_at = self.scheduler.now()
+        self.unconfirmed = False
+        hold_seconds = self.hold_seconds
+        message = renewal_request(self.reporter.report(), hold_seconds)
+        found = await self.rpc_clients.call(address, message, hold_seconds + ANSWER_SECONDS)
+        if found.is_error() or found.ok.get("ok") is not True:
+            return False
+        try:
+            return self.apply(found.ok, requested_at)
+        except (KeyError, TypeError, ValueError):
+            return False
+
+    def apply(self, answer: Message, requested_at: float) -> bool:
+        """Apply an answer; raises what a malformed part of it raises.
+
+        A stale answer is passed over, but it is the leader's: True.
+        """
+        response = decode(RenewalResponse, answer)
+        if response.majority_age < 0:
+            raise MalformedMessageError("RenewalResponse: age is negative")
+        outcome = apply_update(self.member.replicated_state, response)
+        if outcome is UpdateOutcome.STALE:
+            return True
+        if outcome is UpdateOutcome.CHANGED:
+            self.delegate.on_configuration()
+        self.apply_views(response, requested_at)
+        expires_at = requested_at + self.member.settings.lease_seconds - response.majority_age
+        self.unconfirmed = not response.confirmed
+        if response.confirmed:
+            self.member.lease.extend(expires_at)
+        self.apply_quota(response, requested_at, expires_at)
+        self.member.lease.log_transition()
+        return True
+
+    def apply_views(self, response: RenewalResponse, requested_at: float) -> None:
+        """Take in the list of servers and the members."""
+        if response.server_list is not None:
+            adopted = self.member.server_lists.apply(response.server_list, requested_at)
+            if adopted is not None:
+                self.delegate.on_server_list(adopted)
+        if response.members is not None:
+            self.member.membership.apply(response.members)
+
+    def apply_quota(
+        self, response: RenewalResponse, requested_at: float, expires_at: float
+    ) -> None:
+        """Take in quota shares, failures at other edges, and granted requests."""
+        if response.shares is not None and response.edges is not None:
+            self.member.edges = response.edges
+            self.delegate.on_shares(response.shares, expires_at, response.edges)
+        if response.failed_callers is not None:
+            self.reporter.take_failures(response.failed_callers)
+        if response.grants is not None:
+            grants = {name: Grant(*values) for name, values in response.grants.items()}
+            self.delegate.on_grants(grants, requested_at)
--- /dev/null
+++ b/packages/edge/ryelock/edge/membership_view.py
@@ -0,0 +1,46 @@
+"""The members that a node knows of, as the control leader last told it."""
+
+from ryelock.edge.session_messages import MembershipUpdate
+from ryelock.membership import Session, session_of
+
+CONTROL_ROLE = "core"
+
+
+class MembershipView:
+    """Members by name, the edges that were lost, and the control nodes' addresses."""
+
+    __slots__ = ("control_addresses", "gone", "members", "source", "version")
+
+    def __init__(self) -> None:
+        """Create an empty view."""
+        self.source = ""
+        self.version = 0
+        self.members: dict[str, Session] = {}
+        self.gone: dict[str, Session] = {}
+        self.control_addresses: list[str] = []
+
+    def apply(self, update: MembershipUpdate) -> None:
+        """Take an update; raises ValueError where a session in it is malformed."""
+        self.apply_sessions(update)
+        gone = [session_of(wire) for wire in update.gone]
+        self.gone = {session.name: session for session in gone}
+        self.control_addresses = [
+            session.wire for session in self.members.values() if session.role == CONTROL_ROLE
+        ]
+
+    def apply_sessions(self, update: MembershipUpdate) -> None:
+        """Replace the members, or merge the changes where they start from the version held."""
+        sessions = {session.name: session for session in map(session_of, update.sessions)}
+        if update.since is not None:
+            if (update.source, update.since) != (self.source, self.version):
+                # Changes to a version that is not held here: the next answer brings all members.
+                return
+            kept = {
+                name: session
+                for name, session in self.members.items()
+                if name not in update.removed
+            }
+            sessions = {**kept, **sessions}
+        self.source = update.source
+        self.version = update.version
+        self.members = sessions
--- /dev/null
+++ b/packages/edge/ryelock/edge/quota_shares.py
@@ -0,0 +1,81 @@
+"""An edge's part of its services' rates: what it reports, and the shares and grants it is given.
+
+A share is a rate that the edge may spend until it expires. A service so narrow that its rate
+cannot be split among the edges is granted in whole requests instead.
+"""
+
+import math
+from collections.abc import Mapping
+
+from ryelock.edge.gate import AdmissionQueue
+from ryelock.edge.member import EdgeSession
+from ryelock.rate_limit import is_narrow, reserve
+from ryelock.rate_limit.quota_allocator import GRANT_SECONDS, Grant
+from ryelock.runtime import Scheduler
+
+
+class QuotaShares:
+    """Reads and sets the shares of the admission queues, by service."""
+
+    __slots__ = ("gates", "member", "scheduler")
+
+    def __init__(
+        self, scheduler: Scheduler, member: EdgeSession, gates: Mapping[str, AdmissionQueue]
+    ) -> None:
+        """Create the shares of an edge; `gates` are its admission queues, as they come and go."""
+        self.scheduler = scheduler
+        self.member = member
+        self.gates = gates
+
+    def demand(self) -> dict[str, float]:
+        """Return the requests a second that lately came, by service."""
+        return {name: gate.measure() for name, gate in self.gates.items()}
+
+    def held(self) -> dict[str, float]:
+        """Return the shares held now, in requests a second by service."""
+        now = self.scheduler.now()
+        return {name: gate.bucket.holding(now) for name, gate in self.gates.items()}
+
+    def without_leader(self) -> dict[str, float]:
+        """Return what may be spent while there is no leader: what is held, or the reserve.
+
+        Grants need a leader, so a narrow service falls back to its reserve.
+        """
+        edges = self.member.edges
+        shares = self.held()
+        for name, gate in self.gates.items():
+            service = gate.service
+            if gate.bucket.counted or is_narrow(service.rate, service.burst_seconds, edges):
+                shares[name] = reserve(service.rate, service.burst_seconds, edges)
+        return shares
+
+    def wanted(self) -> dict[str, int]:
+        """Return the requests that wait for a grant, by service where there are any."""
+        return {name: gate.wanted() for name, gate in self.gates.items() if gate.wanted()}
+
+    def set_shares(self, shares: dict[str, float], expires_at: float, edges: int) -> None:
+        """Replace the shares; where edges serve without a lease, they don't expire."""
+        now = self.scheduler.now()
+        if self.member.settings.serve_lapsed:
+            expires_at = math.inf
+        for name, share in shares.items():
+            gate = self.gates.get(name)
+            if gate is not None:
+                gate.bucket.give(share, expires_at, now)
+        for gate in self.gates.values():
+            gate.resize(gate.service, edges)
+
+    def add_grants(self, grants: dict[str, Grant], requested_at: float) -> None:
+        """Add granted requests of narrow services.
+
+        They expire GRANT_SECONDS after they were requested, as the leader's account of them does.
+        """
+        for name, grant in grants.items():
+            gate = self.gates.get(name)
+            if gate is None:
+                continue
+            gate.bucket.grant(
+                grant.granted, grant.expected, grant.found, requested_at + GRANT_SECONDS
+            )
+            if gate.waiting:
+                gate.news.put(True)
--- a/packages/edge/ryelock/edge/targets.py
+++ b/packages/edge/ryelock/edge/targets.py
@@ -8,7 +8,7 @@
 
 from itertools import islice
 
-from ryelock.edge.member import EdgeSession
+from ryelock.edge.membership_view import MembershipView
 from ryelock.health import ProbeTarget
 from ryelock.membership import Session
 from ryelock.replicated_state import ReplicatedState, Watch
@@ -23,15 +23,15 @@
 class ProbeTargets:
     """The targets of one prober."""
 
-    __slots__ = ("member", "replicated_state", "settings")
+    __slots__ = ("membership", "replicated_state", "settings")
 
     def __init__(
-        self, settings: Settings, replicated_state: ReplicatedState, member: EdgeSession
+        self, settings: Settings, replicated_state: ReplicatedState, membership: MembershipView
     ) -> None:
         """Create the view of a prober; it follows the register and the members."""
         self.settings = settings
         self.replicated_state = replicated_state
-        self.member = member
+        self.membership = membership
 
     def seconds_by_watch(self, watches: list[tuple[str, Watch]], edges: int) -> dict[str, float]:
         """Return the seconds between two probes of one edge, by the watch's name."""
@@ -58,7 +58,7 @@
     def all(self) -> list[ProbeTarget]:
         """Return what this node probes now, and what it compares with."""
         found: list[ProbeTarget] = []
-        edges = {**self.member.gone, **self.member.members}
+        edges = {**self.membership.gone, **self.membership.members}
         watches = sorted(self.replicated_state.watches.items())
         if self.settings.probers_chosen:
             return self.chosen_targets(edges, watches)
@@ -86,7 +86,7 @@
     ) -> list[ProbeTarget]:
         """Edges that this node is one of the few probers of; others it only compares with."""
         most = self.settings.probers_chosen
-        probing = Probing(list(self.member.members.values()))
+        probing = Probing(list(self.membership.members.values()))
         found = {
             name: session
             for name, session in sorted(edges.items())
@@ -124,7 +124,7 @@
         covered = {self.settings.zone}
         probing = sorted(
             (session.name, session.machine, session.zone)
-            for session in self.member.members.values()
+            for session in self.membership.members.values()
             if session.probes
         )
         for zone in zones - covered:
--- a/packages/testing/ryelock/testing/hollow.py
+++ b/packages/testing/ryelock/testing/hollow.py
@@ -119,7 +119,7 @@
         """Start the nodes anew that were dropped last."""
         for name, zone in self.dropped:
             self.nodes.append(HollowNode(self.host, name, zone))
-            self.nodes[-1].member.start()
+            self.nodes[-1].renewal.start()
         self.dropped = []
 
     def start(self, pause: float) -> None:
@@ -135,7 +135,7 @@
         """Start the nodes one after another, a pause of seconds apart."""
         due = self.scheduler.now()
         for node in nodes:
-            node.member.start()
+            node.renewal.start()
             due += pause
             await self.scheduler.sleep(max(0.0, due - self.scheduler.now()))
 
@@ -152,11 +152,11 @@
         """Planned restarts: so many nodes say goodbye and come back as new incarnations."""
         for place in range(min(count, len(self.nodes))):
             before = self.nodes[place]
-            await before.member.say_goodbye()
+            await before.renewal.leave()
             before.end()
             fresh = HollowNode(self.host, before.session.name, before.session.zone)
             self.nodes[place] = fresh
-            fresh.member.start()
+            fresh.renewal.start()
         reply({})
 
     async def tend(self) -> None:
--- a/packages/testing/ryelock/testing/hollow_node.py
+++ b/packages/testing/ryelock/testing/hollow_node.py
@@ -12,7 +12,9 @@
 
 from expression import Result
 
-from ryelock.edge.member import EdgeSession
+from ryelock.edge.lease_renewal import LeaseRenewal
+from ryelock.edge.member import EdgeSession, SessionSettings
+from ryelock.edge.session_delegate import SessionDelegate
 from ryelock.events import LEASE_EXPIRED, Event, RecordingLog
 from ryelock.health import ProbeResult
 from ryelock.health.probe import watch_fingerprint
@@ -151,7 +153,7 @@
     )
 
 
-class HollowNode:
+class HollowNode(SessionDelegate):
     """One node: its session, and when it reached what."""
 
     __slots__ = (
@@ -163,6 +165,7 @@
         "member",
         "owed",
         "reached",
+        "renewal",
         "replicated_state",
         "rows",
         "scheduler",
@@ -184,15 +187,9 @@
             host.log,
             self.replicated_state,
             self.session,
-            host.seeds,
-            host.term_seconds,
-            host.listing_term,
+            SessionSettings(host.seeds, host.term_seconds, host.listing_term),
         )
-        self.member.changed = self.on_change
-        self.member.shares = self.on_shares
-        self.member.listing_news = self.on_listing
-        self.member.demand = self.demand
-        self.member.holding = self.holding
+        self.renewal = LeaseRenewal(host.scheduler, self.lines, host.log, self.member, self)
         self.held: dict[str, float] = {}
         self.reached: deque[tuple[int, float]] = deque(maxlen=REACHED_KEPT)
         self.listed = 0.0
@@ -204,15 +201,15 @@
         self.rows: list[ProbeResult] = []
         self.sequence = host.random.randrange(1000)
 
-    def on_change(self) -> None:
+    def on_configuration(self) -> None:
         """Note when the register reached its present index."""
         self.reached.append((self.replicated_state.index, self.scheduler.now()))
 
-    def on_listing(self, _: ServerList) -> None:
+    def on_server_list(self, server_list: ServerList) -> None:
         """Note when a listing of servers came."""
         self.listed = self.scheduler.now()
 
-    def on_shares(self, shares: dict[str, float], until: float, edges: int) -> None:
+    def on_shares(self, shares: dict[str, float], expires_at: float, edges: int) -> None:
         """A term was given: the session stands with whoever leads."""
         self.held = shares
         leader = self.member.leader
@@ -223,7 +220,7 @@
         """Return the made-up demand, in requests per second by service."""
         return dict.fromkeys(self.replicated_state.configuration.services, DEMAND)
 
-    def holding(self) -> dict[str, float]:
+    def held_shares(self) -> dict[str, float]:
         """Return the shares that the node spends now, by service."""
         return self.held if self.member.serving else {}
 
@@ -238,7 +235,11 @@
 
     def find_targets(self) -> None:
         """The other edges of the zone times the watches, anew when either changed."""
-        known = (*self.member.members_version, self.replicated_state.version)
+        known = (
+            self.member.membership.source,
+            self.member.membership.version,
+            self.replicated_state.version,
+        )
         if known != self.known:
             self.known = known
             self.targets = [
@@ -294,6 +295,6 @@
 
     def end(self) -> None:
         """End the node at once and drop its connections."""
-        self.member.stop()
+        self.renewal.stop()
         for line in self.lines.clients.values():
             line.abort()
--- a/packages/testing/ryelock/testing/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -492,7 +492,7 @@
             edges = {
                 f"{self.node(name).host}:3"
                 for name in self.alive(self.edges)
-                if self.node(name).traffic.not_ready_for not in DRAINED
+                if self.node(name).traffic.readiness.not_ready_reason not in DRAINED
             }
             fine = {
                 told.edge
--- a/tests/control_plane/test_finals.py
+++ b/tests/control_plane/test_finals.py
@@ -9,7 +9,7 @@
 from ryelock.control_plane.platform import PlatformReader
 from ryelock.control_plane.process import ControlNode
 from ryelock.edge.handler import RequestHandler
-from ryelock.edge.process import TrafficNode
+from ryelock.edge.readiness import NodeReadiness
 from ryelock.membership import ServerList
 from ryelock.testing.finals import FINALS, request_once, run_final
 from ryelock.testing.scenario import Scenario
@@ -33,7 +33,7 @@
             await plain(way, exchange, request, failure)
 
         with (
-            mock.patch.object(TrafficNode, "not_ready_for", property(lambda _node: "")),
+            mock.patch.object(NodeReadiness, "not_ready_reason", property(lambda _node: "")),
             mock.patch.object(RequestHandler, "reject", decline),
         ):
             self.assertIn("final", self.broken("edge-cut-off"))
--- a/tests/edge/test_lapse.py
+++ b/tests/edge/test_lapse.py
@@ -66,7 +66,9 @@
         edge = scenario.edges[0]
         self.cut_off(scenario, edge)
         node = scenario.node(edge).traffic
-        self.assertLess(node.member.term_until, node.scheduler.now())
+        expires_at = node.member.lease.expires_at
+        assert expires_at is not None
+        self.assertLess(expires_at, node.scheduler.now())
         for number in range(5):
             self.assertEqual(200, status_of(scenario, edge, f"/plain/{number}"))
         self.assertTrue(node.ready)
@@ -126,8 +128,8 @@
         back = scenario.world.run_until(
             lambda: all(
                 scenario.node(name).traffic.ready
-                and scenario.node(name).traffic.handler is not None
-                and scenario.node(name).traffic.holding().get("pages", 0.0) > 0
+                and (quota := scenario.node(name).traffic.quota) is not None
+                and quota.held().get("pages", 0.0) > 0
                 for name in scenario.edges
             ),
             20,
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -10,9 +10,11 @@
 from ryelock.control_plane.renewals import LeaseRenewals
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.peers import Peers, owner_of
+from ryelock.edge.session_messages import MembershipUpdate
 from ryelock.http import fetch, field
 from ryelock.membership import Session
 from ryelock.rpc import Message
+from ryelock.rpc.codec import Natural
 from ryelock.runtime import Scheduler
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
@@ -200,18 +202,19 @@
 
     def test_changes_that_do_not_follow_on_are_passed_over(self) -> None:
         scenario = shared(6, edges=2)
-        member = scenario.node(scenario.edges[0]).traffic.member
-        before, version = member.members, member.members_version
-        member.take_members(
-            {
-                "source": version[0],
-                "version": version[1] + 5,
-                "since": version[1] + 4,
-                "sessions": [],
-                "removed": list(before),
-            }
+        view = scenario.node(scenario.edges[0]).traffic.member.membership
+        before, source, version = view.members, view.source, view.version
+        view.apply_sessions(
+            MembershipUpdate(
+                source=source,
+                version=Natural(version + 5),
+                since=Natural(version + 4),
+                sessions=[],
+                gone=[],
+                removed=list(before),
+            )
         )
-        self.assertEqual((before, version), (member.members, member.members_version))
+        self.assertEqual((before, source, version), (view.members, view.source, view.version))
 
 
 class SilentOwnerTests(testtools.TestCase):
--- a/tests/membership/test_listing_news.py
+++ b/tests/membership/test_listing_news.py
@@ -27,7 +27,9 @@
             return listing is not None and listing.version > version
 
         def known() -> bool:
-            listings = [scenario.node(edge).traffic.member.listing for edge in scenario.edges]
+            listings = [
+                scenario.node(edge).traffic.member.server_lists.current for edge in scenario.edges
+            ]
             return all(
                 listing is not None and any(one.leaving for one in listing.servers)
                 for listing in listings
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -180,7 +180,7 @@
 def no_service_is_narrow() -> list[Patch]:
     return [
         mock.patch(f"ryelock.{place}.is_narrow", always(False))
-        for place in ("control_plane.renewals", "edge.process")
+        for place in ("control_plane.renewals", "edge.quota_shares")
     ]
 
 
