--- a/tests/golden/test_golden_lists.py
+++ b/tests/golden/test_golden_lists.py
@@ -49,7 +49,7 @@
 
 def needed_settings() -> dict[str, tuple[str, ...]]:
     """Return the settings that each role needs."""
-    return settings.NEEDED
+    return settings.REQUIRED
 
 
 def read_settings(role: str, file: str, flags: dict[str, object]) -> dict[str, object]:
--- a/tests/project/test_checked.py
+++ b/tests/project/test_checked.py
@@ -318,7 +318,7 @@
         page = (ROOT / "docs" / "settings.md").read_text()
         for key, setting in declared_settings(Settings).items():
             self.assertIn(f"| `{key}` |", page)
-            self.assertIn(setting.note, page)
+            self.assertIn(setting.description, page)
 
     def test_the_brief_names_what_exists(self) -> None:
         page = (ROOT / "docs" / "brief.md").read_text()
