--- /dev/null
+++ b/packages/cli/ryelock/cli/daemon_commands.py
@@ -0,0 +1,113 @@
+"""The subcommands that run a daemon: `core`, `edge` and `prober`.
+
+All three take the same kind of options: a settings file, flags for the settings that differ from
+process to process, and KEY=VALUE pairs for any other. Each is built from a table of its flags.
+"""
+
+import inspect
+import sys
+from collections.abc import Callable
+from typing import NamedTuple
+
+from ryelock.cli.daemon import run_daemon
+from ryelock.control_client import ExitCode
+from ryelock.settings import Role, SettingsError, read_settings
+
+DaemonCommand = Callable[..., int]
+
+
+class Flag(NamedTuple):
+    """A setting that has a flag of its own."""
+
+    key: str
+    help: str
+    type: object = str
+
+
+COMMON_FLAGS = (
+    Flag("name", "name of this process"),
+    Flag("zone", "zone of this machine"),
+    Flag("machine", "machine this process runs on"),
+    Flag("seeds", "wire addresses of the three seeds, divided by commas"),
+    Flag("wire_address", "where other processes reach this one"),
+    Flag("control_address", "where operators and the platform reach this one"),
+)
+
+
+def start_daemon(role: Role, settings: str, flags: dict[str, object], sets: list[str]) -> int:
+    """Run a daemon until it is told to stop.
+
+    Args:
+        role: what the process runs as.
+        settings: path of a settings file, empty for none.
+        flags: settings by key; None where the flag was not given.
+        sets: settings as KEY=VALUE, which go before the flags.
+
+    Returns:
+        The exit code.
+    """
+    for pair in sets:
+        key, _, value = pair.partition("=")
+        flags[key] = value
+    try:
+        found = read_settings(role, settings, flags)
+    except SettingsError as error:
+        for fault in error.faults:
+            sys.stderr.write(f"ryelock {role}: {fault}\n")
+        return ExitCode.BAD_INPUT
+    return run_daemon(role, found)
+
+
+def keyword(name: str, kind: object, default: object) -> inspect.Parameter:
+    """Return a parameter that defopt makes an option."""
+    return inspect.Parameter(name, inspect.Parameter.KEYWORD_ONLY, default=default, annotation=kind)
+
+
+def daemon_command(role: Role, summary: str, *own_flags: Flag) -> DaemonCommand:
+    """Return the subcommand of a daemon, as defopt reads it.
+
+    defopt takes options, types and help from a function's signature and docstring. Written out,
+    each flag of each daemon would stand in three places; here both are made from its row.
+
+    Args:
+        role: what the process runs as; its value is the subcommand's name.
+        summary: the first line of the help.
+        own_flags: flags behind those that all daemons have.
+    """
+    flags = (*COMMON_FLAGS, *own_flags)
+
+    def command(*, settings: str = "", sets: list[str] | None = None, **values: object) -> int:
+        return start_daemon(role, settings, values, sets or [])
+
+    parameters = [
+        keyword("settings", str, ""),
+        *(keyword(flag.key, flag.type | None, None) for flag in flags),  # type: ignore[operator]
+        keyword("sets", list[str] | None, None),
+    ]
+    helps = [
+        ("settings", "settings file, TOML or JSON"),
+        *((flag.key, flag.help) for flag in flags),
+        ("sets", "any other setting, as KEY=VALUE"),
+    ]
+    command.__name__ = command.__qualname__ = str(role)
+    command.__signature__ = inspect.Signature(parameters)  # type: ignore[attr-defined]
+    command.__annotations__ = {parameter.name: parameter.annotation for parameter in parameters}
+    command.__doc__ = "\n".join([summary, "", *(f":param {key}: {text}" for key, text in helps)])
+    return command
+
+
+core = daemon_command(
+    Role.CONTROL,
+    "Run a control node: it stores the configuration on its disk and agrees on it with the others.",
+    Flag("data_folder", "the one folder this process writes to"),
+    Flag("platform_address", "where the platform lists servers"),
+)
+edge = daemon_command(
+    Role.EDGE,
+    "Run a node that carries traffic, and probes its zone where it is told to.",
+    Flag("order_address", "where callers reach this one"),
+    Flag("probe", "also probe the other edges of the zone", bool),
+)
+prober = daemon_command(
+    Role.PROBER, "Run a prober: it fetches real objects through the edges of its zone."
+)
--- a/tests/golden/test_golden_command.py
+++ b/tests/golden/test_golden_command.py
@@ -44,12 +44,12 @@
 def exit_codes() -> dict[str, int]:
     """Return the exit codes by what they say."""
     return {
-        "done": operator_side.DONE,
-        "declined": operator_side.DECLINED,
-        "bad settings": program.BAD_SETTINGS,
-        "not taken": operator_side.NOT_TAKEN,
-        "unknown": operator_side.UNKNOWN,
-        "unreached": operator_side.UNREACHED,
+        "done": operator_side.ExitCode.DONE,
+        "declined": operator_side.ExitCode.REJECTED,
+        "bad settings": operator_side.ExitCode.BAD_INPUT,
+        "not taken": operator_side.ExitCode.NOT_TAKEN,
+        "unknown": operator_side.ExitCode.UNKNOWN,
+        "unreached": operator_side.ExitCode.UNREACHED,
     }
 
 
