--- a/packages/events/ryelock/events/__init__.py
+++ b/packages/events/ryelock/events/__init__.py
@@ -1,6 +1,6 @@
 """Numbered log events, one JSON line each, and the catalogue the docs are made from.
 
-A number never changes its meaning. The text says what happened and `asks` what, if
+A number never changes its meaning. The text says what happened and `operator_action` what, if
 anything, an operator should do; docs/events.md is printed from this table.
 """
 
@@ -20,7 +20,7 @@
         number: the stable number.
         level: a level of the logging module.
         text: what happened.
-        asks: what an operator should do, "nothing" where nothing.
+        operator_action: what an operator should do, "nothing" where nothing.
     """
 
     number: int
@@ -188,7 +188,7 @@
 
 
 def catalogue_page() -> str:
-    """docs/events.md, from the table above."""
+    """Return the text of docs/events.md, made of the catalogue."""
     lines = [
         "# Event catalogue",
         "",
--- a/packages/metrics/ryelock/metrics/__init__.py
+++ b/packages/metrics/ryelock/metrics/__init__.py
@@ -1,8 +1,8 @@
-"""Figures of one process: counters and gauges, served as text in the Prometheus format.
+"""Metrics of one process: counters and gauges, served in the Prometheus text format.
 
-A counter costs a dictionary entry where it is counted; everything else happens when somebody
-asks. The library that writes the format is loaded at the first such request: it is larger than
-what most nodes need, and a node that nobody looks at never pays for it.
+A counter costs a dictionary entry where it is counted; everything else happens when the metrics are
+read. The library that writes the format is loaded at the first such request: it is larger than
+most of a node, and a node whose metrics nobody reads never loads it.
 """
 
 from collections import defaultdict
@@ -17,7 +17,9 @@
     from prometheus_client import Metric
 
 Labels = tuple[str, ...]
-Read = Callable[[], Mapping[Labels, float]]
+"""Values of a metric's labels, in the order of their names."""
+ReadGauge = Callable[[], Mapping[Labels, float]]
+"""Returns a gauge's present values by its labels' values."""
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
@@ -27,7 +29,13 @@
     __slots__ = ("help", "labels", "name", "values")
 
     def __init__(self, name: str, help: str, labels: Labels) -> None:
-        """Create a counter at zero; `labels` are the labels' names, `note` its line of help."""
+        """Create a counter without values.
+
+        Args:
+            name: the metric's name, without the ending `_total`.
+            help: one line that says what is counted, with its unit.
+            labels: the labels' names.
+        """
         self.name = name
         self.help = help
         self.labels = labels
@@ -39,11 +47,11 @@
 
 
 class Gauge:
-    """A figure that is read when it is asked for, by its labels' values."""
+    """A value that is read when the metrics are, for each combination of its labels' values."""
 
     __slots__ = ("help", "labels", "name", "read")
 
-    def __init__(self, name: str, help: str, labels: Labels, read: Read) -> None:
+    def __init__(self, name: str, help: str, labels: Labels, read: ReadGauge) -> None:
         """Create a gauge; see Counter."""
         self.name = name
         self.help = help
@@ -52,12 +60,12 @@
 
 
 class Metrics:
-    """All figures of one process."""
+    """All metrics of one process."""
 
     __slots__ = ("counters", "gauges")
 
     def __init__(self) -> None:
-        """Create a collection without figures."""
+        """Create an empty collection."""
         self.counters: list[Counter] = []
         self.gauges: list[Gauge] = []
 
@@ -67,27 +75,27 @@
         self.counters.append(counter)
         return counter
 
-    def gauge(self, name: str, help: str, read: Read, *labels: str) -> None:
+    def gauge(self, name: str, help: str, read: ReadGauge, *labels: str) -> None:
         """Add a gauge; its name is shown with `ryelock_` before."""
         self.gauges.append(Gauge(f"ryelock_{name}", help, labels, read))
 
     def collect(self) -> "Iterator[Metric]":
-        """Yield the figures as they are now; prometheus_client calls this."""
+        """Yield the present values; prometheus_client calls this."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         for counter in self.counters:
-            sums = CounterMetricFamily(counter.name, counter.help, labels=counter.labels)
+            counter_family = CounterMetricFamily(counter.name, counter.help, labels=counter.labels)
             for values, amount in sorted(counter.values.items()):
-                sums.add_metric(values, amount)
-            yield sums
+                counter_family.add_metric(values, amount)
+            yield counter_family
         for gauge in self.gauges:
-            figures = GaugeMetricFamily(gauge.name, gauge.help, labels=gauge.labels)
+            gauge_family = GaugeMetricFamily(gauge.name, gauge.help, labels=gauge.labels)
             for values, amount in sorted(gauge.read().items()):
-                figures.add_metric(values, amount)
-            yield figures
+                gauge_family.add_metric(values, amount)
+            yield gauge_family
 
     def to_dict(self) -> dict[str, float]:
-        """Return all figures by name and label values, as one line of the log has them."""
+        """Return all values by name and label values, as one line of the log has them."""
         found: dict[str, float] = {}
         for counter in self.counters:
             for values, amount in sorted(counter.values.items()):
@@ -98,7 +106,7 @@
         return found
 
     def exposition(self) -> bytes:
-        """Return all figures in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
@@ -107,19 +115,19 @@
 
 
 class MetricsServer:
-    """Serves the figures of a process over HTTP, whatever the path."""
+    """Serves the metrics of a process over HTTP, whatever the path."""
 
     __slots__ = ("listener", "metrics")
 
     def __init__(
         self, scheduler: Scheduler, network: Network, log: Log, address: str, metrics: Metrics
     ) -> None:
-        """Listen at host:port; raises NetworkError where that cannot be had."""
+        """Listen at host:port; raises NetworkError where that is not possible."""
         self.metrics = metrics
         self.listener = HttpServer(scheduler, network, log, address, Limits(), self.serve)
 
     async def serve(self, exchange: HttpExchange) -> None:
-        """Answer one request with all figures."""
+        """Answer one request with all metrics."""
         await exchange.read_body()
         fields = [(b"Content-Type", CONTENT_TYPE), (b"Cache-Control", b"no-store")]
         await exchange.respond(200, fields, self.metrics.exposition())
@@ -128,7 +136,7 @@
 async def log_metrics(
     scheduler: Scheduler, log: Log, metrics: Metrics, interval_seconds: float
 ) -> None:
-    """Write all figures to the log again and again, once in so many seconds."""
+    """Write all metrics to the log, once in so many seconds, without end."""
     while True:
         await scheduler.sleep(interval_seconds)
         log.write(METRICS_LOGGED, figures=metrics.to_dict())
@@ -142,10 +150,22 @@
     address: str,
     log_interval_seconds: float,
 ) -> None:
-    """Serve figures at an address unless that is empty, log them unless `seconds` is 0."""
+    """Serve and log the metrics of a process, as its settings say.
+
+    Args:
+        scheduler: runs the tasks.
+        network: what listens.
+        log: takes the lines.
+        metrics: what is served and logged.
+        address: host:port to serve at; empty for nowhere.
+        log_interval_seconds: seconds between two lines of the log; 0 for none.
+
+    Raises:
+        NetworkError: the address cannot be listened on.
+    """
     if address:
         MetricsServer(scheduler, network, log, address, metrics)
     if log_interval_seconds:
         scheduler.create_task(
-            log_metrics(scheduler, log, metrics, log_interval_seconds), name="figures"
+            log_metrics(scheduler, log, metrics, log_interval_seconds), name="metrics"
         )
--- a/packages/runtime/ryelock/runtime/__init__.py
+++ b/packages/runtime/ryelock/runtime/__init__.py
@@ -1,7 +1,9 @@
-"""The one place that touches the inside of circuits: tasks, mailboxes, beats, clock and network.
+"""Event loop: coroutine tasks, queues, timers and connections.
 
-Everything above is written against Scheduler, Mailbox, Link and Network, so that the same
-code runs on circuits in a daemon and on a seeded clock and network in the simulator.
+Everything above is written against Scheduler, Queue, Connection and Network, so that the same code
+runs on circuits in a daemon and on a seeded clock and network in the simulator. `tasks` has the
+scheduler, `network` the interface of connections, `egress` the pacing of bulk responses. `reactor`,
+which is not exported here, has the connections of a daemon: only a daemon loads circuits.
 """
 
 from ryelock.runtime.network import Connection, ConnectionHandler, Network, NetworkError
--- a/packages/runtime/ryelock/runtime/reactor.py
+++ b/packages/runtime/ryelock/runtime/reactor.py
@@ -1,9 +1,9 @@
-"""The circuits component that drives a process: its sockets, its beats and its signals.
+"""The circuits component that drives a process: its sockets, its timers and its signals.
 
-One component owns every socket and stands on circuits' epoll poller directly. circuits' own
-client component is one component a link: each registration empties the handler cache of the
-whole tree, and its beats read the wall clock. Here a socket is an entry in a table, the
-poller's events reach one handler, and the scheduler's next beat bounds the poll.
+One component owns every socket and uses circuits' epoll poller directly. circuits' own client is
+one component a connection: each registration empties the handler cache of the whole tree, and its
+timers read the wall clock. Here a socket is an entry in a table, the poller's events reach one
+handler, and the scheduler's next timer bounds the poll.
 """
 
 import errno
@@ -23,6 +23,11 @@
 from ryelock.runtime.tasks import Queue, Scheduler
 
 RECEIVE_BYTES = 65_536
+"""The most that one read of a socket returns."""
+BACKLOG = 1024
+"""Connections that the system queues until they are accepted."""
+MAX_ACCEPTS = 64
+"""Connections accepted in one turn, so that a burst does not hold up the others."""
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 """Value of SO_LINGER with which closing a socket resets its connection."""
 TEMPORARY_ERRORS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
@@ -95,15 +100,15 @@
         sent = 0
         full = False
         while self.unsent_chunks and sent < max_bytes and not full:
-            piece = self.unsent_chunks[0][: max_bytes - sent]
+            chunk = self.unsent_chunks[0][: max_bytes - sent]
             try:
-                count = self.socket.send(piece)
+                count = self.socket.send(chunk)
             except OSError as error:
                 if error.errno not in TEMPORARY_ERRORS:
                     self.close_socket()
                     return sent
                 count, full = 0, True
-            full = full or count < len(piece)
+            full = full or count < len(chunk)
             sent += count
             self.unsent_bytes -= count
             self.drop_sent(count)
@@ -113,15 +118,15 @@
         return sent
 
     def drop_sent(self, count: int) -> None:
-        """Drop so many bytes from the first queued piece."""
-        piece = self.unsent_chunks[0]
-        if count < len(piece):
-            self.unsent_chunks[0] = piece[count:]
+        """Drop so many bytes from the first queued chunk."""
+        chunk = self.unsent_chunks[0]
+        if count < len(chunk):
+            self.unsent_chunks[0] = chunk[count:]
         else:
             self.unsent_chunks.popleft()
 
     def all_sent(self) -> None:
-        """End a connection that was closed; tell a writer that waits for room."""
+        """End a connection that was closed; wake a writer that waits."""
         if self.closing:
             self.close_socket()
         elif len(self.writable) == 0:
@@ -161,9 +166,9 @@
             self.close_socket()
 
     def abort(self) -> None:
-        """Reset the connection: also what the system still holds for it is dropped.
+        """Reset the connection: also what the system has buffered for it is dropped.
 
-        Closed in order it would arrive later, for instance once a cut network heals.
+        After an orderly close it would arrive later, for instance once a network partition heals.
         """
         if not self.closed:
             with suppress(OSError):
@@ -171,7 +176,7 @@
             self.close_socket()
 
     def close_socket(self) -> None:
-        """Close the socket; what the system still holds is sent in order."""
+        """Close the socket; what the system has buffered is still sent."""
         if self.closed:
             return
         self.reactor.poller.discard(self.socket)
@@ -215,7 +220,7 @@
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.bind((host, port))
-            listener.listen(1024)
+            listener.listen(BACKLOG)
         except OSError as error:
             listener.close()
             raise NetworkError(f"cannot listen on {address}: {error.strerror}") from error
@@ -253,8 +258,8 @@
         return connection
 
     def accept(self, listener: socket.socket) -> None:
-        """Accept waiting connections, at most 64 a turn."""
-        for _ in range(64):
+        """Accept waiting connections, at most MAX_ACCEPTS a turn."""
+        for _ in range(MAX_ACCEPTS):
             try:
                 sock, peer = listener.accept()
             except OSError:
@@ -269,7 +274,7 @@
 
     @handler("_read")  # type: ignore[untyped-decorator]
     def on_readable(self, sock: socket.socket) -> None:
-        """Accept connections or receive bytes, as the poller tells."""
+        """Accept connections or receive bytes, as the poller reports."""
         if sock in self.listeners:
             self.accept(sock)
             return
@@ -289,7 +294,7 @@
 
     @handler("_write")  # type: ignore[untyped-decorator]
     def on_writable(self, sock: socket.socket) -> None:
-        """Finish opening a connection or send on, as the poller tells."""
+        """Finish opening a connection or go on sending, as the poller reports."""
         connection = self.connections.get(sock)
         if connection is None:
             return
@@ -303,7 +308,7 @@
         connection.flush()
 
     @handler("_disconnect", "_error")  # type: ignore[untyped-decorator]
-    def on_gone(self, sock: socket.socket, *_: object) -> None:
+    def on_disconnected(self, sock: socket.socket, *_: object) -> None:
         """End a connection whose socket failed."""
         connection = self.connections.get(sock)
         if connection is not None:
@@ -311,17 +316,17 @@
 
     @handler("signal", channel="*")  # type: ignore[untyped-decorator]
     def on_signal(self, number: int, _: object) -> None:
-        """Hand a signal's number to the task that waits for signals."""
+        """Queue a signal's number for the task that waits for signals."""
         self.signals.put(number)
 
     @handler("generate_events", priority=10)  # type: ignore[untyped-decorator]
     def on_turn(self, event: object) -> None:
-        """Run the tasks that are ready, and limit the poll to the next timer."""
+        """Run the tasks that are ready, and let the poll last until the next timer at most."""
         more = self.scheduler.run_ready()
         if more or not self.running:
             event.reduce_time_left(0)  # type: ignore[attr-defined]
             return
-        heartbeat = self.scheduler.next_timer()
-        if heartbeat is not None:
-            left = max(0.0, heartbeat - self.scheduler.now())
+        due = self.scheduler.next_timer()
+        if due is not None:
+            left = max(0.0, due - self.scheduler.now())
             event.reduce_time_left(left)  # type: ignore[attr-defined]
