--- a/packages/runtime/ryelock/runtime/network.py
+++ b/packages/runtime/ryelock/runtime/network.py
@@ -118,7 +118,7 @@
         return self.connected and not self.closed
 
     async def drain(self, max_unsent_bytes: int, timeout: float) -> bool:
-        """Wait until at most so many bytes are unsent; False if more are after `timeout` seconds."""
+        """Wait until at most so many bytes are unsent; False if not within `timeout` seconds."""
         until = self.scheduler.now() + timeout
         while self.unsent_bytes > max_unsent_bytes and not self.closed:
             left = until - self.scheduler.now()
