--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -4,7 +4,7 @@
 
 from ryelock.consensus import Consensus, ConsensusSettings
 from ryelock.consensus.status import member_status
-from ryelock.control_api import OPERATOR, ControlApi
+from ryelock.control_api import OPERATOR_REQUEST, ControlApi
 from ryelock.control_plane.aggregator import Aggregator
 from ryelock.control_plane.keeper import RoleAssigner
 from ryelock.control_plane.leading import OperatorRequests
@@ -218,7 +218,7 @@
             self.renewals.leave(message, reply)
         elif kind == LEAVE:
             reply(self.keeper.voters.on_leave(message))
-        elif kind == OPERATOR:
+        elif kind == OPERATOR_REQUEST:
             self.scheduler.create_task(self.answer_operator(message, reply), name="operator")
         elif kind in ("claim", "release"):
             self.scheduler.create_task(self.answer_claim(message, reply), name="claim")
@@ -261,7 +261,7 @@
         found = await self.leading.serve(message)
         leader = self.leader()
         if found.get("status") == "elsewhere" and message.get("through") is True and leader:
-            found = await self.control_api.ask_leader(leader, {**message, "through": False})
+            found = await self.control_api.call_leader(leader, {**message, "through": False})
         reply(found)
 
     async def answer_claim(self, message: Message, reply: Reply) -> None:
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -31,7 +31,7 @@
 
 def control_paths() -> dict[tuple[str, str], str]:
     """Return the control API's table of paths."""
-    return control_api.PATHS
+    return {path: action.value for path, action in control_api.PATHS.items()}
 
 
 def control_statuses() -> dict[str, int]:
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -36,7 +36,7 @@
         found |= set(re.findall(r'kind == "([\w.]+)"', text))
         for names in re.findall(r"kind in \(([^)]*)\)", text):
             found |= set(re.findall(r'"([\w.]+)"', names))
-        found |= set(re.findall(r'^OPERATOR = "(\w+)"', text, re.MULTILINE))
+        found |= set(re.findall(r'^\w+_REQUEST = "([\w.]+)"', text, re.MULTILINE))
     return found - {"purge", "drain", "recover"}
 
 
