--- a/packages/control_plane/ryelock/control_plane/leading.py
+++ b/packages/control_plane/ryelock/control_plane/leading.py
@@ -105,7 +105,7 @@
             return {"status": "conflict", "version": version}
         found = merge_change(self.replicated_state.configuration, change)
         if found.is_error():
-            return {"status": "invalid", "faults": found.error, "version": version}
+            return {"status": "invalid", "faults": found.error.to_wire(), "version": version}
         return {"base": version, "plan": plan_change(self.replicated_state.configuration, found.ok)}
 
     async def take(self, kind: str, given: object, fields: Message) -> Message:
@@ -291,7 +291,7 @@
             "verdict": replicated_state.verdict,
             "drains": replicated_state.drains,
             "derived": derived_targets(replicated_state.derived),
-            "duties": {name: duty.to_wire() for name, duty in replicated_state.singletons.items()},
+            "duties": replicated_state.singletons_to_wire(),
             "decisions": replicated_state.decisions[-100:],
             "members": self.shown_members(),
             "voters": self.consensus.voters,
--- a/packages/replicated_state/ryelock/replicated_state/derived.py
+++ b/packages/replicated_state/ryelock/replicated_state/derived.py
@@ -1,74 +1,88 @@
-"""Watches that nobody wrote: which routes may have one, and what it looks like.
+"""Watches that no operator wrote: which routes may have one, and what it fetches.
 
-A watch is made up of an object that an edge really served, for one cached route of each service
-that no operator's watch names. All of this follows from the configuration and from words alone,
-so that it comes to the same on every node.
+A watch is derived from an object that an edge really served, for one cached route of each service
+that no operator's watch names. All of this follows from the configuration and from commands alone,
+so that every replica derives the same.
 """
 
-from ryelock.replicated_state.configuration import Configuration, Fault, Route, Watch, check_watch
+from ryelock.replicated_state.configuration import Configuration, Route, Watch
+from ryelock.replicated_state.errors import MalformedCommandError
+from ryelock.replicated_state.validation import check_watch
 
-DERIVED = "derived "
 MAX_DERIVED_WATCHES = 4
-STALE_SLACK = 30.0
+DERIVED_NAME_PREFIX = "derived "
+STALE_SLACK_SECONDS = 30.0
+"""Age beyond the route's lifetime from which a derived watch's object is stale."""
+MAX_STALE_SECONDS = 1e6
 
 
 def derived_name(route: str) -> str:
-    """The watch's name; no operator's watch has one with a space in it."""
-    return DERIVED + route
+    """Return a derived watch's name; no operator's watch has one with a space in it."""
+    return DERIVED_NAME_PREFIX + route
 
 
 def derivable_routes(configuration: Configuration, derived: dict[str, Watch]) -> frozenset[str]:
-    """Cached routes of services that have no watch yet; none once there are enough watches."""
+    """Return the cached routes of services without a watch; none once there are enough watches."""
     if len(derived) >= MAX_DERIVED_WATCHES:
         return frozenset()
     routes = configuration.routes
-    watched = {routes[watch.route].service for watch in configuration.watches.values()}
+    watched = watched_services(configuration)
     watched |= {routes[name].service for name in derived}
     return frozenset(
         name for name, route in routes.items() if route.cached and route.service not in watched
     )
 
 
-def derived_watch(configuration: Configuration, name: str, target: str, host: str) -> Watch | None:
-    """A watch of an object under a route; None where it is no object of that route.
+def watched_services(configuration: Configuration) -> set[str]:
+    """Return the services that the operators' watches fetch from."""
+    return {configuration.routes[watch.route].service for watch in configuration.watches.values()}
 
-    A copy may be as old as the route's lifetime allows, and is stale only behind that.
+
+def derive_watch(configuration: Configuration, name: str, target: str, host: str) -> Watch | None:
+    """Return a watch of an object under a route; None where it is no object of that route.
+
+    A cached response may be as old as the route's lifetime allows, and is stale only beyond that.
     """
     route = configuration.routes.get(name)
     if route is None or (route.host and host != route.host):
         return None
-    stale = route.lifetime_seconds + STALE_SLACK if route.lifetime_seconds else 0.0
-    watch = Watch(name, target, host=host, dating="etag", stale_seconds=min(1e6, stale))
-    faults: list[Fault] = []
-    check_watch(name, watch, configuration, faults)
-    return None if faults else watch
+    stale = route.lifetime_seconds + STALE_SLACK_SECONDS if route.lifetime_seconds else 0.0
+    watch = Watch(
+        name, target, host=host, dating="etag", stale_seconds=min(MAX_STALE_SECONDS, stale)
+    )
+    sound = next(check_watch(name, watch, configuration), None) is None
+    return watch if sound else None
+
 
+def derived_watches(configuration: Configuration, targets: object) -> dict[str, Watch]:
+    """Return the watches by route that host and path in a command or snapshot give.
 
-def derived_watches(configuration: Configuration, places: object) -> dict[str, Watch]:
-    """Made-up watches by route, of the places that a word or an image names; others are left out.
+    Targets of routes that may have no watch are left out.
 
-    Raises ValueError where these are no places.
+    Raises:
+        MalformedCommandError: the targets are no map of routes to host and path.
     """
-    if not isinstance(places, dict):
-        raise ValueError("not places")
+    if not isinstance(targets, dict):
+        raise MalformedCommandError("places", "not a map")
     found: dict[str, Watch] = {}
-    for name, place in sorted(places.items()):
-        match place:
-            case [str(host), str(target)]:
-                watch = derived_watch(configuration, name, target, host)
+    for name, target in sorted(targets.items()):
+        match target:
+            case [str(host), str(path)]:
+                watch = derive_watch(configuration, name, path, host)
                 if watch is not None and name in derivable_routes(configuration, found):
                     found[name] = watch
             case _:
-                raise ValueError("not a place")
+                raise MalformedCommandError("places", f"{name!r} has no host and path")
     return found
 
 
 def derived_targets(derived: dict[str, Watch]) -> dict[str, list[str]]:
+    """Return host and path of each derived watch by route, for commands and snapshots."""
     return {name: [watch.host, watch.object] for name, watch in sorted(derived.items())}
 
 
-def rests_on(route: Route) -> tuple[object, ...]:
-    """What a watch of a route rests on; where it changes the watch ends."""
+def watch_basis(route: Route) -> tuple[object, ...]:
+    """Return what a derived watch of a route rests on; where it changes the watch ends."""
     return (
         route.path,
         route.host,
@@ -79,15 +93,15 @@
     )
 
 
-def still_standing(
+def retained_watches(
     derived: dict[str, Watch], before: Configuration, after: Configuration
 ) -> dict[str, Watch]:
-    """Those made-up watches that a change of the configuration leaves."""
-    watched = {after.routes[watch.route].service for watch in after.watches.values()}
+    """Return the derived watches that a change of the configuration leaves."""
+    watched = watched_services(after)
     return {
         name: watch
         for name, watch in derived.items()
         if name in after.routes
         and after.routes[name].service not in watched
-        and rests_on(after.routes[name]) == rests_on(before.routes[name])
+        and watch_basis(after.routes[name]) == watch_basis(before.routes[name])
     }
--- a/packages/replicated_state/ryelock/replicated_state/state.py
+++ b/packages/replicated_state/ryelock/replicated_state/state.py
@@ -1,78 +1,72 @@
-"""The machine behind the consensus group's words, and the replica of it on every edge.
+"""The state machine behind the log of the consensus group, and its replica on every edge.
 
-Words are changes, purges, drains, duties, decisions and made-up watches. Applying a word gives
-its outcome; the outcome of an id is remembered, so that the same change sent again gets its
-first answer.
-Everything must come to the same on every node: no clock, no chance, no order of a set.
+Applying a command gives its outcome; the outcome of a command with an id is remembered, so that the
+same command sent again gets its first outcome. Applying has to be deterministic on every node: no
+clock, no randomness, no order of a set.
 """
 
-from collections import OrderedDict
 from collections.abc import Callable
+from typing import TypeVar
 
 import cbor2
 
-from ryelock.replicated_state.configuration import (
-    Configuration,
-    Watch,
-    merge_change,
-    parse_configuration,
+from ryelock.replicated_state.change import merge_change
+from ryelock.replicated_state.claims import Claims, claim_key
+from ryelock.replicated_state.commands import (
+    KIND_FIELD,
+    CommandFields,
+    CommandKind,
+    decode_command,
 )
+from ryelock.replicated_state.configuration import Configuration, Watch
 from ryelock.replicated_state.derived import (
     derivable_routes,
     derived_name,
     derived_targets,
     derived_watches,
-    still_standing,
+    retained_watches,
 )
-from ryelock.replicated_state.outcomes import Outcomes, outcomes_of
+from ryelock.replicated_state.drain import Drain, drain_from_wire
+from ryelock.replicated_state.errors import Fault, MalformedSnapshotError
+from ryelock.replicated_state.outcomes import (
+    CommandStatus,
+    Outcome,
+    Outcomes,
+    invalid_outcome,
+    make_outcome,
+)
+from ryelock.replicated_state.parsing import parse_configuration
+from ryelock.replicated_state.purge import Purge, parse_purge_scopes
 from ryelock.singleton import SingletonRole
 
-PURGES_KEPT = 2000
-DECISIONS_KEPT = 500
-PURGE_KINDS = ("route", "prefix", "path", "label")
-CLAIMS_KEPT = 50_000
-CHANGE = "change"
-Plain = dict[str, object]
-
-
-def encode_command(kind: str, **fields: object) -> bytes:
-    return cbor2.dumps({"word": kind, **fields})
-
-
-class Purge:
-    """Copies that may not be served any more: a route, a prefix, one path or a label."""
-
-    __slots__ = ("host", "kind", "number", "text")
-
-    def __init__(self, number: int, kind: str, host: str, text: str) -> None:
-        self.number = number
-        self.kind = kind
-        self.host = host
-        self.text = text
-
-    def to_wire(self) -> list[object]:
-        return [self.number, self.kind, self.host, self.text]
-
-
-def purge_fault(scopes: object) -> str:
-    """What is wrong with the scopes of a purge; empty when nothing is."""
-    if not isinstance(scopes, list) or not 0 < len(scopes) <= 1000:
-        return "not a list of 1 to 1000 scopes"
-    for scope in scopes:
-        if not isinstance(scope, dict) or set(scope) - {*PURGE_KINDS, "host"}:
-            return "a scope has a route, a prefix, a path or a label, and perhaps a host"
-        kinds = [kind for kind in PURGE_KINDS if kind in scope]
-        if len(kinds) != 1 or not all(isinstance(value, str) for value in scope.values()):
-            return "a scope has exactly one of route, prefix, path and label"
-        if kinds[0] not in ("route", "label") and not scope[kinds[0]].startswith("/"):
-            return "a path starts with '/'"
-    return ""
+MAX_PURGES = 2000
+"""Purges that are kept; an edge that missed older ones drops its whole cache."""
+MAX_DECISIONS = 500
+"""Past drains and verdicts that are kept for the record."""
+AGGREGATOR = "aggregator"
+"""The singleton role whose owner records verdicts."""
+VerdictFields = dict[str, object]
+"""A verdict of the network as the aggregator proposed it; see ryelock.health."""
+Shape = TypeVar("Shape")
 
 
 class ReplicatedState:
-    """Configuration versions, purges, drains, duties and decisions.
-
-    `derived` has a made-up watch by the name of its route, `derivable` the routes that may get one.
+    """Configuration, purges, drains, singleton roles and decisions, all at one log index.
+
+    Attributes:
+        index: log index up to which commands are applied.
+        version: version of the configuration.
+        configuration: what operators set.
+        purge_number: number of the newest purge.
+        purges: the newest purges, oldest first.
+        drains: drained edges by name and zones by `zone:NAME`.
+        singletons: singleton roles by name.
+        decisions: past drains and verdicts as the control API shows them, oldest first.
+        verdict: the newest verdict; empty where there was none.
+        derived: derived watches by the name of their route.
+        derivable: names of the routes that may get a derived watch.
+        outcomes: outcomes of commands with an id.
+        claims: claims of idempotency keys.
     """
 
     __slots__ = (
@@ -92,194 +86,195 @@
     )
 
     def __init__(self) -> None:
-        self.clear()
-
-    def clear(self) -> None:
+        """Create the state before the first command."""
         self.index = 0
         self.version = 0
         self.configuration = Configuration()
         self.purge_number = 0
         self.purges: list[Purge] = []
-        self.drains: dict[str, Plain] = {}
+        self.drains: dict[str, Drain] = {}
         self.singletons: dict[str, SingletonRole] = {}
-        self.decisions: list[Plain] = []
-        self.verdict: Plain = {}
+        self.decisions: list[dict[str, object]] = []
+        self.verdict: VerdictFields = {}
         self.derived: dict[str, Watch] = {}
         self.derivable: frozenset[str] = frozenset()
         self.outcomes = Outcomes()
-        self.claims: OrderedDict[bytes, str] = OrderedDict()
+        self.claims = Claims()
 
-    def apply(self, index: int, data: bytes) -> Plain:
+    @property
+    def watches(self) -> dict[str, Watch]:
+        """The derived watches and those of operators, by name."""
+        derived = {derived_name(name): watch for name, watch in sorted(self.derived.items())}
+        return {**derived, **self.configuration.watches}
+
+    def apply(self, index: int, data: bytes) -> Outcome:
         """Apply one log entry; the outcome tells whether it was accepted, and why not."""
         self.index = index
-        word = cbor2.loads(data)
-        if not isinstance(word, dict):
-            return {"status": "malformed"}
-        handlers = {
-            "change": self.change,
-            "purge": self.purge,
-            "drain": self.drain,
-            "duty": self.duty,
-            "decision": self.decision,
-            "derived": self.derive,
-            "claim": self.claim,
-            "release": self.release,
-        }
-        handler = handlers.get(str(word.get("word")))
+        command = decode_command(data)
+        if command is None:
+            return make_outcome(CommandStatus.MALFORMED)
+        kind = str(command.get(KIND_FIELD))
+        handler = self.handlers().get(kind)
         if handler is None:
-            return {"status": "malformed"}
-        kind, identity = str(word["word"]), word.get("id")
+            return make_outcome(CommandStatus.MALFORMED)
+        identity = command.get("id")
         if not isinstance(identity, str):
-            return self.guarded(handler, word)
+            return self.apply_guarded(handler, command)
         known = self.outcomes.find(kind, identity)
         if known is not None:
             return {**known, "again": True}
-        outcome = self.guarded(handler, word)
-        if kind == CHANGE and outcome.get("status") == "accepted":
-            self.outcomes.stand(kind, identity)
+        outcome = self.apply_guarded(handler, command)
+        if kind == CommandKind.CHANGE and outcome.get("status") == CommandStatus.ACCEPTED:
+            self.outcomes.pin(kind, identity)
         self.outcomes.remember(kind, identity, outcome)
         return outcome
 
-    def guarded(self, handler: Callable[[Plain], Plain], word: Plain) -> Plain:
-        """A word that no node can read moves no state on any."""
+    def handlers(self) -> dict[str, Callable[[CommandFields], Outcome]]:
+        """Return what applies each kind of command."""
+        return {
+            CommandKind.CHANGE: self.apply_change,
+            CommandKind.PURGE: self.apply_purge,
+            CommandKind.DRAIN: self.apply_drain,
+            CommandKind.ASSIGN_ROLE: self.assign_role,
+            CommandKind.RECORD_VERDICT: self.record_verdict,
+            CommandKind.DERIVE_WATCHES: self.replace_derived_watches,
+            CommandKind.CLAIM: self.apply_claim,
+            CommandKind.RELEASE: self.apply_release,
+        }
+
+    def apply_guarded(
+        self, handler: Callable[[CommandFields], Outcome], command: CommandFields
+    ) -> Outcome:
+        """Apply a command; one that no node can read changes the state of none."""
         try:
-            return handler(word)
+            return handler(command)
         except (KeyError, TypeError, ValueError, AttributeError, RecursionError):
-            return {"status": "malformed", "faults": [{"path": "", "fault": "not readable"}]}
+            faults = [Fault("", "not readable").to_wire()]
+            return make_outcome(CommandStatus.MALFORMED, faults=faults)
 
-    def change(self, word: Plain) -> Plain:
-        change = word.get("change")
+    def apply_change(self, command: CommandFields) -> Outcome:
+        """Change the configuration, where the change was made against the present version."""
+        change = command.get("change")
         base = change.get("base") if isinstance(change, dict) else None
         if isinstance(base, int) and base != self.version:
-            return {"status": "conflict", "version": self.version}
-        found = merge_change(self.configuration, change)
-        if found.is_error():
-            return {"status": "invalid", "faults": found.error, "version": self.version}
-        named = change.get("version") if isinstance(change, dict) else None
-        self.version = named if isinstance(named, int) else self.version + 1
-        self.derived = still_standing(self.derived, self.configuration, found.ok)
-        self.configuration = found.ok
+            return make_outcome(CommandStatus.CONFLICT, version=self.version)
+        merged = merge_change(self.configuration, change)
+        if merged.is_error():
+            return invalid_outcome(merged.error.faults, version=self.version)
+        version = change.get("version") if isinstance(change, dict) else None
+        self.version = version if isinstance(version, int) else self.version + 1
+        self.derived = retained_watches(self.derived, self.configuration, merged.ok)
+        self.configuration = merged.ok
         self.derivable = derivable_routes(self.configuration, self.derived)
-        return {"status": "accepted", "version": self.version, "index": self.index}
-
-    def purge(self, word: Plain) -> Plain:
-        scopes = word.get("scopes")
-        reason = purge_fault(scopes)
-        if reason or not isinstance(scopes, list):
-            return {"status": "invalid", "faults": [{"path": "scopes", "fault": reason}]}
-        for scope in scopes:
-            kind = next(kind for kind in PURGE_KINDS if kind in scope)
+        return make_outcome(CommandStatus.ACCEPTED, version=self.version, index=self.index)
+
+    def apply_purge(self, command: CommandFields) -> Outcome:
+        """Number the scopes of a purge and keep them for the edges."""
+        scopes = parse_purge_scopes(command.get("scopes"))
+        if scopes.is_error():
+            return invalid_outcome([scopes.error])
+        for scope in scopes.ok:
             self.purge_number += 1
-            self.purges.append(Purge(self.purge_number, kind, scope.get("host", ""), scope[kind]))
-        del self.purges[:-PURGES_KEPT]
-        return {"status": "accepted", "purge": self.purge_number, "index": self.index}
-
-    def drain(self, word: Plain) -> Plain:
-        target = str(word.get("target"))
-        if word.get("on") is True:
-            self.drains[target] = {
-                "index": self.index,
-                "reason": str(word.get("reason", "")),
-                "forced": word.get("forced") is True,
-            }
+            self.purges.append(Purge(self.purge_number, scope.kind, scope.host, scope.text))
+        del self.purges[:-MAX_PURGES]
+        return make_outcome(CommandStatus.ACCEPTED, purge=self.purge_number, index=self.index)
+
+    def apply_drain(self, command: CommandFields) -> Outcome:
+        """Drain an edge or a zone, or recover it."""
+        target = str(command.get("target"))
+        draining = command.get("on") is True
+        if draining:
+            reason = str(command.get("reason", ""))
+            forced = command.get("forced") is True
+            self.drains[target] = Drain(index=self.index, reason=reason, forced=forced)
         elif self.drains.pop(target, None) is None:
-            return {
-                "status": "invalid",
-                "faults": [{"path": "target", "fault": f"{target} is not drained"}],
+            return invalid_outcome([Fault("target", f"{target} is not drained")])
+        self.add_decision(
+            {
+                "kind": "drain" if draining else "recover",
+                "target": target,
+                "index": self.index,
+                "wall": command.get("wall"),
+                "reason": command.get("reason", ""),
             }
-        record: Plain = {
-            "kind": "drain" if word.get("on") is True else "recover",
-            "target": target,
-            "index": self.index,
-            "wall": word.get("wall"),
-            "reason": word.get("reason", ""),
-        }
-        self.keep_decision(record)
-        return {"status": "accepted", "index": self.index}
-
-    def duty(self, word: Plain) -> Plain:
-        name, holder = str(word["name"]), str(word["holder"])
-        epoch, before = word["epoch"], self.singletons.get(name)
-        if not isinstance(epoch, int) or (before is not None and epoch < before.fencing_token):
-            return {"status": "fenced"}
-        if before is not None and epoch == before.fencing_token and holder != before.owner:
-            return {"status": "fenced"}
-        self.singletons[name] = SingletonRole(name, holder, epoch, str(word["successor"]))
-        return {"status": "accepted", "index": self.index}
-
-    def decision(self, word: Plain) -> Plain:
-        """A verdict, taken only from the present holder of the aggregator's duty."""
-        duty = self.singletons.get("aggregator")
-        epoch = word.get("epoch")
-        if (
-            duty is None
-            or not isinstance(epoch, int)
-            or duty.fences(str(word.get("holder")), epoch)
-        ):
-            return {"status": "fenced"}
-        verdict = word.get("verdict")
+        )
+        return make_outcome(CommandStatus.ACCEPTED, index=self.index)
+
+    def assign_role(self, command: CommandFields) -> Outcome:
+        """Give a singleton role to a node, unless its fencing token is older than the present."""
+        name, owner = str(command["name"]), str(command["holder"])
+        fencing_token = command["epoch"]
+        current = self.singletons.get(name)
+        if not isinstance(fencing_token, int):
+            return make_outcome(CommandStatus.FENCED)
+        if current is not None and not current.can_become(owner, fencing_token):
+            return make_outcome(CommandStatus.FENCED)
+        successor = str(command["successor"])
+        self.singletons[name] = SingletonRole(name, owner, fencing_token, successor)
+        return make_outcome(CommandStatus.ACCEPTED, index=self.index)
+
+    def record_verdict(self, command: CommandFields) -> Outcome:
+        """Record a verdict, taken only from the present owner of the aggregator's role."""
+        role = self.singletons.get(AGGREGATOR)
+        owner, fencing_token = command.get("holder"), command.get("epoch")
+        if role is None or not isinstance(fencing_token, int):
+            return make_outcome(CommandStatus.FENCED)
+        if role.fences(str(owner), fencing_token):
+            return make_outcome(CommandStatus.FENCED)
+        verdict = command.get("verdict")
         if not isinstance(verdict, dict):
-            return {"status": "malformed"}
+            return make_outcome(CommandStatus.MALFORMED)
         before = self.verdict
         self.verdict = {
             **verdict,
             "index": self.index,
-            "epoch": epoch,
-            "holder": word.get("holder"),
-            "wall": word.get("wall"),
+            "epoch": fencing_token,
+            "holder": owner,
+            "wall": command.get("wall"),
         }
-        if before.get("network") != verdict.get("network") or zone_words(before) != zone_words(
-            verdict
-        ):
-            self.keep_decision({**self.verdict, "kind": "verdict"})
-        return {"status": "accepted", "index": self.index}
-
-    def derive(self, word: Plain) -> Plain:
-        """All watches that are made up of objects that were served, in place of those before."""
-        self.derived = derived_watches(self.configuration, word["places"])
-        self.derivable = derivable_routes(self.configuration, self.derived)
-        return {"status": "accepted", "index": self.index}
+        if is_other_verdict(before, verdict):
+            self.add_decision({**self.verdict, "kind": "verdict"})
+        return make_outcome(CommandStatus.ACCEPTED, index=self.index)
 
-    @property
-    def watches(self) -> dict[str, Watch]:
-        """The operators' watches and those that were made up, by name."""
-        made = {derived_name(name): watch for name, watch in sorted(self.derived.items())}
-        return {**made, **self.configuration.watches}
-
-    def claim(self, word: Plain) -> Plain:
-        """One order claims a key: whoever asks with another order later is told so."""
-        key, request = bytes_of(word["key"]), str(word["order"])
-        holder = self.claims.setdefault(key, request)
-        while len(self.claims) > CLAIMS_KEPT:
-            self.claims.popitem(last=False)
-        return {"status": "claimed" if holder == request else "known", "order": holder}
-
-    def release(self, word: Plain) -> Plain:
-        """The order that claimed a key certainly did not run."""
-        key = bytes_of(word["key"])
-        if self.claims.get(key) == word["order"]:
-            del self.claims[key]
-        return {"status": "released"}
-
-    def keep_decision(self, record: Plain) -> None:
+    def replace_derived_watches(self, command: CommandFields) -> Outcome:
+        """Replace all derived watches by those of the objects that the command names."""
+        self.derived = derived_watches(self.configuration, command["places"])
+        self.derivable = derivable_routes(self.configuration, self.derived)
+        return make_outcome(CommandStatus.ACCEPTED, index=self.index)
+
+    def apply_claim(self, command: CommandFields) -> Outcome:
+        """Claim a key for a request; the outcome names the request that owns the key."""
+        key, request = claim_key(command["key"]), str(command["order"])
+        owner = self.claims.claim(key, request)
+        status = CommandStatus.CLAIMED if owner == request else CommandStatus.KNOWN
+        return make_outcome(status, order=owner)
+
+    def apply_release(self, command: CommandFields) -> Outcome:
+        """Give a key back; the request that claimed it certainly did not run."""
+        self.claims.release(claim_key(command["key"]), command["order"])
+        return make_outcome(CommandStatus.RELEASED)
+
+    def add_decision(self, record: dict[str, object]) -> None:
+        """Add a drain or verdict to the record."""
         self.decisions.append(record)
-        del self.decisions[:-DECISIONS_KEPT]
+        del self.decisions[:-MAX_DECISIONS]
 
     def snapshot(self) -> bytes:
-        """All of it, as the consensus group's disks keep it."""
-        whole = {
-            **self.shared(),
+        """Return all of it, as the consensus group's disks keep it; see `restore`."""
+        fields = {
+            **self.shared_fields(),
             "decisions": self.decisions,
             "outcomes": self.outcomes.to_wire(),
-            "claims": list(self.claims.items()),
+            "claims": self.claims.to_wire(),
         }
-        return cbor2.dumps(whole)
+        return cbor2.dumps(fields)
 
     def edge_snapshot(self) -> bytes:
-        """What edges need of it: no outcomes of old words and no past decisions."""
-        return cbor2.dumps({**self.shared(), "outcomes": [], "decisions": []})
+        """Return what edges need of it: no outcomes, past decisions or claims; see `restore`."""
+        return cbor2.dumps({**self.shared_fields(), "outcomes": [], "decisions": []})
 
-    def shared(self) -> Plain:
+    def shared_fields(self) -> dict[str, object]:
+        """Return the fields that snapshots of control nodes and of edges have, in their order."""
         return {
             "index": self.index,
             "version": self.version,
@@ -287,44 +282,66 @@
             "purge_number": self.purge_number,
             "purges": [purge.to_wire() for purge in self.purges],
             "drains": self.drains,
-            "duties": {name: duty.to_wire() for name, duty in self.singletons.items()},
+            "duties": self.singletons_to_wire(),
             "verdict": self.verdict,
             "derived": derived_targets(self.derived),
         }
 
+    def singletons_to_wire(self) -> dict[str, object]:
+        """Return the singleton roles by name, as snapshots and the control API have them."""
+        return {name: role.to_wire() for name, role in self.singletons.items()}
+
     def restore(self, data: bytes) -> None:
-        found = cbor2.loads(data)
-        if not isinstance(found, dict):
-            raise ValueError("not an image of the register")
-        configuration = parse_configuration(found["configuration"])
+        """Replace the whole state by a snapshot's; fields that came later may be missing.
+
+        Raises:
+            ReplicatedStateError: it is no snapshot; the state may be incomplete then.
+            MalformedRoleError: a singleton role has another form; so it may be then.
+        """
+        fields = cbor2.loads(data)
+        if not isinstance(fields, dict):
+            raise MalformedSnapshotError("snapshot", "not a map")
+        configuration = parse_configuration(required_field(fields, "configuration", dict))
         if configuration.is_error():
-            raise ValueError("the image's configuration is not valid")
-        self.clear()
-        self.index = found["index"]
-        self.version = found["version"]
+            raise configuration.error
+        self.index = required_field(fields, "index", int)
+        self.version = required_field(fields, "version", int)
         self.configuration = configuration.ok
-        self.purge_number = found["purge_number"]
-        self.purges = [Purge(*purge) for purge in found["purges"]]
-        self.drains = found["drains"]
-        self.singletons = {
-            name: SingletonRole(plain["name"], plain["holder"], plain["epoch"], plain["successor"])
-            for name, plain in found["duties"].items()
-        }
-        self.decisions = found["decisions"]
-        self.verdict = found["verdict"]
-        self.derived = derived_watches(self.configuration, found.get("derived", {}))
+        self.purge_number = required_field(fields, "purge_number", int)
+        self.purges = [Purge.from_wire(item) for item in required_field(fields, "purges", list)]
+        drains = required_field(fields, "drains", dict)
+        self.drains = {target: drain_from_wire(item) for target, item in drains.items()}
+        roles = required_field(fields, "duties", dict)
+        self.singletons = {name: SingletonRole.from_wire(item) for name, item in roles.items()}
+        self.decisions = required_field(fields, "decisions", list)
+        self.verdict = required_field(fields, "verdict", dict)
+        self.derived = derived_watches(self.configuration, fields.get("derived", {}))
         self.derivable = derivable_routes(self.configuration, self.derived)
-        self.outcomes = outcomes_of(found["outcomes"])
-        self.claims = OrderedDict((key, value) for key, value in found.get("claims", ()))
+        self.outcomes = Outcomes.from_wire(required_field(fields, "outcomes", list))
+        self.claims = Claims.from_wire(fields.get("claims", ()))
+
 
+def required_field(fields: dict[str, object], name: str, kind: type[Shape]) -> Shape:
+    """Return a field of a snapshot.
 
-def bytes_of(value: object) -> bytes:
-    if not isinstance(value, bytes) or not 0 < len(value) <= 64:
-        raise ValueError("not a key")
+    Raises:
+        MalformedSnapshotError: it is missing or of another type.
+    """
+    value = fields.get(name)
+    if not isinstance(value, kind):
+        raise MalformedSnapshotError(name, f"not of type {kind.__name__}")
     return value
 
 
-def zone_words(verdict: Plain) -> dict[str, object]:
+def is_other_verdict(before: VerdictFields, after: VerdictFields) -> bool:
+    """Tell whether a verdict finds the network or a zone otherwise than the one before."""
+    return before.get("network") != after.get("network") or zone_verdicts(before) != zone_verdicts(
+        after
+    )
+
+
+def zone_verdicts(verdict: VerdictFields) -> dict[str, object]:
+    """Return what each zone is found to be."""
     zones = verdict.get("zones")
     if not isinstance(zones, dict):
         return {}
--- a/packages/testing/ryelock/testing/pieces.py
+++ b/packages/testing/ryelock/testing/pieces.py
@@ -20,7 +20,7 @@
 from ryelock.journal import MachineFolder
 from ryelock.membership import Membership, Server, Session
 from ryelock.rate_limit.quota_allocator import Given
-from ryelock.replicated_state import Purge, ReplicatedState, encode_command
+from ryelock.replicated_state import Purge, PurgeKind, ReplicatedState, encode_command
 from ryelock.runtime.reactor import Reactor
 from ryelock.settings import read_settings
 from ryelock.testing.scale import Figures, Size, measure_judging, zone_name
@@ -198,7 +198,7 @@
 
     def purge() -> None:
         number = store.purged + 1
-        store.take_purges([Purge(number, "path", "", "/elsewhere")], number)
+        store.take_purges([Purge(number, PurgeKind.PATH, "", "/elsewhere")], number)
 
     return {f"edge: ms of a purge at {copies} copies": 1e3 * seconds_of(purge)}
 
--- a/tests/control_plane/test_control_cases.py
+++ b/tests/control_plane/test_control_cases.py
@@ -84,7 +84,7 @@
 
 def no_version_check() -> list[Patch]:
     """A change is taken whatever version it builds on."""
-    plain = ReplicatedState.change
+    plain = ReplicatedState.apply_change
 
     def change(replicated_state: ReplicatedState, word: Any) -> Any:
         asked = dict(word["change"])
@@ -92,7 +92,7 @@
         asked["version"] = replicated_state.version + 1
         return plain(replicated_state, {**word, "change": asked})
 
-    return [mock.patch.object(ReplicatedState, "change", change)]
+    return [mock.patch.object(ReplicatedState, "apply_change", change)]
 
 
 def no_memory() -> list[Patch]:
@@ -101,12 +101,12 @@
 
 
 def small_memory() -> list[Patch]:
-    return [mock.patch.object(outcomes, "REMEMBERED_MOST", 20)]
+    return [mock.patch.object(outcomes, "MAX_OUTCOMES_PER_KIND", 20)]
 
 
 def nothing_stands() -> list[Patch]:
     """The outcome of the standing change is forgotten like any other."""
-    return [*small_memory(), mock.patch.object(Outcomes, "stand", lambda *_: None)]
+    return [*small_memory(), mock.patch.object(Outcomes, "pin", lambda *_: None)]
 
 
 class RaceTests(CaseTests):
--- a/tests/golden/test_golden_lists.py
+++ b/tests/golden/test_golden_lists.py
@@ -26,7 +26,9 @@
 from ryelock.http import ProtocolProfile
 from ryelock.membership import sessions
 from ryelock.metrics import Metrics
+from ryelock.replicated_state import change as configuration_change
 from ryelock.replicated_state import configuration as register_configuration
+from ryelock.replicated_state import parse_configuration
 from ryelock.runtime import Scheduler
 from ryelock.testing.simulated import World
 
@@ -92,8 +94,8 @@
 
 def checked_configuration(plain: object) -> object:
     """Return the faults of a configuration; "fine" where there are none."""
-    found = register_configuration.parse_configuration(plain)
-    return found.error if found.is_error() else "fine"
+    found = parse_configuration(plain)
+    return found.error.to_wire() if found.is_error() else "fine"
 
 
 def dialect_words(dialect: ProtocolProfile) -> dict[str, object]:
@@ -137,8 +139,8 @@
         "statuses": control_api.STATUSES,
         "roles": sessions.ROLES,
         "dating": register_configuration.DATINGS,
-        "parts": register_configuration.PARTS,
-        "fields of a change": register_configuration.CHANGE_FIELDS,
+        "parts": register_configuration.SECTIONS,
+        "fields of a change": configuration_change.CHANGE_FIELDS,
     }
 
 
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -5,12 +5,9 @@
 same entries, appended and applied anew, must give the same bytes.
 """
 
-import ast
-import inspect
 import shutil
 import struct
 import tempfile
-import textwrap
 import zlib
 from collections.abc import Callable, Iterator
 from functools import partial
@@ -27,8 +24,7 @@
 from ryelock.control_plane.process import ControlNode
 from ryelock.events import RecordingLog
 from ryelock.journal import Journal, MachineFolder
-from ryelock.replicated_state import ReplicatedState, encode_command
-from ryelock.replicated_state import state as state_machine
+from ryelock.replicated_state import PurgeKind, ReplicatedState, encode_command
 from ryelock.settings import read_settings
 from ryelock.testing.simulated import World
 
@@ -40,10 +36,7 @@
 
 def state_machine_kinds() -> set[str]:
     """Return the kinds of entries in the state machine's own table of handlers."""
-    tree = ast.parse(textwrap.dedent(inspect.getsource(ReplicatedState.apply)))
-    tables = [node for node in ast.walk(tree) if isinstance(node, ast.Dict) and len(node.keys) > 2]
-    (table,) = tables
-    return {str(key.value) for key in table.keys if isinstance(key, ast.Constant)}
+    return {str(kind) for kind in ReplicatedState().handlers()}
 
 
 def consensus_kinds() -> set[str]:
@@ -62,7 +55,7 @@
 
 def purge_kinds() -> set[str]:
     """Return what a purge can name."""
-    return set(state_machine.PURGE_KINDS)
+    return {str(kind) for kind in PurgeKind}
 
 
 def encoded(kind: str, fields: Plain) -> bytes:
@@ -91,7 +84,7 @@
         ],
         "derivable": replicated_state.derivable,
         "outcomes": replicated_state.outcomes.to_wire(),
-        "claims": list(replicated_state.claims.items()),
+        "claims": replicated_state.claims.to_wire(),
     }
     assert len(covered) == len(ReplicatedState.__slots__), (
         "a field of the state machine is not compared"
--- a/tests/project/test_checked.py
+++ b/tests/project/test_checked.py
@@ -101,7 +101,7 @@
                 remove={"watches": ["w"]},
             ),
         )
-        paths = {fault["path"] for fault in found.error}
+        paths = {fault.path for fault in found.error.faults}
         self.assertEqual({"put.roads", "remove.watches.w"}, paths)
         found = merge_change(
             Configuration(),
@@ -114,7 +114,7 @@
         )
         self.assertEqual(
             {"services.t.speed", "services.t.rate", "routes.q.path"},
-            {fault["path"] for fault in found.error},
+            {fault.path for fault in found.error.faults},
         )
         found = merge_change(
             Configuration(),
@@ -137,7 +137,7 @@
                 "watches.w.route",
                 "watches.w.object",
             },
-            {fault["path"] for fault in found.error},
+            {fault.path for fault in found.error.faults},
         )
 
     def test_the_same_id_gets_the_first_outcome(self) -> None:
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -125,7 +125,7 @@
 
 
 def declined_takes_effect() -> list[Patch]:
-    plain = ReplicatedState.change
+    plain = ReplicatedState.apply_change
 
     def change(replicated_state: ReplicatedState, word: dict[str, Any]) -> dict[str, object]:
         outcome = plain(replicated_state, word)
@@ -135,7 +135,7 @@
             )
         return outcome
 
-    return [mock.patch.object(ReplicatedState, "change", change)]
+    return [mock.patch.object(ReplicatedState, "apply_change", change)]
 
 
 def no_wait_for_answers() -> list[Patch]:
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -103,7 +103,7 @@
     def replicated_state(self) -> ReplicatedState:
         return self.scenario.node(self.scenario.leader()).core.replicated_state
 
-    def word(self, zone: str) -> str:
+    def zone_verdict(self, zone: str) -> str:
         zones: Any = self.replicated_state.verdict.get("zones", {})
         return str(zones.get(zone, {}).get("verdict", ""))
 
@@ -161,7 +161,7 @@
         self.assertEqual([], fleet.scenario.world.faults)
 
 
-class MadeUpTests(DerivedCase):
+class DerivedWatchTests(DerivedCase):
     def test_a_watch_is_made_up_of_what_was_served(self) -> None:
         fleet = Derived(1)
         self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
@@ -171,7 +171,11 @@
         self.assertEqual(["covers"], list(fleet.replicated_state.derived))
         self.assertTrue(
             fleet.until(
-                lambda: fleet.word("zone0") == "healthy" and fleet.word("zone1") == "healthy", 20
+                lambda: (
+                    fleet.zone_verdict("zone0") == "healthy"
+                    and fleet.zone_verdict("zone1") == "healthy"
+                ),
+                20,
             )
         )
         fleet.scenario.world.run(1)
@@ -238,7 +242,7 @@
 
         with mock.patch.object(ServerStandIn, "serve", serve):
             fleet = Derived(4)
-            self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "healthy", 20))
+            self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
             gone.add(fleet.replicated_state.derived["covers"].object)
             self.assertTrue(
                 fleet.until(
@@ -249,7 +253,7 @@
                     30,
                 )
             )
-            self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "healthy", 20))
+            self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
         self.assertEqual([], fleet.scenario.downs)
         numbers = [
             number
@@ -262,7 +266,7 @@
 
     def test_a_success_without_a_seal_is_invalid(self) -> None:
         fleet = Derived(5)
-        self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "healthy", 20))
+        self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
         since = fleet.scenario.world.time
         for name in fleet.scenario.edges:
             prober = fleet.scenario.node(name).traffic.prober
@@ -300,15 +304,15 @@
             ):
                 fleet = Derived(8)
                 fleet.scenario.world.run(12)
-                self.assertEqual("healthy", fleet.word("zone0"))
+                self.assertEqual("healthy", fleet.zone_verdict("zone0"))
                 for server in fleet.scenario.servers.values():
                     server.manner = "full"
                 fleet.scenario.world.run(20)
-                self.assertEqual(wanted, fleet.word("zone0"))
+                self.assertEqual(wanted, fleet.zone_verdict("zone0"))
 
     def test_what_is_not_cached_is_not_probed_in_the_servers_words(self) -> None:
         fleet = Derived(9)
-        self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "healthy", 20))
+        self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
         for name in fleet.scenario.edges:
             prober = fleet.scenario.node(name).traffic.prober
             assert prober is not None
@@ -343,10 +347,10 @@
         self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
         target = fleet.replicated_state.derived["covers"].object
         fleet.scenario.world.run(8)
-        self.assertNotEqual("stale", fleet.word("zone0"))
+        self.assertNotEqual("stale", fleet.zone_verdict("zone0"))
         with mock.patch("ryelock.edge.handler.may_use", never_ends):
             fleet.scenario.objects["pages"].change(target, fleet.scenario.world.time)
-            self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "stale", 30))
+            self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "stale", 30))
 
 
 class ReplicatedStateTests(testtools.TestCase):
@@ -378,7 +382,7 @@
         )
         return replicated_state
 
-    def test_a_word_comes_to_the_same_everywhere(self) -> None:
+    def test_a_command_comes_to_the_same_everywhere(self) -> None:
         places = {
             "covers": ["", "/covers/1"],
             "albums": ["", "/albums/2"],
@@ -400,7 +404,7 @@
         one.apply(3, encode_command("derived", places={"hosted": ["shop.example", "/h/1"]}))
         self.assertEqual(({"hosted"}, {"covers", "albums"}), (set(one.derived), one.derivable))
 
-    def test_a_word_nobody_can_read_moves_nothing(self) -> None:
+    def test_a_malformed_command_changes_nothing(self) -> None:
         replicated_state = self.replicated_state()
         replicated_state.apply(2, encode_command("derived", places={"covers": ["", "/covers/1"]}))
         before = replicated_state.snapshot()
@@ -416,12 +420,12 @@
             replicated_state.apply(2, encode_command("derived", places=places))
             self.assertEqual(before, replicated_state.snapshot())
 
-    def test_an_image_of_before_has_no_made_up_watches(self) -> None:
+    def test_an_older_snapshot_has_no_derived_watches(self) -> None:
         replicated_state = self.replicated_state()
-        shared = replicated_state.shared
+        shared = replicated_state.shared_fields
         with mock.patch.object(
             ReplicatedState,
-            "shared",
+            "shared_fields",
             lambda _register: {key: value for key, value in shared().items() if key != "derived"},
         ):
             snapshot = replicated_state.snapshot()
@@ -542,7 +546,7 @@
 
     def test_two_of_four_probe_and_others_take_over(self) -> None:
         fleet = Derived(7, edges=4)
-        self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "healthy", 20))
+        self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
         edges = fleet.scenario.edges[:4]
         of_last = {
             name for name, row in fleet.rows() if row.edge == edges[3] and not row.cross_zone
@@ -555,7 +559,7 @@
             name for name, row in fleet.rows() if row.edge == edges[3] and not row.cross_zone
         }
         self.assertIn(edges[2], of_last)
-        self.assertEqual("healthy", fleet.word("zone0"))
+        self.assertEqual("healthy", fleet.zone_verdict("zone0"))
         self.holds(fleet)
 
 
@@ -568,10 +572,10 @@
         fleet.cut_off_servers(0, edges)
         fleet.scenario.world.run(20)
         share = fleet.served_share(10)
-        self.assertEqual(derives, fleet.word("zone0") == "down")
-        self.assertNotEqual("down", fleet.word("zone1"))
+        self.assertEqual(derives, fleet.zone_verdict("zone0") == "down")
+        self.assertNotEqual("down", fleet.zone_verdict("zone1"))
         ready = [fleet.scenario.node(name).traffic.ready for name in fleet.scenario.edges]
-        self.assertEqual([fleet.word("zone0") != "down"] * edges + [True] * edges, ready)
+        self.assertEqual([fleet.zone_verdict("zone0") != "down"] * edges + [True] * edges, ready)
         fleet.scenario.world.heal()
         self.assertTrue(
             fleet.until(
@@ -584,11 +588,11 @@
         self.holds(fleet)
         return share
 
-    def test_callers_are_steered_by_a_verdict_of_a_made_up_watch(self) -> None:
+    def test_callers_are_steered_by_a_verdict_of_a_derived_watch(self) -> None:
         for seed, edges in ((10, 3), (11, 2)):
             self.assertGreater(self.readers_served(seed, edges), 0.98)
 
-    def test_without_made_up_watches_callers_are_not_steered(self) -> None:
+    def test_without_derived_watches_callers_are_not_steered(self) -> None:
         self.assertLess(self.readers_served(10, 3, derives=False), 0.8)
 
     def test_servers_of_a_down_zone_are_picked_last_over_a_region_too(self) -> None:
--- a/tests/support/consensus_takeouts.py
+++ b/tests/support/consensus_takeouts.py
@@ -168,7 +168,7 @@
 
 
 def base_unchecked() -> AbstractContextManager[object]:
-    original = ReplicatedState.change
+    original = ReplicatedState.apply_change
 
     def change(replicated_state: ReplicatedState, word: Plain) -> Plain:
         given = dict(word["change"])
@@ -176,15 +176,15 @@
         replicated_state.version = given["base"]
         return original(replicated_state, {**word, "change": given})
 
-    return mock.patch.object(ReplicatedState, "change", change)
+    return mock.patch.object(ReplicatedState, "apply_change", change)
 
 
 @contextmanager
 def outcomes_forgotten() -> Iterator[None]:
     """Two outcomes of a kind are remembered, that of the standing change not for longer."""
     with (
-        mock.patch("ryelock.replicated_state.outcomes.REMEMBERED_MOST", 1),
-        mock.patch.object(Outcomes, "stand", lambda _outcomes, _kind, _identity: None),
+        mock.patch("ryelock.replicated_state.outcomes.MAX_OUTCOMES_PER_KIND", 1),
+        mock.patch.object(Outcomes, "pin", lambda _outcomes, _kind, _identity: None),
     ):
         yield
 
