--- a/packages/edge/ryelock/edge/metrics.py
+++ b/packages/edge/ryelock/edge/metrics.py
@@ -1,4 +1,4 @@
-"""The figures that an edge tells of its request path, by service."""
+"""Metrics of an edge's request path, by service."""
 
 from collections.abc import Callable, Mapping
 
@@ -8,12 +8,17 @@
 
 
 class EdgeMetrics:
-    """Counters of an edge's request path, and gauges that read its gates."""
+    """Counters of an edge's request path, and gauges that read its admission queues."""
 
     __slots__ = ("all", "attempts", "cache", "cancelled", "gates", "refusals", "scheduler")
 
     def __init__(self, gates: Mapping[str, AdmissionQueue], scheduler: Scheduler) -> None:
-        """Create the figures; `gates` are the edge's gates by service, as they come and go."""
+        """Create the metrics.
+
+        Args:
+            gates: the edge's admission queues by service, as they come and go.
+            scheduler: the clock.
+        """
         self.gates = gates
         self.scheduler = scheduler
         self.all = Metrics()
@@ -35,7 +40,7 @@
         self.add_gauge("retries_left", "Retries that may be sent.", lambda gate: gate.budget.room)
 
     def add_gauge(self, name: str, note: str, read: Callable[[AdmissionQueue], float]) -> None:
-        """Add a gauge that is read from the gate of each service."""
+        """Add a gauge that is read from the admission queue of each service."""
 
         def read_all() -> dict[Labels, float]:
             return {(service,): read(gate) for service, gate in self.gates.items()}
@@ -43,10 +48,10 @@
         self.all.gauge(name, note, read_all, "service")
 
     def share_of(self, gate: AdmissionQueue) -> float:
-        """Return a gate's share of its service's rate, 0 where there is none."""
+        """Return the quota share of a service in requests a second, 0 where none is held."""
         return gate.bucket.holding(self.scheduler.now())
 
     def room_of(self, gate: AdmissionQueue) -> float:
-        """Return how many requests a gate's bucket would let through at this moment."""
+        """Return how many requests the token bucket would let through at this moment."""
         gate.bucket.fill(self.scheduler.now())
         return gate.bucket.room
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -454,7 +454,7 @@
         for number in range(len(self.edges)):
             handler = self.handler(number)
             for state in handler.servers.by_service.get(SERVICE, []):
-                handler.servers.end_connections(state)
+                state.close_idle()
                 state.failures, state.full_until, state.aside_for = 0, 0.0, 0.0
                 state.aside_until, state.trying, state.latency = 0.0, False, 0.0
             budget = handler.gates[SERVICE].budget
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -10,7 +10,7 @@
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.process import TrafficNode
 from ryelock.edge.servers import Servers
-from ryelock.edge.targets import Probing
+from ryelock.edge.targets import ProberAssignment
 from ryelock.events import WATCH_DERIVED, WATCH_ENDED
 from ryelock.health import (
     EvaluationRules,
@@ -517,28 +517,30 @@
         session.role, session.probes, session.ready = "edge", True, ready
         return session
 
-    def probing(self, *sessions: Session) -> Probing:
-        return Probing(list(reversed(sessions)))
+    def probing(self, *sessions: Session) -> ProberAssignment:
+        return ProberAssignment(list(reversed(sessions)))
 
     def test_two_machines_probe_an_edge_and_the_next_takes_over(self) -> None:
         first, second, third, fourth = (self.session(name) for name in ("e1", "e2", "e3", "e4"))
         everyone = self.probing(first, second, third, fourth)
-        self.assertEqual(["e1", "e2"], everyone.of(fourth, 2))
-        self.assertEqual(["e2", "e3"], everyone.of(first, 2))
-        self.assertEqual(["e2", "e3"], self.probing(second, third, fourth).of(fourth, 2))
+        self.assertEqual(["e1", "e2"], everyone.probers_of(fourth, 2))
+        self.assertEqual(["e2", "e3"], everyone.probers_of(first, 2))
+        self.assertEqual(["e2", "e3"], self.probing(second, third, fourth).probers_of(fourth, 2))
         second.ready = False
-        self.assertEqual(["e1", "e3"], self.probing(first, second, third, fourth).of(fourth, 2))
+        self.assertEqual(
+            ["e1", "e3"], self.probing(first, second, third, fourth).probers_of(fourth, 2)
+        )
 
     def test_one_machine_counts_once_and_other_zones_stand_in(self) -> None:
         twins = [self.session("e1", machine="m"), self.session("e2", machine="m")]
         others = [self.session(name, "b") for name in ("f1", "f2", "f3")]
         edge = self.session("e3")
-        self.assertEqual(["e1", "f1", "f2"], self.probing(*twins, *others).of(edge, 2))
-        self.assertEqual(["f1", "f2"], self.probing(*twins, *others).of(twins[0], 2))
+        self.assertEqual(["e1", "f1", "f2"], self.probing(*twins, *others).probers_of(edge, 2))
+        self.assertEqual(["f1", "f2"], self.probing(*twins, *others).probers_of(twins[0], 2))
 
     def test_those_that_are_not_ready_probe_where_no_other_can(self) -> None:
         sessions = [self.session(f"e{number}", ready=False) for number in (1, 2, 3)]
-        self.assertEqual(["e1", "e2"], self.probing(*sessions).of(sessions[2], 2))
+        self.assertEqual(["e1", "e2"], self.probing(*sessions).probers_of(sessions[2], 2))
 
     def test_two_of_four_probe_and_others_take_over(self) -> None:
         fleet = Derived(7, edges=4)
