--- a/packages/testing/ryelock/testing/__main__.py
+++ b/packages/testing/ryelock/testing/__main__.py
@@ -9,16 +9,16 @@
 warnings.filterwarnings("ignore", message="pkg_resources is deprecated")
 
 from ryelock.testing.cases import CASES  # noqa: E402
-from ryelock.testing.catchup_measure import measure_catch_up  # noqa: E402
-from ryelock.testing.days_command import days, played  # noqa: E402
+from ryelock.testing.days.command import days, played  # noqa: E402
 from ryelock.testing.finals import FINALS, run_final  # noqa: E402
 from ryelock.testing.measure import MEASURES, measure  # noqa: E402
 from ryelock.testing.model.replay import replay_schedule  # noqa: E402
 from ryelock.testing.model.schedule import LEFT_OUT  # noqa: E402
 from ryelock.testing.model.search import report, search  # noqa: E402
-from ryelock.testing.pieces import measure_pieces  # noqa: E402
-from ryelock.testing.run import run_fleet  # noqa: E402
+from ryelock.testing.processes.run import run_fleet  # noqa: E402
 from ryelock.testing.scale import Point, Size, run_scale, table  # noqa: E402
+from ryelock.testing.scale.catch_up import measure_catch_up  # noqa: E402
+from ryelock.testing.scale.pieces import measure_pieces  # noqa: E402
 from ryelock.testing.schedules import run_schedule  # noqa: E402
 
 
--- a/packages/testing/ryelock/testing/aimed.py
+++ b/packages/testing/ryelock/testing/aimed.py
@@ -7,8 +7,15 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
-from ryelock.testing.dayfile import Day, Site
-from ryelock.testing.troubles import CLOSINGS, KINDS, NO_CONTRACT, Entry, Variants, draw_closing
+from ryelock.testing.days.dayfile import Day, Site
+from ryelock.testing.days.fault_kinds import (
+    CLOSINGS,
+    KINDS,
+    NO_CONTRACT,
+    Entry,
+    Variants,
+    draw_closing,
+)
 
 Aim = Callable[[Site, Random], list[Entry]]
 
--- /dev/null
+++ b/packages/testing/ryelock/testing/cases/__init__.py
@@ -0,0 +1,74 @@
+"""Simulated runs made for one rule or one fault each, by seed.
+
+Tests run them with the mechanism that keeps the rule in its place, and taken out.
+`python -m ryelock.testing case NAME` runs one over many seeds.
+"""
+
+from collections.abc import Callable
+
+from ryelock.testing.cases.answers import foreign_answer, silent_server
+from ryelock.testing.cases.catch_up import many_changes
+from ryelock.testing.cases.cluster_faults import (
+    all_power,
+    cut_edges,
+    deposed_leader,
+    lost_disk,
+    rolling,
+    scattered,
+)
+from ryelock.testing.cases.control import CONTROL_CASES
+from ryelock.testing.cases.crash_points import (
+    crash_claim,
+    crash_drain,
+    crash_edge,
+    crash_follower,
+    crash_points,
+    crash_purge,
+    crash_snapshot,
+    crash_voters,
+)
+from ryelock.testing.cases.losses import LOSS_CASES
+from ryelock.testing.cases.traffic import (
+    crowd,
+    handed_address,
+    lifetimes,
+    mean_servers,
+    narrow_control_apis,
+    purge_flood,
+    repeated_keys,
+    unmarked_repeats,
+)
+from ryelock.testing.checks import Findings
+
+Case = Callable[[int], Findings]
+
+CASES: dict[str, Case] = {
+    "unmarked-repeats": unmarked_repeats,
+    "narrow-desks": narrow_control_apis,
+    "repeated-keys": repeated_keys,
+    "crowd": crowd,
+    "mean-servers": mean_servers,
+    "cut-edges": cut_edges,
+    "handed-address": handed_address,
+    "purge-flood": purge_flood,
+    "all-power": all_power,
+    "deposed-leader": deposed_leader,
+    "scattered": scattered,
+    "lost-disk": lost_disk,
+    "lifetimes": lifetimes,
+    "rolling": rolling,
+    "crash-points": crash_points,
+    "crash-follower": crash_follower,
+    "crash-edge": crash_edge,
+    "crash-purge": crash_purge,
+    "crash-drain": crash_drain,
+    "crash-claim": crash_claim,
+    "crash-image": crash_snapshot,
+    "crash-voters": crash_voters,
+    "many-changes": many_changes,
+    "foreign-answer": foreign_answer,
+    "silent-server": silent_server,
+    **CONTROL_CASES,
+    **LOSS_CASES,
+}
+"""Every case by the name that the command line takes."""
--- a/packages/testing/ryelock/testing/loss_cases.py
+++ b/packages/testing/ryelock/testing/cases/losses.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 from random import Random
 
-from ryelock.testing.checks import Findings
-from ryelock.testing.control_cases import (
+from ryelock.testing.cases.control import (
     OK,
     RESEND_SECONDS,
     newest_version,
     route_change,
 )
+from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
 
 LOSSES = 3
--- a/packages/testing/ryelock/testing/checks.py
+++ b/packages/testing/ryelock/testing/checks.py
@@ -6,8 +6,8 @@
 
 from dataclasses import dataclass
 
-from ryelock.testing.callers import Told
-from ryelock.testing.standins import Objects, Ran, body_for
+from ryelock.testing.stand_ins.callers import Told
+from ryelock.testing.stand_ins.servers import Objects, Ran, body_for
 
 RATE_WINDOW = 5.0
 RATE_OVER = 1.10
--- a/packages/testing/ryelock/testing/days_command.py
+++ b/packages/testing/ryelock/testing/days/command.py
@@ -4,10 +4,10 @@
 from pathlib import Path
 
 from ryelock.testing.aimed import AIMS, draw_aimed
-from ryelock.testing.dayfile import SiteError, read_site, write_day
-from ryelock.testing.days import CoverageError, coverage, coverage_lines, draw_days
-from ryelock.testing.played import ReportError, read_report, summary_lines
-from ryelock.testing.troubles import KINDS, open_kinds
+from ryelock.testing.days.dayfile import SiteError, read_site, write_day
+from ryelock.testing.days.drawing import CoverageError, coverage, coverage_lines, draw_days
+from ryelock.testing.days.fault_kinds import KINDS, open_kinds
+from ryelock.testing.days.played import ReportError, read_report, summary_lines
 
 
 def days(
--- a/packages/testing/ryelock/testing/dayfile.py
+++ b/packages/testing/ryelock/testing/days/dayfile.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ryelock.testing.troubles import Closing, Entry
+from ryelock.testing.days.fault_kinds import Closing, Entry
 
 TROUBLE_SLOT = "trouble"
 
--- a/packages/testing/ryelock/testing/days.py
+++ b/packages/testing/ryelock/testing/days/drawing.py
@@ -11,8 +11,8 @@
 from itertools import combinations
 from random import Random
 
-from ryelock.testing.dayfile import Day, Site
-from ryelock.testing.troubles import (
+from ryelock.testing.days.dayfile import Day, Site
+from ryelock.testing.days.fault_kinds import (
     CLOSINGS,
     KINDS,
     Entry,
--- a/packages/testing/ryelock/testing/played.py
+++ b/packages/testing/ryelock/testing/days/played.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ryelock.testing.days import Pair, pairs_of, wanted_pairs
+from ryelock.testing.days.drawing import Pair, pairs_of, wanted_pairs
 
 CLOSING = "closing"
 WINDOW_SECONDS = 2.0
--- a/packages/testing/ryelock/testing/finals.py
+++ b/packages/testing/ryelock/testing/finals.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from random import Random
 
-from ryelock.testing.callers import Caller, Told
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.schedules import RETURN_SECONDS, SIZES, end_of_day
-from ryelock.testing.standins import SLOW
+from ryelock.testing.stand_ins.callers import Caller, Told
+from ryelock.testing.stand_ins.servers import SLOW
 
 BIN = 0.5
 A_SECOND = 8.0
--- a/packages/testing/ryelock/testing/hollow.py
+++ b/packages/testing/ryelock/testing/hollow.py
@@ -17,7 +17,7 @@
 from ryelock.runtime import Network, Scheduler
 from ryelock.runtime.reactor import Reactor
 from ryelock.testing.hollow_node import DEMAND, CountedLog, Counts, HollowHost, HollowNode
-from ryelock.testing.reactors import run_to_end
+from ryelock.testing.processes.reactors import run_to_end
 
 ROWS_SECONDS = 0.5
 
--- a/packages/testing/ryelock/testing/platform_clients.py
+++ b/packages/testing/ryelock/testing/hosting_platform/clients.py
@@ -14,7 +14,7 @@
 from ryelock.http.heads import FramingError
 from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Connection, Network, Scheduler
-from ryelock.testing.hosting_platform import Arrival, ServiceStandIn, Words
+from ryelock.testing.hosting_platform.platform import Arrival, ServiceStandIn, Words
 
 SAFE, UNSAFE, CACHEABLE = "safe", "unsafe", "cacheable"
 PROMISES = (408, 421, 429, 503)
--- a/packages/testing/ryelock/testing/hosting_platform.py
+++ b/packages/testing/ryelock/testing/hosting_platform/platform.py
@@ -19,7 +19,7 @@
 from ryelock.http import Fields, HttpExchange, HttpServer, Limits, ProtocolProfile, field
 from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Connection, Network, Queue, Scheduler
-from ryelock.testing.standins import Objects, body_for
+from ryelock.testing.stand_ins.servers import Objects, body_for
 
 
 class Manner(StrEnum):
--- a/packages/testing/ryelock/testing/load.py
+++ b/packages/testing/ryelock/testing/load.py
@@ -13,11 +13,11 @@
 
 from ryelock.runtime import TaskCoroutine
 from ryelock.runtime.reactor import Reactor
-from ryelock.testing.callers import Caller, Told
-from ryelock.testing.fleet import FAST
-from ryelock.testing.fleet_run import Run
-from ryelock.testing.reactors import run_to_end
-from ryelock.testing.shapes import SHAPES
+from ryelock.testing.processes.fleet import FAST
+from ryelock.testing.processes.fleet_run import Run
+from ryelock.testing.processes.reactors import run_to_end
+from ryelock.testing.processes.shapes import SHAPES
+from ryelock.testing.stand_ins.callers import Caller, Told
 
 KINDS = {
     "hits": ("GET", "/covers/", 20),
--- a/packages/testing/ryelock/testing/measure.py
+++ b/packages/testing/ryelock/testing/measure.py
@@ -6,13 +6,13 @@
 
 from collections.abc import Callable
 
-from ryelock.testing.cases import stubborn
+from ryelock.testing.cases.control import play_isolation
+from ryelock.testing.cases.losses import LOSS_SETTINGS
+from ryelock.testing.cases.traffic import stubborn
 from ryelock.testing.checks import Findings, check_rates
-from ryelock.testing.control_cases import play_isolation
 from ryelock.testing.finals import request_once
-from ryelock.testing.loss_cases import LOSS_SETTINGS
 from ryelock.testing.scenario import Scenario
-from ryelock.testing.standins import FAILING, SLOW, WHOLE
+from ryelock.testing.stand_ins.servers import FAILING, SLOW, WHOLE
 
 Measure = Callable[[int], float | None]
 STANDING_SECONDS = 4
--- a/packages/testing/ryelock/testing/model/network.py
+++ b/packages/testing/ryelock/testing/model/network.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Protocol
 
-from ryelock.testing.simulated_time import Act, SimulatedTime
+from ryelock.testing.simulated.simulated_time import Act, SimulatedTime
 
 
 class Weather:
--- a/packages/testing/ryelock/testing/fleet.py
+++ b/packages/testing/ryelock/testing/processes/fleet.py
@@ -16,7 +16,7 @@
 
 from ryelock.control_client import call_control_api
 from ryelock.runtime import Network, Scheduler
-from ryelock.testing.shapes import Machine, Shape
+from ryelock.testing.processes.shapes import Machine, Shape
 
 FAST = {"probe_seconds": 1.0, "probe_timeout": 1.0, "replace_seconds": 4.0}
 
--- a/packages/testing/ryelock/testing/fleet_faults.py
+++ b/packages/testing/ryelock/testing/processes/fleet_faults.py
@@ -7,9 +7,9 @@
 import signal
 import statistics
 
-from ryelock.testing.callers import Caller
-from ryelock.testing.fleet import wait_ready
-from ryelock.testing.fleet_run import Run
+from ryelock.testing.processes.fleet import wait_ready
+from ryelock.testing.processes.fleet_run import Run
+from ryelock.testing.stand_ins.callers import Caller
 
 CROWD_MOST = 400
 
--- a/packages/testing/ryelock/testing/fleet_run.py
+++ b/packages/testing/ryelock/testing/processes/fleet_run.py
@@ -14,11 +14,11 @@
 from ryelock.events import RecordingLog
 from ryelock.runtime import Scheduler
 from ryelock.runtime.reactor import Reactor
-from ryelock.testing.callers import Caller, Told
 from ryelock.testing.checks import Findings, check_bytes, check_once, check_rates, check_repeats
-from ryelock.testing.fleet import Fleet, Process, wait_ready
-from ryelock.testing.shapes import Kind, Shape
-from ryelock.testing.standins import Objects, PlatformStandIn, Ran, ServerStandIn
+from ryelock.testing.processes.fleet import Fleet, Process, wait_ready
+from ryelock.testing.processes.shapes import Kind, Shape
+from ryelock.testing.stand_ins.callers import Caller, Told
+from ryelock.testing.stand_ins.servers import Objects, PlatformStandIn, Ran, ServerStandIn
 
 CALLERS = 40
 
--- a/packages/testing/ryelock/testing/run.py
+++ b/packages/testing/ryelock/testing/processes/run.py
@@ -11,11 +11,11 @@
 
 from ryelock.runtime import TaskCoroutine
 from ryelock.runtime.reactor import Reactor
-from ryelock.testing.fleet import FAST
-from ryelock.testing.fleet_faults import with_faults
-from ryelock.testing.fleet_run import Run
-from ryelock.testing.reactors import run_to_end
-from ryelock.testing.shapes import SHAPES
+from ryelock.testing.processes.fleet import FAST
+from ryelock.testing.processes.fleet_faults import with_faults
+from ryelock.testing.processes.fleet_run import Run
+from ryelock.testing.processes.reactors import run_to_end
+from ryelock.testing.processes.shapes import SHAPES
 
 
 async def quick(run: Run, seconds: float, faults: bool) -> int:
--- a/packages/testing/ryelock/testing/scale/__init__.py
+++ b/packages/testing/ryelock/testing/scale/__init__.py
@@ -2,9 +2,9 @@
 
 For every size three `ryelock core` processes and one `ryelock edge` are started anew, with a
 stand-in of the platform, and hollow nodes (ryelock.testing.hollow) join them, many to a process.
-The runner reads the kernel's accounts (ryelock.testing.accounts) over windows: at rest, under
-changes, purges, changed listings and restarts; then it kills the leader, and last all cores, and
-counts what the nodes send until each has its session again. The slopes go to a table, to JSON
+The runner reads the kernel's accounts (ryelock.testing.processes.accounts) over windows: at rest,
+under changes, purges, changed listings and restarts; then it kills the leader, and last all cores,
+and counts what the nodes send until each has its session again. The slopes go to a table, to JSON
 and to plots.
 
 - sizes.py: what one bring-up has and what is measured of it
--- a/packages/testing/ryelock/testing/scale/hollow_process.py
+++ b/packages/testing/ryelock/testing/scale/hollow_process.py
@@ -6,8 +6,8 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from ryelock.testing.fleet import picked_port
 from ryelock.testing.hollow import HollowSettings
+from ryelock.testing.processes.fleet import picked_port
 from ryelock.testing.scale.sizes import LISTING_SECONDS, TERM_SECONDS, Size, zone_name
 
 HOST = "127.0.8.1"
--- a/packages/testing/ryelock/testing/scale/losses.py
+++ b/packages/testing/ryelock/testing/scale/losses.py
@@ -2,7 +2,7 @@
 
 import signal
 
-from ryelock.testing.fleet import wait_ready
+from ryelock.testing.processes.fleet import wait_ready
 from ryelock.testing.scale.readings import Reading, grown, number_of
 from ryelock.testing.scale.run import LOOK_SECONDS, REACH_SECONDS, ScaleRun
 from ryelock.testing.scale.sizes import zone_name
--- a/packages/testing/ryelock/testing/scale/readings.py
+++ b/packages/testing/ryelock/testing/scale/readings.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from ryelock.testing.accounts import Account, Spent
+from ryelock.testing.processes.accounts import Account, Spent
 from ryelock.testing.scale.sizes import Figures, Plain
 
 
--- a/packages/testing/ryelock/testing/scale/run.py
+++ b/packages/testing/ryelock/testing/scale/run.py
@@ -7,8 +7,8 @@
 from ryelock.rpc import Message, RpcClients
 from ryelock.runtime import Scheduler
 from ryelock.runtime.reactor import Reactor
-from ryelock.testing.accounts import Account, read_traffic
-from ryelock.testing.fleet import Fleet, Process
+from ryelock.testing.processes.accounts import Account, read_traffic
+from ryelock.testing.processes.fleet import Fleet, Process
 from ryelock.testing.scale.hollow_process import hollow_processes
 from ryelock.testing.scale.readings import Reading, sum_of_states
 from ryelock.testing.scale.sizes import (
@@ -20,7 +20,7 @@
     service_name,
     zone_name,
 )
-from ryelock.testing.standins import PlatformStandIn
+from ryelock.testing.stand_ins.servers import PlatformStandIn
 
 REACH_SECONDS = 15.0
 TELL_SECONDS = 20.0
--- a/packages/testing/ryelock/testing/scale/sizes.py
+++ b/packages/testing/ryelock/testing/scale/sizes.py
@@ -2,7 +2,7 @@
 
 from dataclasses import KW_ONLY, dataclass
 
-from ryelock.testing.shapes import Machine, Shape
+from ryelock.testing.processes.shapes import Machine, Shape
 
 TERM_SECONDS = 1.5
 LISTING_SECONDS = 1.8
--- a/packages/testing/ryelock/testing/scale/startup.py
+++ b/packages/testing/ryelock/testing/scale/startup.py
@@ -1,7 +1,7 @@
 """The first phase: all processes start, and the hollow nodes join."""
 
-from ryelock.testing.accounts import Spent
-from ryelock.testing.fleet import wait_ready
+from ryelock.testing.processes.accounts import Spent
+from ryelock.testing.processes.fleet import wait_ready
 from ryelock.testing.scale.readings import Reading, grown
 from ryelock.testing.scale.run import ScaleRun
 
--- a/packages/testing/ryelock/testing/scale/steady.py
+++ b/packages/testing/ryelock/testing/scale/steady.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from ryelock.runtime import TaskCoroutine
-from ryelock.testing.accounts import Spent
+from ryelock.testing.processes.accounts import Spent
 from ryelock.testing.scale.readings import (
     Reading,
     grown,
--- a/packages/testing/ryelock/testing/scale/sweep.py
+++ b/packages/testing/ryelock/testing/scale/sweep.py
@@ -9,7 +9,7 @@
 
 from ryelock.runtime import TaskCoroutine
 from ryelock.runtime.reactor import Reactor
-from ryelock.testing.reactors import run_to_end
+from ryelock.testing.processes.reactors import run_to_end
 from ryelock.testing.scale.judging import measure_judging
 from ryelock.testing.scale.losses import lose_all, lose_leader, lose_zone
 from ryelock.testing.scale.report import Point, plot
--- a/packages/testing/ryelock/testing/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -12,7 +12,6 @@
 from ryelock.control_client import call_control_api
 from ryelock.health import ProbeResult
 from ryelock.http import fetch
-from ryelock.testing.callers import Caller, Told
 from ryelock.testing.checks import (
     LATE_MOST,
     Changed,
@@ -31,8 +30,9 @@
     check_rates,
     check_repeats,
 )
-from ryelock.testing.simulated import SimFolder, SimNode, World
-from ryelock.testing.standins import Objects, PlatformStandIn, Ran, ServerStandIn
+from ryelock.testing.simulated.world import SimFolder, SimNode, World
+from ryelock.testing.stand_ins.callers import Caller, Told
+from ryelock.testing.stand_ins.servers import Objects, PlatformStandIn, Ran, ServerStandIn
 
 LIFETIME = 6.0
 DRAINED = ("drained", "its zone is drained")
--- a/packages/testing/ryelock/testing/schedules.py
+++ b/packages/testing/ryelock/testing/schedules.py
@@ -10,7 +10,7 @@
 
 from ryelock.testing.checks import Findings, false_downs
 from ryelock.testing.scenario import Scenario
-from ryelock.testing.standins import CUT, DEAF, FAILING, LONG, LOST, SHORT, SLOW, WRONG
+from ryelock.testing.stand_ins.servers import CUT, DEAF, FAILING, LONG, LOST, SHORT, SLOW, WRONG
 
 RETURN_SECONDS = 15.0
 Fault = Callable[[Scenario, Random], str]
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -26,8 +26,8 @@
 from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Connection
 from ryelock.settings import read_settings
-from ryelock.testing.simulated import SimNode, World
-from ryelock.testing.standins import PlatformStandIn
+from ryelock.testing.simulated.world import SimNode, World
+from ryelock.testing.stand_ins.servers import PlatformStandIn
 
 DIALECT = ProtocolProfile(
     b"X-Request-Name", b"X-Milliseconds-Left", b"X-Seal", b"X-Server-Life", b"X-Not-Run", b"X-Tags"
--- a/packages/testing/ryelock/testing/simulated.py
+++ b/packages/testing/ryelock/testing/simulated/world.py
@@ -26,7 +26,7 @@
     TaskCoroutine,
 )
 from ryelock.settings import Settings, read_settings
-from ryelock.testing.simulated_time import SimulatedTime
+from ryelock.testing.simulated.simulated_time import SimulatedTime
 
 Found = TypeVar("Found")
 WALL_ZERO = 1_800_000_000.0
--- a/tests/consensus/test_release.py
+++ b/tests/consensus/test_release.py
@@ -8,7 +8,7 @@
 
 from ryelock.control_plane.process import ControlNode
 from ryelock.rpc import Message
-from ryelock.testing.loss_cases import LOSS_SETTINGS
+from ryelock.testing.cases.losses import LOSS_SETTINGS
 from ryelock.testing.scenario import Scenario
 
 
--- a/tests/consensus/test_status.py
+++ b/tests/consensus/test_status.py
@@ -5,7 +5,7 @@
 import testtools
 
 from ryelock.events import LEADER_FOUND, LEADER_LOST, VOTER_LEAVING, VOTER_LOST
-from ryelock.testing.loss_cases import LOSS_SETTINGS
+from ryelock.testing.cases.losses import LOSS_SETTINGS
 from ryelock.testing.scenario import Scenario
 
 
--- a/tests/control_plane/test_control_cases.py
+++ b/tests/control_plane/test_control_cases.py
@@ -13,7 +13,7 @@
 from ryelock.journal import FolderError
 from ryelock.replicated_state import ReplicatedState, outcomes
 from ryelock.replicated_state.outcomes import Outcomes
-from ryelock.testing.control_cases import CONTROL_CASES, ISOLATIONS, route_change
+from ryelock.testing.cases.control import CONTROL_CASES, ISOLATIONS, route_change
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.simulated import SimFolder
 
--- a/tests/control_plane/test_loss_cases.py
+++ b/tests/control_plane/test_loss_cases.py
@@ -7,8 +7,8 @@
 import testtools
 
 from ryelock.control_plane.voters import VoterManager
-from ryelock.testing import loss_cases
-from ryelock.testing.loss_cases import every_loss, leaving_member, play_losses, second_loss
+from ryelock.testing.cases import losses as loss_cases
+from ryelock.testing.cases.losses import every_loss, leaving_member, play_losses, second_loss
 
 LEAVING_SEEDS = range(12)
 
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -12,7 +12,8 @@
 from ryelock.edge.orders import Request
 from ryelock.edge.owner import OwnerRequest, Refusal
 from ryelock.edge.servers import Servers
-from ryelock.testing.answer_cases import (
+from ryelock.testing.cases import CASES
+from ryelock.testing.cases.answers import (
     RUNS_ONCE,
     Cell,
     Kind,
@@ -20,7 +21,6 @@
     play,
     run_cell,
 )
-from ryelock.testing.cases import CASES
 from ryelock.testing.scripted import DIALECT, AnswerFleet, Event, Moment
 
 Patch = AbstractContextManager[Any]
--- a/tests/edge/test_caller_leaves.py
+++ b/tests/edge/test_caller_leaves.py
@@ -9,7 +9,7 @@
 from ryelock.runtime import Connection
 from ryelock.runtime.reactor import Reactor, SocketConnection
 from ryelock.testing.hosting_platform import Arrival, Manner
-from ryelock.testing.platform_clients import SAFE
+from ryelock.testing.hosting_platform.clients import SAFE
 
 STAYS_SECONDS = 0.3
 """A caller of these tests leaves so long after its request was sent."""
--- a/tests/edge/test_owner_asks.py
+++ b/tests/edge/test_owner_asks.py
@@ -8,7 +8,7 @@
 from deployment import HOST, Deployment, route
 from ryelock.edge.peers import owner_of
 from ryelock.testing.hosting_platform import Manner
-from ryelock.testing.platform_clients import CACHEABLE, Note, over_budget
+from ryelock.testing.hosting_platform.clients import CACHEABLE, Note, over_budget
 
 ONE_ZONE = {"a": "north"}
 MANNERS = (Manner.FAILING, Manner.LOST, Manner.WRONG, Manner.CUT, Manner.FULL)
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -22,9 +22,9 @@
 from ryelock import control_api
 from ryelock.edge.process import TrafficNode
 from ryelock.explain import format_explanation
-from ryelock.testing.platform_clients import CACHEABLE
+from ryelock.testing.hosting_platform.clients import CACHEABLE
 from ryelock.testing.simulated import SimNode, World
-from ryelock.testing.standins import Objects, PlatformStandIn, ServerStandIn
+from ryelock.testing.stand_ins.servers import Objects, PlatformStandIn, ServerStandIn
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
--- a/tests/golden/transcript.py
+++ b/tests/golden/transcript.py
@@ -30,7 +30,7 @@
 import simulated_runs  # noqa: E402
 from observed import GREETING, MODEL, observed  # noqa: E402
 
-from ryelock.testing.control_cases import isolated_leader  # noqa: E402
+from ryelock.testing.cases.control import isolated_leader  # noqa: E402
 from ryelock.testing.model.schedule import draw  # noqa: E402
 from ryelock.testing.model.schedule import run_schedule as run_model  # noqa: E402
 from ryelock.testing.schedules import run_schedule  # noqa: E402
--- a/tests/platform/test_platform_configuration.py
+++ b/tests/platform/test_platform_configuration.py
@@ -12,7 +12,7 @@
 import testtools
 
 from deployment import HOST, LIMITS, Deployment, first_configuration, route, service_item
-from ryelock.testing.platform_clients import CACHEABLE, SAFE, UNSAFE
+from ryelock.testing.hosting_platform.clients import CACHEABLE, SAFE, UNSAFE
 
 
 def whole(version: Any, **more: Any) -> dict[str, Any]:
--- a/tests/platform/test_platform_listing.py
+++ b/tests/platform/test_platform_listing.py
@@ -7,7 +7,7 @@
 
 from deployment import Deployment
 from ryelock.control_plane.platform import Listed
-from ryelock.testing.platform_clients import SAFE, UNSAFE
+from ryelock.testing.hosting_platform.clients import SAFE, UNSAFE
 from servers import Instances
 
 
--- a/tests/platform/test_platform_orders.py
+++ b/tests/platform/test_platform_orders.py
@@ -8,7 +8,7 @@
 from deployment import HOST, WORDS, Deployment, route, service_item
 from ryelock.http import Reader, field, read_response
 from ryelock.testing.hosting_platform import Manner
-from ryelock.testing.platform_clients import (
+from ryelock.testing.hosting_platform.clients import (
     CACHEABLE,
     SAFE,
     UNSAFE,
--- a/tests/platform/test_platform_schedules.py
+++ b/tests/platform/test_platform_schedules.py
@@ -10,7 +10,7 @@
 import testtools
 from platform_schedules import RATE, Schedule
 
-from ryelock.testing.platform_clients import over_budget, over_ceiling
+from ryelock.testing.hosting_platform.clients import over_budget, over_ceiling
 
 
 class ScheduleTests(testtools.TestCase):
--- a/tests/platform/test_platform_shapes.py
+++ b/tests/platform/test_platform_shapes.py
@@ -5,7 +5,7 @@
 import testtools
 
 from deployment import HOST, Deployment, route
-from ryelock.testing.platform_clients import CACHEABLE, SAFE, UNSAFE
+from ryelock.testing.hosting_platform.clients import CACHEABLE, SAFE, UNSAFE
 
 ONE_ZONE = {"a": "north"}
 REGIONS = {"a": "north", "b": "south", "c": "west"}
--- a/tests/platform/test_platform_standin.py
+++ b/tests/platform/test_platform_standin.py
@@ -11,7 +11,14 @@
 from deployment import HOST, WORDS, Deployment
 from ryelock.http import Fields
 from ryelock.testing.hosting_platform import Arrival, Manner, ServerLife
-from ryelock.testing.platform_clients import SAFE, UNSAFE, Client, Note, over_budget, over_ceiling
+from ryelock.testing.hosting_platform.clients import (
+    SAFE,
+    UNSAFE,
+    Client,
+    Note,
+    over_budget,
+    over_ceiling,
+)
 
 
 class Direct(testtools.TestCase):
--- a/tests/platform/test_platform_takeouts.py
+++ b/tests/platform/test_platform_takeouts.py
@@ -14,7 +14,13 @@
 from ryelock.http import ClientError
 from ryelock.rate_limit import RetryBudget, TokenBucket
 from ryelock.testing.hosting_platform import Manner
-from ryelock.testing.platform_clients import CACHEABLE, SAFE, UNSAFE, over_budget, over_ceiling
+from ryelock.testing.hosting_platform.clients import (
+    CACHEABLE,
+    SAFE,
+    UNSAFE,
+    over_budget,
+    over_ceiling,
+)
 
 Run = Callable[[], list[str]]
 ONE_ZONE = {"a": "north"}
--- a/tests/project/test_parts.py
+++ b/tests/project/test_parts.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from ryelock.testing.run import run_fleet
+from ryelock.testing.processes.run import run_fleet
 
 PARTS = Path(__file__).parent.parent.parent / "docs" / "parts"
 
--- a/tests/rate_limit/test_rate_sharing.py
+++ b/tests/rate_limit/test_rate_sharing.py
@@ -6,7 +6,7 @@
 from deployment import HOST, Deployment, route, service_item
 from ryelock.edge.process import TrafficNode
 from ryelock.testing.hosting_platform import Manner
-from ryelock.testing.platform_clients import CACHEABLE, Note, over_ceiling
+from ryelock.testing.hosting_platform.clients import CACHEABLE, Note, over_ceiling
 
 OBJECTS = 240
 LIFETIME_SECONDS = 20.0
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -27,7 +27,7 @@
 from ryelock.settings import read_settings
 from ryelock.testing.scenario import CONFIGURATION, Scenario
 from ryelock.testing.simulated import SimNode, World
-from ryelock.testing.standins import ServerStandIn
+from ryelock.testing.stand_ins.servers import ServerStandIn
 
 DIALECT = ProtocolProfile(
     identity=b"X-Order-Identity",
--- a/tests/support/answers_page.py
+++ b/tests/support/answers_page.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from ryelock.testing.answer_cases import Kind, Outcome, play, table
+from ryelock.testing.cases.answers import Kind, Outcome, play, table
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "answers.md"
 BEGIN = "<!-- tables: written by tests/support/answers_page.py -->\n"
--- a/tests/support/deployment.py
+++ b/tests/support/deployment.py
@@ -26,7 +26,7 @@
     ServiceStandIn,
     Words,
 )
-from ryelock.testing.platform_clients import (  # noqa: E402
+from ryelock.testing.hosting_platform.clients import (  # noqa: E402
     CACHEABLE,
     SAFE,
     UNSAFE,
--- a/tests/support/platform_schedules.py
+++ b/tests/support/platform_schedules.py
@@ -12,7 +12,7 @@
 
 from deployment import HOST, Deployment, route, service_item
 from ryelock.testing.hosting_platform import Manner, ServerLife
-from ryelock.testing.platform_clients import (
+from ryelock.testing.hosting_platform.clients import (
     CACHEABLE,
     SAFE,
     UNSAFE,
--- a/tests/support/simulated_runs.py
+++ b/tests/support/simulated_runs.py
@@ -1,7 +1,7 @@
 """Seeded simulated runs that bring about each kind of message between processes."""
 
-from ryelock.testing.callers import Caller
 from ryelock.testing.scenario import Scenario
+from ryelock.testing.stand_ins.callers import Caller
 
 PROBING: dict[str, object] = {
     "derive_watches": True,
--- a/tests/testing/test_days.py
+++ b/tests/testing/test_days.py
@@ -8,8 +8,8 @@
 import testtools
 
 from ryelock.testing.aimed import AIMS, draw_aimed
-from ryelock.testing.dayfile import Day, Site, SiteError, as_toml, read_site, write_day
-from ryelock.testing.days import (
+from ryelock.testing.days.dayfile import Day, Site, SiteError, as_toml, read_site, write_day
+from ryelock.testing.days.drawing import (
     CoverageError,
     coverage,
     coverage_lines,
@@ -17,7 +17,7 @@
     overlapping_pairs,
     wanted_pairs,
 )
-from ryelock.testing.troubles import CLOSINGS, KINDS, Closing, Entry
+from ryelock.testing.days.fault_kinds import CLOSINGS, KINDS, Closing, Entry
 
 CONTRACTS = ("base", "health", "pool")
 SITE = Site("somewhere", 32.0, 4.0, 1, ("pages", "desk"), ("desk",), CONTRACTS)
--- a/tests/testing/test_played.py
+++ b/tests/testing/test_played.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from ryelock.testing.played import (
+from ryelock.testing.days.played import (
     NEVER,
     ReportError,
     margin_lines,
--- a/tests/testing/test_scale.py
+++ b/tests/testing/test_scale.py
@@ -8,9 +8,9 @@
 
 import testtools
 
-from ryelock.testing.accounts import Account, Spent, read_traffic
-from ryelock.testing.pieces import measure_configuration, measure_purge, measure_sessions
+from ryelock.testing.processes.accounts import Account, Spent, read_traffic
 from ryelock.testing.scale import Point, Size, growth, measure_judging, plot, run_scale, table
+from ryelock.testing.scale.pieces import measure_configuration, measure_purge, measure_sessions
 
 NODES, CHANGES = 8, 2
 
