--- a/packages/control_plane/ryelock/control_plane/__init__.py
+++ b/packages/control_plane/ryelock/control_plane/__init__.py
@@ -1,6 +1,7 @@
-"""The control node: a disk, a seat in the consensus group, and what the leader does for all.
+"""The control node: a disk, a member of the consensus group, and what the leader does for all.
 
-process.py puts it together; renewals.py answers sessions and keeps account of terms;
-leading.py takes operators' words; keeper.py tends voters and duties; aggregator.py is the
-duty that turns rows into verdicts; platform.py reads the listing of servers.
+`process` composes it and `rpc_handlers` answers other processes. At the leader, `lease_renewal`
+answers nodes that renew, `operator_requests` commits what operators ask for, `voters` replaces lost
+disks and `singleton_roles` assigns the roles that one node has for all. `aggregator` evaluates the
+probes' results, `platform` reads the platform's list of servers, `identity` opens the disk.
 """
--- a/packages/control_plane/ryelock/control_plane/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -1,12 +1,14 @@
-"""The aggregator's duty: take rows, judge them, and have the verdict written.
+"""The aggregator's role: take probe results, evaluate them, and have decisions committed.
 
-Only the holder of the duty's present epoch takes rows and speaks. It starts with no history:
-the probers tell it all that they keep. Until a span has passed in which they could have, it
-writes what it knows, and what it does not know is unknown.
+Only the owner of the role, under its present fencing token, takes results and submits decisions. It
+starts without history: the probers send it all results that they keep. What it does not know yet is
+reported as unknown.
 """
 
 from collections.abc import Callable
 
+from ryelock.control_plane.health_decisions import DECISION_REQUEST
+from ryelock.control_plane.singleton_roles import AGGREGATOR_ROLE
 from ryelock.health import (
     Evaluation,
     EvaluationRules,
@@ -23,25 +25,28 @@
 from ryelock.settings import Settings
 from ryelock.singleton import SingletonRole
 
-REWRITE_SECONDS = 30.0
-Decide = Callable[[Message], TaskCoroutine[bool]]
+REPEAT_SECONDS = 30.0
+"""An unchanged decision is committed again after so long."""
+SubmitDecision = Callable[[Message], TaskCoroutine[bool]]
+PeerClock = Callable[[], list[object]]
 
 
 class Aggregator:
+    """Evaluates health where this node owns the role."""
+
     __slots__ = (
-        "clock",
-        "decide",
-        "epoch",
+        "fencing_token",
         "history",
         "membership",
-        "name",
+        "peer_clock",
         "replicated_state",
         "rules",
         "scheduler",
         "settings",
+        "submit",
+        "submitted",
+        "submitted_at",
         "weights",
-        "written",
-        "written_at",
     )
 
     def __init__(
@@ -50,15 +55,25 @@
         scheduler: Scheduler,
         replicated_state: ReplicatedState,
         membership: Membership,
-        decide: Decide,
+        submit: SubmitDecision,
+        peer_clock: PeerClock,
     ) -> None:
+        """Create an aggregator without history.
+
+        Args:
+            settings: the node's settings.
+            scheduler: clock and tasks.
+            replicated_state: watches, and who owns the role.
+            membership: edges whose zones are evaluated.
+            submit: has a decision committed; False where it was not.
+            peer_clock: returns disk and clock of the leader's last heartbeat.
+        """
         self.settings = settings
-        self.name = settings.name
         self.scheduler = scheduler
         self.replicated_state = replicated_state
         self.membership = membership
-        self.decide = decide
-        self.clock: Callable[[], list[object]] = list
+        self.submit = submit
+        self.peer_clock = peer_clock
         self.rules = EvaluationRules(
             settings.verdict_rows,
             settings.verdict_quorum,
@@ -66,83 +81,86 @@
             settings.down_weight,
             settings.stale_weight,
         )
-        self.epoch = -1
+        self.fencing_token: int | None = None
         self.history = History(settings.verdict_span)
         self.weights = ZoneWeights(settings.weight_span)
-        self.written: tuple[object, ...] = ()
-        self.written_at = -1e9
+        self.submitted: tuple[object, ...] = ()
+        self.submitted_at: float | None = None
 
-    def duty(self) -> SingletonRole | None:
-        found = self.replicated_state.singletons.get("aggregator")
-        return found if found is not None and found.owner == self.name else None
+    def owned_role(self) -> SingletonRole | None:
+        """Return the role where this node owns it."""
+        role = self.replicated_state.singletons.get(AGGREGATOR_ROLE)
+        return role if role is not None and role.owner == self.settings.name else None
 
-    def take_rows(self, message: Message) -> Message:
-        """Rows from a prober; declined by whoever does not hold the duty of that epoch."""
-        duty = self.duty()
+    def receive_results(self, message: Message) -> Message:
+        """Take a prober's results; rejected unless this node owns the role under their token."""
+        role = self.owned_role()
         rows = message.get("rows")
-        if duty is None or message.get("epoch") != duty.fencing_token or not isinstance(rows, list):
+        if role is None or message.get("epoch") != role.fencing_token or not isinstance(rows, list):
             return {"ok": False}
-        self.begin(duty)
+        self.begin_tenure(role)
         now = self.scheduler.now()
         try:
-            found = [decode_probe_result(plain, now) for plain in rows]
+            results = [decode_probe_result(row, now) for row in rows]
         except ValueError as error:
             return {"ok": False, "fault": str(error)}
-        for row in found:
-            if now - row.started_at <= self.history.retention_seconds:
-                self.history.add(row)
+        for result in results:
+            if now - result.started_at <= self.history.retention_seconds:
+                self.history.add(result)
         return {"ok": True}
 
-    def begin(self, duty: SingletonRole) -> None:
-        if duty.fencing_token != self.epoch:
-            self.epoch = duty.fencing_token
+    def begin_tenure(self, role: SingletonRole) -> None:
+        """Start without history under a new fencing token: others have evaluated since."""
+        if role.fencing_token != self.fencing_token:
+            self.fencing_token = role.fencing_token
             self.history = History(self.settings.verdict_span)
-            self.written = ()
+            self.submitted = ()
 
-    async def work(self) -> None:
+    async def run(self) -> None:
+        """Evaluate for the life of the process, while this node owns the role."""
         while True:
             await self.scheduler.sleep(self.settings.verdict_seconds)
             self.weights.sample(list(self.membership.members().values()), self.scheduler.now())
-            duty = self.duty()
-            if duty is None:
-                continue
-            self.begin(duty)
-            clock = self.clock()
-            judged = self.evaluate()
-            now = self.scheduler.now()
-            words = (
-                judged.network,
-                tuple(judged.gone_watches),
-                *(
-                    (zone, found.verdict, *found.failed)
-                    for zone, found in sorted(judged.zones.items())
-                ),
-            )
-            if words == self.written and now - self.written_at < REWRITE_SECONDS:
-                continue
-            if not judged.zones:
-                continue
-            message: Message = {
-                "kind": "decision",
-                "holder": duty.owner,
-                "epoch": duty.fencing_token,
-                "clock": clock,
-                "verdict": {
-                    **judged.to_dict(),
-                    "version": self.replicated_state.version,
-                    "days": self.history.summary(),
-                },
-            }
-            if await self.decide(message):
-                self.written = words
-                self.written_at = now
+            role = self.owned_role()
+            if role is not None:
+                self.begin_tenure(role)
+                await self.decide(role)
+
+    async def decide(self, role: SingletonRole) -> None:
+        """Evaluate, and submit the decision where it is a new one or due again."""
+        # Read before the evaluation: the decision is as old as the heartbeat it was made under.
+        clock = self.peer_clock()
+        evaluation = self.evaluate()
+        now = self.scheduler.now()
+        decision = decision_of(evaluation)
+        if not evaluation.zones or (decision == self.submitted and not self.is_due_again(now)):
+            return
+        message: Message = {
+            "kind": DECISION_REQUEST,
+            "holder": role.owner,
+            "epoch": role.fencing_token,
+            "clock": clock,
+            "verdict": {
+                **evaluation.to_dict(),
+                "version": self.replicated_state.version,
+                "days": self.history.summary(),
+            },
+        }
+        if await self.submit(message):
+            self.submitted = decision
+            self.submitted_at = now
+
+    def is_due_again(self, now: float) -> bool:
+        """Tell whether the last decision is so old that it is committed again unchanged."""
+        return self.submitted_at is None or now - self.submitted_at >= REPEAT_SECONDS
 
     def evaluate(self) -> Evaluation:
+        """Return the health of all zones by the results of the retention time."""
         now = self.scheduler.now()
         self.history.expire(now)
         watches = self.replicated_state.watches
-        made = {name: watches[name] for name in map(derived_name, self.replicated_state.derived)}
-        gone = find_gone_watches(made, self.history, self.rules, now)
+        derived = {name: watches[name] for name in map(derived_name, self.replicated_state.derived)}
+        gone = find_gone_watches(derived, self.history, self.rules, now)
         watches = {name: watch for name, watch in watches.items() if name not in gone}
         zones: dict[str, list[str]] = {}
         edges = {**self.membership.lost(), **self.membership.members()}
@@ -150,6 +168,18 @@
             if session.role == "edge":
                 zones.setdefault(session.zone, []).append(name)
         weights, assumed = self.weights.weights(sorted(zones))
-        judged = evaluate(zones, watches, weights, assumed, self.history, self.rules, now)
-        judged.gone_watches = gone
-        return judged
+        evaluation = evaluate(zones, watches, weights, assumed, self.history, self.rules, now)
+        evaluation.gone_watches = gone
+        return evaluation
+
+
+def decision_of(evaluation: Evaluation) -> tuple[object, ...]:
+    """Return what of an evaluation is decided, without the figures that it rests on."""
+    return (
+        evaluation.network,
+        tuple(evaluation.gone_watches),
+        *(
+            (zone, decided.verdict, *decided.failed)
+            for zone, decided in sorted(evaluation.zones.items())
+        ),
+    )
--- a/packages/control_plane/ryelock/control_plane/identity.py
+++ b/packages/control_plane/ryelock/control_plane/identity.py
@@ -1,6 +1,10 @@
-"""Which disk this is. A folder that lost its journal, or whose journal is damaged, is another
-disk from then on: it has no vote until it was taken in anew. The identity
-is written last and taken away first, so that it never stands without the whole journal."""
+"""The identity of a disk, by which it counts in the consensus group.
+
+A folder that lost its journal, or whose journal is damaged, is another disk from then on: it may
+have acknowledged entries or cast votes that it no longer knows of, so it has no vote until it has
+joined anew. The identity is written last and removed first, so that it never stands without the
+complete journal.
+"""
 
 import json
 from random import Random
@@ -10,17 +14,27 @@
 from ryelock.events import JOURNAL_DAMAGED, Log
 from ryelock.journal import Folder, FolderError, Journal, JournalError, open_journal
 
-IDENTITY = "identity"
-ASIDE = "damaged-"
+IDENTITY_FILE = "identity"
+DAMAGED_PREFIX = "damaged-"
 JOURNAL_FILES = ("segment-", "image-")
 
 
 def open_disk(
     folder: Folder, log: Log, segment_bytes: int, random: Random
 ) -> Result[tuple[str, Journal], JournalError]:
-    """The disk's name and its journal; a damaged journal is set aside for a fresh one."""
+    """Open a disk; a damaged journal is set aside for a fresh one.
+
+    Args:
+        folder: the node's data folder.
+        log: where damage is reported.
+        segment_bytes: size at which the journal begins a new segment.
+        random: source of a fresh identity.
+
+    Returns:
+        The disk's identity and its journal, or the error of a folder that cannot be used now.
+    """
     try:
-        # A process that was killed may have given names that are not on the disk yet.
+        # A killed process may have renamed files whose directory entries are not synced yet.
         folder.sync_names()
         disk = read_identity(folder)
         if disk and not has_journal(folder):
@@ -32,42 +46,44 @@
             if not found.error.damaged:
                 return Error(found.error)
             log.write(JOURNAL_DAMAGED, fault=found.error.reason, disk=disk)
-        set_aside(folder)
+        set_damaged_aside(folder)
         disk = f"{random.getrandbits(64):016x}"
         found = open_journal(folder, log, segment_bytes)
         if found.is_error():
             return Error(found.error)
-        folder.write_whole(IDENTITY, json.dumps({"disk": disk}).encode())
+        folder.write_whole(IDENTITY_FILE, json.dumps({"disk": disk}).encode())
         return Ok((disk, found.ok))
     except FolderError as error:
         return Error(JournalError(str(error), False))
 
 
 def read_identity(folder: Folder) -> str:
-    if IDENTITY not in folder.names():
+    """Return the identity in a folder; empty where there is none."""
+    if IDENTITY_FILE not in folder.names():
         return ""
     try:
-        plain = json.loads(folder.read(IDENTITY))
-        return str(plain["disk"])
+        record = json.loads(folder.read(IDENTITY_FILE))
+        return str(record["disk"])
     except (ValueError, KeyError, TypeError):
         return ""
 
 
 def has_journal(folder: Folder) -> bool:
+    """Tell whether a folder has any file of a journal."""
     return any(name.startswith(JOURNAL_FILES) for name in folder.names())
 
 
-def set_aside(folder: Folder) -> None:
-    """Keep what is damaged for a look, one generation of it.
+def set_damaged_aside(folder: Folder) -> None:
+    """Keep the files of a damaged journal for inspection, of one generation.
 
-    The identity goes first and lastingly: a part of a journal must never stand under a name that
+    The identity goes first, and synced: part of a journal must never stand under an identity that
     still has a vote.
     """
-    if IDENTITY in folder.names():
-        folder.write_whole(IDENTITY, b"")
+    if IDENTITY_FILE in folder.names():
+        folder.write_whole(IDENTITY_FILE, b"")
     for name in folder.names():
-        if name.startswith(ASIDE):
+        if name.startswith(DAMAGED_PREFIX):
             folder.delete(name)
     for name in folder.names():
         if name.startswith(JOURNAL_FILES):
-            folder.rename(name, ASIDE + name)
+            folder.rename(name, DAMAGED_PREFIX + name)
--- a/packages/control_plane/ryelock/control_plane/lease_renewal.py
+++ b/packages/control_plane/ryelock/control_plane/lease_renewal.py
@@ -166,7 +166,7 @@
 
     def has_update(self, versions: dict[str, int]) -> bool:
         """Tell whether a node with these versions lacks something that is worth waking it for."""
-        server_list = self.platform.believed(self.scheduler.now())
+        server_list = self.platform.current_list(self.scheduler.now())
         return (
             versions.get(STATE_SOURCE, 0) < self.consensus.applied_command_index
             or self.membership_changes.source not in versions
@@ -192,7 +192,7 @@
             majority_age_seconds=age,
             update=self.configuration_updates.update_since(request.applied_index),
             allowance=self.grant_lease(request, now) if request.session.role == "edge" else None,
-            server_list=self.platform.said(request.versions, now),
+            server_list=self.platform.update_for_node(request.versions, now),
             failed_callers=self.failed_callers.update_for(request.session.name, request.versions),
             members=self.members_for(request.versions),
         ).to_wire()
--- a/packages/control_plane/ryelock/control_plane/metrics.py
+++ b/packages/control_plane/ryelock/control_plane/metrics.py
@@ -1,4 +1,4 @@
-"""The figures that a control node tells: whether it leads, and how it divides the rates."""
+"""The metrics of a control node: whether it leads, and how it divides the rates."""
 
 from ryelock.consensus import Consensus
 from ryelock.control_plane.lease_renewal import LeaseRenewals
--- a/packages/control_plane/ryelock/control_plane/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -1,48 +1,76 @@
-"""The servers that the platform lists, as this node knows them: by its own reading or another's.
+"""The platform's list of servers as this node knows it: by its own reading or a peer's.
 
-Each control node reads the listing over and over. A follower tells the leader what it read, so
-that any one node's reading is enough; it tells the servers only where the leader has others.
-Every reading keeps the span in which the platform gave it. One replaces another only when it was
-certainly read later, so a reading that was long on its way cannot bring a server back.
+Each control node polls the list. A follower sends the leader what it read, so that any one node's
+reading is enough; it sends the servers only where the leader has others. Every reading keeps the
+interval in which the platform answered. One replaces another only when it was certainly read later,
+so a delayed reading cannot bring a server back.
 """
 
 from collections.abc import Callable
 
 from expression import Error, Result
 
+from ryelock.control_plane.errors import MalformedServerListUpdateError
 from ryelock.events import SERVER_LIST_REJECTED, SERVER_LIST_UNAVAILABLE, Log
 from ryelock.http import fetch
 from ryelock.membership import Server, ServerList, decode_server_list
 from ryelock.membership.servers import ServerListError, servers_from_wire
+from ryelock.rpc import Message
 from ryelock.runtime import Network, Scheduler, TaskCoroutine
 from ryelock.settings import Settings
 
-Plain = dict[str, object]
-DUTY = "reader"
-MISSED_SECONDS = 2.5
+STALE_SECONDS = 2.5
+"""A node reads the list itself where the one it knows is older than this."""
+READ_TIMEOUT_SECONDS = 1.0
+MAX_SECONDS = 1e9
 Listed = Result[list[Server], ServerListError]
-Read = Callable[[], TaskCoroutine[Listed]]
+ReadList = Callable[[], TaskCoroutine[Listed]]
 
 
 class PlatformReader:
+    """Polls the platform's list and keeps the newest reading of any control node.
+
+    Attributes:
+        listing: the newest reading, None before the first.
+        digest: of the servers in it.
+        on_change: called when the servers have changed.
+        read_listing: reads the list; a deployment may put its platform's own form here.
+    """
+
     __slots__ = (
         "digest",
-        "heard",
         "listing",
         "log",
-        "missed",
         "network",
-        "on_duty",
-        "on_news",
+        "on_change",
+        "peer_digest",
         "read_listing",
         "scheduler",
         "settings",
+        "should_read",
         "source",
+        "unavailable",
     )
 
     def __init__(
-        self, settings: Settings, scheduler: Scheduler, network: Network, log: Log, source: str
+        self,
+        settings: Settings,
+        scheduler: Scheduler,
+        network: Network,
+        log: Log,
+        source: str,
+        should_read: Callable[[], bool],
     ) -> None:
+        """Create a reader that knows no server yet.
+
+        Args:
+            settings: the node's settings.
+            scheduler: clock and tasks.
+            network: where to connect.
+            log: where events are written.
+            source: name under which nodes keep the list's version, unique to this run.
+            should_read: tells whether this node polls also while it has a recent reading.
+        """
         self.settings = settings
         self.scheduler = scheduler
         self.network = network
@@ -50,24 +78,27 @@
         self.source = source
         self.listing: ServerList | None = None
         self.digest = b""
-        self.heard = b""
-        self.missed = False
-        self.on_duty: Callable[[], bool] = lambda: True
-        self.on_news: Callable[[], None] = lambda: None
-        self.read_listing: Read = self.read_own
-
-    async def work(self) -> None:
-        """Read over and over; by duty where there is one, and where its holder tells nothing."""
+        self.should_read = should_read
+        self.peer_digest = b""
+        self.unavailable = False
+        self.on_change: Callable[[], None] = lambda: None
+        self.read_listing: ReadList = self.fetch_list
+
+    async def run(self) -> None:
+        """Poll the list for the life of the process.
+
+        Where one node reads it for all, another does too while it gets nothing from that node.
+        """
         while True:
-            held = self.listing
-            silent = held is None or self.scheduler.now() - held.since > MISSED_SECONDS
-            if self.on_duty() or silent:
+            listing = self.listing
+            is_stale = listing is None or self.scheduler.now() - listing.since > STALE_SECONDS
+            if self.should_read() or is_stale:
                 await self.read()
             await self.scheduler.sleep(self.settings.listing_seconds)
 
-    async def read_own(self) -> Listed:
-        """The listing in this project's own form, see docs/platform.md."""
-        found = await fetch(
+    async def fetch_list(self) -> Listed:
+        """Fetch the list in this project's own form, see docs/platform.md."""
+        response = await fetch(
             self.scheduler,
             self.network,
             self.settings.platform_address,
@@ -75,100 +106,124 @@
             b"/servers",
             [],
             b"",
-            1.0,
+            READ_TIMEOUT_SECONDS,
         )
-        if found.is_error() or found.ok[0].status != 200:
-            return Error(
-                ServerListError(
-                    "no answer" if found.is_error() else f"status {found.ok[0].status}", True
-                )
-            )
-        return decode_server_list(found.ok[1])
+        if response.is_error():
+            return Error(ServerListError("no answer", True))
+        head, body = response.ok
+        if head.status != 200:
+            return Error(ServerListError(f"status {head.status}", True))
+        return decode_server_list(body)
 
     async def read(self) -> None:
-        asked = self.scheduler.now()
+        """Read the list once; a failure leaves what is known as it is."""
+        asked_at = self.scheduler.now()
         listed = await self.read_listing()
-        if listed.is_error():
-            if listed.error.missed:
-                self.miss(str(listed.error))
-            else:
-                self.log.write(SERVER_LIST_REJECTED, fault=str(listed.error))
-            return
-        self.missed = False
-        self.take(ServerList(self.source, 0, listed.ok, 0.0, asked, self.scheduler.now()))
+        if listed.is_ok():
+            self.unavailable = False
+            reading = ServerList(self.source, 0, listed.ok, 0.0, asked_at, self.scheduler.now())
+            self.take(reading)
+        elif listed.error.missed:
+            self.log_unavailable(str(listed.error))
+        else:
+            self.log.write(SERVER_LIST_REJECTED, fault=str(listed.error))
 
-    def take(self, fresh: ServerList) -> None:
-        """Follow a reading, this node's own or another's, if it is certainly the later one."""
-        held = self.listing
-        if held is not None and not fresh.follows(held):
-            return
-        digest = fresh.digest()
-        fresh.version = held.version if held is not None else 0
-        changed = digest != self.digest
-        fresh.version += changed
-        self.listing, self.digest = fresh, digest
-        if changed:
-            self.on_news()
-
-    def miss(self, reason: str) -> None:
-        if not self.missed:
-            self.missed = True
+    def log_unavailable(self, reason: str) -> None:
+        """Write an event when the platform stops answering, not for each failed reading."""
+        if not self.unavailable:
+            self.unavailable = True
             self.log.write(SERVER_LIST_UNAVAILABLE, reason=reason)
 
-    def believed(self, now: float) -> ServerList | None:
-        held = self.listing
-        return held if held is not None and now - held.since <= self.settings.listing_term else None
+    def take(self, reading: ServerList) -> None:
+        """Follow a reading, this node's own or a peer's, if it is certainly the later one."""
+        listing = self.listing
+        if listing is not None and not reading.follows(listing):
+            return
+        digest = reading.digest()
+        has_changed = digest != self.digest
+        reading.version = (listing.version if listing is not None else 0) + has_changed
+        self.listing, self.digest = reading, digest
+        if has_changed:
+            self.on_change()
+
+    def current_list(self, now: float) -> ServerList | None:
+        """Return the newest reading; None where it is too old to be relied on."""
+        listing = self.listing
+        if listing is None or now - listing.since > self.settings.listing_term:
+            return None
+        return listing
 
     # Between control nodes.
 
-    def say(self) -> Plain | None:
-        """What this node knows, for another control node, and how long ago it was read."""
+    def update_for_peer(self) -> Message | None:
+        """Return the reading for another control node, its servers only where the peer has others.
+
+        `age` and `fresh` are the seconds since the platform was asked and since it had answered.
+        """
         now = self.scheduler.now()
-        held = self.believed(now)
-        if held is None:
+        listing = self.current_list(now)
+        if listing is None:
             return None
-        found: Plain = {"digest": self.digest, "age": now - held.since, "fresh": now - held.seen}
-        if self.heard != self.digest:
-            found["servers"] = [server.to_wire() for server in held.servers]
-        return found
-
-    def hear(self, said: object, since: float | None) -> None:
-        """What another knows; `since` is a moment before it was said, where there is one."""
-        if not isinstance(said, dict):
-            self.heard = b""
+        update: Message = {
+            "digest": self.digest,
+            "age": now - listing.since,
+            "fresh": now - listing.seen,
+        }
+        if self.peer_digest != self.digest:
+            update["servers"] = [server.to_wire() for server in listing.servers]
+        return update
+
+    def receive_from_peer(self, update: object, sent_at: float | None) -> None:
+        """Take a peer's reading.
+
+        Args:
+            update: what the peer sent; None where it has no recent reading.
+            sent_at: a monotonic time certainly before the peer sent it. Without one (None) the
+                reading's age has no bound, and only the digest is taken.
+
+        Raises:
+            MalformedServerListUpdateError: an age is no number of seconds.
+            ValueError: a server is malformed.
+        """
+        if not isinstance(update, dict):
+            self.peer_digest = b""
             return
-        digest, servers = said.get("digest"), said.get("servers")
-        self.heard = digest if isinstance(digest, bytes) else b""
-        if since is None:
+        digest, servers = update.get("digest"), update.get("servers")
+        self.peer_digest = digest if isinstance(digest, bytes) else b""
+        if sent_at is None:
             return
-        age, fresh = seconds_of(said.get("age")), seconds_of(said.get("fresh"))
+        age, fresh = parse_seconds(update.get("age")), parse_seconds(update.get("fresh"))
         if isinstance(servers, list):
-            found = servers_from_wire(servers)
+            known = servers_from_wire(servers)
         elif self.listing is not None and digest == self.digest:
-            found = self.listing.servers
+            known = self.listing.servers
         else:
             return
-        self.take(ServerList(self.source, 0, found, 0.0, since - age, self.scheduler.now() - fresh))
+        seen = self.scheduler.now() - fresh
+        self.take(ServerList(self.source, 0, known, 0.0, sent_at - age, seen))
 
-    # To edges.
+    # To edges and probers.
 
-    def said(self, vector: dict[str, int], now: float) -> Plain | None:
-        """The listing for a node with a vector: its age, and its servers where they are news."""
-        held = self.believed(now)
-        if held is None:
+    def update_for_node(self, versions: dict[str, int], now: float) -> Message | None:
+        """Return the reading's age for a node, with the servers where it has another version."""
+        listing = self.current_list(now)
+        if listing is None:
             return None
-        found: Plain = {
+        update: Message = {
             "source": self.source,
-            "version": held.version,
-            "age": now - held.since,
-            "fresh": now - held.seen,
+            "version": listing.version,
+            "age": now - listing.since,
+            "fresh": now - listing.seen,
         }
-        if vector.get(self.source) != held.version:
-            found["servers"] = [server.to_wire() for server in held.servers]
-        return found
+        if versions.get(self.source) != listing.version:
+            update["servers"] = [server.to_wire() for server in listing.servers]
+        return update
 
 
-def seconds_of(value: object) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < 1e9:
-        raise ValueError("not seconds")
+def parse_seconds(value: object) -> float:
+    """Return a number of seconds; raises MalformedServerListUpdateError."""
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise MalformedServerListUpdateError(value)
+    if not 0 <= value < MAX_SECONDS:
+        raise MalformedServerListUpdateError(value)
     return float(value)
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -1,19 +1,30 @@
-"""A control node as a whole: what it holds for the life of the process, and its end."""
+"""A control node as a whole: the composition of its parts, its life cycle, and its state shown."""
 
+from dataclasses import replace
 from random import Random
 
 from ryelock.consensus import Consensus, ConsensusSettings
 from ryelock.consensus.status import member_status
-from ryelock.control_api import OPERATOR_REQUEST, ControlApi
+from ryelock.control_api import ControlApi
 from ryelock.control_plane.aggregator import Aggregator
-from ryelock.control_plane.keeper import RoleAssigner
-from ryelock.control_plane.leading import OperatorRequests
+from ryelock.control_plane.departure import MAX_DEPARTURE_SECONDS, ConsensusDeparture
+from ryelock.control_plane.derived_watch_manager import DerivedWatchManager
+from ryelock.control_plane.health_decisions import HealthDecisions
+from ryelock.control_plane.idempotency_keys import IdempotencyKeys
+from ryelock.control_plane.leader_location import leader_location
 from ryelock.control_plane.lease_renewal import LeaseRenewals
 from ryelock.control_plane.metrics import ControlMetrics
-from ryelock.control_plane.platform import DUTY as READER
+from ryelock.control_plane.operator_requests import OperatorRequests
 from ryelock.control_plane.platform import PlatformReader
-from ryelock.control_plane.voters import LEAVE
-from ryelock.events import ROLE_FENCED, STARTED, STOPPED, STOPPING, VOTER_LEAVING, Log
+from ryelock.control_plane.rpc_handlers import RpcHandlers
+from ryelock.control_plane.singleton_roles import (
+    AGGREGATOR_ROLE,
+    SERVER_LIST_READER_ROLE,
+    RoleAssigner,
+)
+from ryelock.control_plane.soft_state_exchange import SoftStateExchange
+from ryelock.control_plane.voters import VoterManager
+from ryelock.events import STARTED, STOPPED, STOPPING, Log
 from ryelock.journal import Journal
 from ryelock.membership import Membership, Session
 from ryelock.metrics import export_metrics
@@ -21,37 +32,43 @@
 from ryelock.rpc import Message, Reply, RpcClients, RpcServer
 from ryelock.runtime import Network, Scheduler, Task
 from ryelock.settings import Settings
-from ryelock.singleton import SingletonRole
 
-LEAVE_SECONDS_MOST = 4.0
-"""A stopping node waits for its place to be taken for so long at most."""
-LEAVE_ASK_SECONDS = 0.5
-LEAVE_PAUSE_SECONDS = 0.05
 FINISH_SECONDS = 0.5
 """Open requests on the control address get at least so long to be answered."""
+MIN_SESSION_SECONDS = 3.0
+"""A session stands for so long at least without a renewal, and for two leases otherwise."""
+MAINTENANCE_SECONDS = 0.4
+OWN_SESSION_SECONDS = 0.25
 
 
 class ControlNode:
+    """One control node: a disk, a member of the consensus group, and what the leader does."""
+
     __slots__ = (
         "aggregator",
+        "clients",
         "consensus",
         "control_api",
-        "heard_clock",
-        "keeper",
-        "leading",
-        "lines",
+        "decisions",
+        "departure",
+        "derived_watches",
         "listener",
         "log",
         "membership",
         "network",
+        "operator_requests",
         "platform",
         "renewals",
         "replicated_state",
-        "running",
+        "role_assigner",
+        "rpc_handlers",
         "scheduler",
         "session",
         "settings",
+        "soft_state",
         "stopping",
+        "tasks",
+        "voters",
     )
 
     def __init__(
@@ -64,106 +81,173 @@
         disk: str,
         journal: Journal,
     ) -> None:
+        """Compose a node on an open disk and listen; nothing else runs before `start`.
+
+        Args:
+            settings: the node's settings.
+            scheduler: clock and tasks.
+            network: where to listen and connect.
+            log: where events are written.
+            random: source of the incarnation and of election timeouts.
+            disk: the disk's identity.
+            journal: the disk's opened journal.
+        """
         self.settings = settings
         self.scheduler = scheduler
         self.network = network
         self.log = log
         self.stopping = False
-        self.lines = RpcClients(scheduler, network, log)
+        self.tasks: list[Task] = []
+        self.clients = RpcClients(scheduler, network, log)
         self.replicated_state = ReplicatedState()
         incarnation = f"{random.getrandbits(48):012x}"
         source = f"{settings.name}/{incarnation}"
         self.membership = Membership(
-            scheduler, source, max(3.0, 2 * settings.term_seconds), settings.gone_seconds
+            scheduler,
+            source,
+            max(MIN_SESSION_SECONDS, 2 * settings.term_seconds),
+            settings.gone_seconds,
         )
-        self.listener = RpcServer(scheduler, network, log, settings.wire_address, self.on_ask)
-        pace = ConsensusSettings(
-            settings.beat_seconds,
-            settings.election_seconds,
-            settings.term_seconds,
-            settings.replace_seconds,
-            settings.image_records,
-            settings.may_found,
-            settings.disk_bytes,
+        self.listener = RpcServer(scheduler, network, log, settings.wire_address, self.on_message)
+        self.consensus = self.build_consensus(disk, journal, random)
+        self.voters = VoterManager(scheduler, self.consensus, self.membership)
+        self.platform = PlatformReader(
+            settings, scheduler, network, log, f"servers@{source}", self.reads_server_list
         )
-        self.consensus = Consensus(
-            scheduler,
-            self.lines,
-            log,
+        self.build_leader_parts(f"members@{source}")
+        self.build_aggregator()
+        self.connect_notifications()
+        self.control_api = self.build_control_api()
+        self.rpc_handlers = self.build_rpc_handlers()
+        self.departure = ConsensusDeparture(
+            scheduler, log, self.clients, self.consensus, self.voters
+        )
+        self.session = self.build_session(incarnation, disk)
+
+    # Composition.
+
+    def build_consensus(self, disk: str, journal: Journal, random: Random) -> Consensus:
+        """Return this node's member of the consensus group."""
+        settings = self.settings
+        return Consensus(
+            self.scheduler,
+            self.clients,
+            self.log,
             journal,
             self.replicated_state,
             settings.name,
             disk,
             self.listener.address,
             settings.seeds,
-            pace,
+            ConsensusSettings(
+                settings.beat_seconds,
+                settings.election_seconds,
+                settings.term_seconds,
+                settings.replace_seconds,
+                settings.image_records,
+                settings.may_found,
+                settings.disk_bytes,
+            ),
             random,
         )
-        self.platform = PlatformReader(settings, scheduler, network, log, f"servers@{source}")
-        if settings.reader_duty:
-            self.platform.on_duty = self.reads
+
+    def build_leader_parts(self, members_source: str) -> None:
+        """Create what answers edges and operators, and what the leader maintains."""
+        settings, scheduler, log = self.settings, self.scheduler, self.log
+        consensus, state, membership = self.consensus, self.replicated_state, self.membership
         self.renewals = LeaseRenewals(
-            settings,
-            scheduler,
-            log,
-            self.consensus,
-            self.replicated_state,
-            self.membership,
-            self.platform,
-            f"members@{source}",
+            settings, scheduler, log, consensus, state, membership, self.platform, members_source
         )
-        self.leading = OperatorRequests(
-            scheduler, log, self.consensus, self.replicated_state, self.membership, self.renewals
+        self.operator_requests = OperatorRequests(
+            scheduler, log, consensus, state, membership, self.renewals.leases, self.voters
         )
-        figures = ControlMetrics(self.consensus, self.replicated_state, self.renewals).all
         export_metrics(
-            scheduler, network, log, figures, settings.metrics_address, settings.metrics_log_seconds
-        )
-        duties = ("aggregator", READER) if settings.reader_duty else ("aggregator",)
-        self.keeper = RoleAssigner(
             scheduler,
+            self.network,
             log,
-            self.consensus,
-            self.replicated_state,
-            self.membership,
-            duties,
-            self.renewals.served_objects,
-            settings.derive_watches,
+            ControlMetrics(consensus, state, self.renewals).all,
+            settings.metrics_address,
+            settings.metrics_log_seconds,
+        )
+        roles: tuple[str, ...] = (AGGREGATOR_ROLE,)
+        if settings.reader_duty:
+            roles = (AGGREGATOR_ROLE, SERVER_LIST_READER_ROLE)
+        self.role_assigner = RoleAssigner(scheduler, log, consensus, state, membership, roles)
+        self.derived_watches = DerivedWatchManager(
+            log, consensus, state, self.renewals.served_objects, settings.derive_watches
+        )
+
+    def build_aggregator(self) -> None:
+        """Create what evaluates health, and the way of its decisions to the leader."""
+        self.soft_state = SoftStateExchange(self.scheduler, self.membership, self.platform)
+        self.decisions = HealthDecisions(
+            self.scheduler, self.log, self.clients, self.consensus, self.replicated_state
         )
-        self.leading.replicas = self.keeper.voters.replicas
         self.aggregator = Aggregator(
-            settings, scheduler, self.replicated_state, self.membership, self.decide
+            self.settings,
+            self.scheduler,
+            self.replicated_state,
+            self.membership,
+            self.decisions.submit,
+            self.soft_state.peer_clock,
         )
-        self.consensus.payloads.heartbeat_payload = self.say
-        self.consensus.payloads.on_payload = self.on_said
+
+    def connect_notifications(self) -> None:
+        """Let waiting renewals know what is new, and heartbeats carry the soft state."""
+        self.consensus.payloads.heartbeat_payload = self.soft_state.payload
+        self.consensus.payloads.on_payload = self.soft_state.receive
         self.consensus.add_applied_listener(self.renewals.wake_waiting)
-        self.platform.on_news = self.renewals.wake_waiting
-        self.control_api = ControlApi(
-            scheduler,
-            network,
-            log,
-            self.lines,
-            settings.control_address,
+        self.platform.on_change = self.renewals.wake_waiting
+
+    def build_control_api(self) -> ControlApi:
+        """Return the control API, listening."""
+        return ControlApi(
+            self.scheduler,
+            self.network,
+            self.log,
+            self.clients,
+            self.settings.control_address,
             self.leader,
-            self.others,
-            self.leading.serve,
+            self.other_control_nodes,
+            self.operator_requests.serve,
             self.fitness,
             None,
         )
-        self.heard_clock: list[object] = []
-        self.aggregator.clock = lambda: self.heard_clock
-        self.session = Session()
-        self.session.name = settings.name
-        self.session.role = "core"
-        self.session.zone = settings.zone
-        self.session.machine = settings.machine
-        self.session.wire = self.listener.address
-        self.session.control = self.control_api.listener.address
-        self.session.incarnation = incarnation
-        self.session.disk = disk
-        self.running: list[Task] = []
+
+    def build_rpc_handlers(self) -> RpcHandlers:
+        """Return the handlers of other processes' messages."""
+        return RpcHandlers(
+            self.scheduler,
+            self.log,
+            self.clients,
+            self.consensus,
+            self.platform,
+            self.renewals,
+            self.operator_requests,
+            self.control_api,
+            IdempotencyKeys(self.clients, self.consensus),
+            self.decisions,
+            self.voters,
+            self.aggregator,
+        )
+
+    def build_session(self, incarnation: str, disk: str) -> Session:
+        """Return the session that this node keeps with itself."""
+        return Session(
+            name=self.settings.name,
+            role="core",
+            zone=self.settings.zone,
+            machine=self.settings.machine,
+            wire=self.listener.address,
+            control=self.control_api.listener.address,
+            incarnation=incarnation,
+            disk=disk,
+        )
+
+    # Life cycle.
 
     def start(self) -> None:
+        """Join the consensus group and start the tasks."""
         self.log.write(
             STARTED,
             role="core",
@@ -174,161 +258,84 @@
         )
         self.consensus.start()
         create_task = self.scheduler.create_task
-        self.running = [
-            create_task(self.keeper.work(), name="keeper"),
-            create_task(self.keeper.voters.work(), name="voters"),
-            create_task(self.aggregator.work(), name="aggregator"),
-            create_task(self.tend(), name="tends"),
+        self.tasks = [
+            create_task(self.maintain_cluster(), name="cluster maintenance"),
+            create_task(self.voters.run(), name="voters"),
+            create_task(self.aggregator.run(), name="aggregator"),
+            create_task(self.maintain_sessions(), name="sessions"),
         ]
         if self.settings.platform_address:
-            self.running.append(create_task(self.platform.work(), name="platform"))
+            self.tasks.append(create_task(self.platform.run(), name="platform"))
 
     def follow(self, settings: Settings) -> None:
-        """Settings that changed: the seeds; all others stand for the life of the process."""
+        """Take over changed settings: the seeds; all others stand for the life of the process."""
         self.consensus.seeds = settings.seeds
 
-    def reads(self) -> bool:
-        """Whether this node holds the duty of reading the platform's list."""
-        duty = self.replicated_state.singletons.get(READER)
-        return duty is not None and duty.owner == self.settings.name
-
-    def leader(self) -> str:
-        if self.consensus.role == "leader":
-            return "here"
-        return self.consensus.leader_address if self.consensus.knows_leader() else ""
-
-    def others(self) -> list[str]:
-        return [
-            address for address in self.consensus.voters.values() if address != self.session.wire
-        ]
-
-    # Asks of other processes.
-
-    def on_ask(self, message: Message, reply: Reply) -> None:
-        kind = message.get("kind")
-        if kind == "council.promise":
-            self.consensus.answer(message, self.with_listing(message, reply))
-        elif self.consensus.answer(message, reply):
-            return
-        elif kind == "renew" and not self.consensus.settled and message.get("passed") is not True:
-            self.scheduler.create_task(self.pass_renewal(message, reply), name="renewal")
-        elif kind == "renew":
-            self.scheduler.create_task(self.renewals.renew(message, reply), name="renewal")
-        elif kind == "leave":
-            self.renewals.leave(message, reply)
-        elif kind == LEAVE:
-            reply(self.keeper.voters.on_leave(message))
-        elif kind == OPERATOR_REQUEST:
-            self.scheduler.create_task(self.answer_operator(message, reply), name="operator")
-        elif kind in ("claim", "release"):
-            self.scheduler.create_task(self.answer_claim(message, reply), name="claim")
-        elif kind == "decision":
-            self.scheduler.create_task(self.answer_decision(message, reply), name="decision")
-        elif kind == "rows":
-            answer = self.aggregator.take_rows(message)
-            if answer.get("ok") is not True:
-                self.log.write(ROLE_FENCED, duty="aggregator", epoch=message.get("epoch"))
-            reply(answer)
-        else:
-            reply({"fault": "unknown ask"})
-
-    async def pass_renewal(self, message: Message, reply: Reply) -> None:
-        """An edge that cannot reach the leader renews through a node that can.
-
-        Its term counts from before its own asking, so the way round only makes it shorter.
-        """
-        leader = self.leader()
-        if not leader or leader == "here":
-            reply({"ok": False, "leader": ""})
-            return
-        found = await self.lines.call(leader, {**message, "passed": True}, 0.5)
-        reply(found.ok if found.is_ok() else {"ok": False, "leader": ""})
-
-    def with_listing(self, message: Message, reply: Reply) -> Reply:
-        """A promise brings the servers this node knows of, as an edge needs them to go on."""
-
-        def wrapped(answer: Message) -> None:
-            vector = message.get("vector")
-            listing = self.platform.said(
-                vector if isinstance(vector, dict) else {}, self.scheduler.now()
-            )
-            reply({**answer, "listing": listing} if listing is not None else answer)
-
-        return wrapped
+    async def stop(self) -> None:
+        """Hand over roles and the voter's place, answer what is open, then end."""
+        until = self.scheduler.now() + min(self.settings.stop_seconds, MAX_DEPARTURE_SECONDS)
+        self.stopping = True
+        self.log.write(STOPPING)
+        self.session.ready = False
+        await self.role_assigner.hand_over(self.settings.name)
+        await self.departure.leave(until)
+        self.control_api.listener.stop_accepting()
+        await self.control_api.listener.finish(max(FINISH_SECONDS, until - self.scheduler.now()))
+        for task in self.tasks:
+            task.cancel()
+        self.log.write(STOPPED)
 
-    async def answer_operator(self, message: Message, reply: Reply) -> None:
-        """An operator's order; where a node elsewhere cannot reach the leader, passed on once."""
-        found = await self.leading.serve(message)
-        leader = self.leader()
-        if found.get("status") == "elsewhere" and message.get("through") is True and leader:
-            found = await self.control_api.call_leader(leader, {**message, "through": False})
-        reply(found)
+    async def maintain_cluster(self) -> None:
+        """Assign roles and derive watches while this node leads."""
+        while True:
+            await self.scheduler.sleep(MAINTENANCE_SECONDS)
+            if self.consensus.settled:
+                await self.role_assigner.assign_roles()
+            # The node may have been deposed while it waited for a commit.
+            if self.consensus.settled:
+                await self.derived_watches.refresh()
+
+    async def maintain_sessions(self) -> None:
+        """Renew this node's own session, and end those that were not renewed."""
+        while True:
+            self.session.ready = not self.stopping
+            self.session.applied = self.consensus.applied_index
+            self.membership.renew(replace(self.session))
+            self.renewals.expire_sessions()
+            await self.scheduler.sleep(OWN_SESSION_SECONDS)
 
-    async def answer_claim(self, message: Message, reply: Reply) -> None:
-        """An edge's claim of a key; where this node does not lead, passed on once."""
-        leader = self.leader()
-        if leader == "here":
-            reply(await self.leading.claim(message))
-        elif leader and message.get("passed") is not True:
-            found = await self.lines.call(leader, {**message, "passed": True}, 1.0)
-            reply(found.ok if found.is_ok() else {"status": "unknown"})
-        else:
-            reply({"status": "elsewhere"})
+    # What other parts and processes ask.
 
-    async def answer_decision(self, message: Message, reply: Reply) -> None:
-        reply(await self.leading.decide(message))
+    def on_message(self, message: Message, reply: Reply) -> None:
+        """Answer a message of another process; the handlers are built after the listener."""
+        self.rpc_handlers.handle(message, reply)
 
-    async def decide(self, message: Message) -> bool:
-        """Have a verdict written, here or by the leader elsewhere.
+    def reads_server_list(self) -> bool:
+        """Tell whether it is for this node to read the platform's list of servers."""
+        if not self.settings.reader_duty:
+            return True
+        role = self.replicated_state.singletons.get(SERVER_LIST_READER_ROLE)
+        return role is not None and role.owner == self.settings.name
 
-        It takes along what was last heard of the leader's clock, so that the leader can tell
-        one that was long on its way.
-        """
-        leader = self.leader()
-        if leader == "here":
-            found = await self.leading.decide(message)
-        elif leader:
-            answer = await self.lines.call(leader, message, 3.0)
-            if answer.is_error():
-                return False
-            found = answer.ok
-        else:
-            return False
-        if found.get("status") == "fenced":
-            self.log.write(ROLE_FENCED, duty="aggregator", epoch=message.get("epoch"))
-        return found.get("status") == "accepted"
+    def leader(self) -> str:
+        """Return the leader's address, LOCAL_LEADER, or "" where none is known."""
+        return leader_location(self.consensus)
 
-    def say(self) -> Message:
-        """To other control nodes: sessions, and the platform's servers as read here."""
-        return {
-            **self.membership.say(),
-            "listing": self.platform.say(),
-            "clock": self.scheduler.now(),
-        }
+    def other_control_nodes(self) -> list[str]:
+        """Return the addresses of the other voters."""
+        return [
+            address for address in self.consensus.voters.values() if address != self.session.wire
+        ]
 
-    def on_said(self, disk: str, said: Message, since: float | None) -> None:
-        try:
-            self.heard_clock = [disk, said.get("clock")]
-            self.platform.hear(said.get("listing"), since)
-            self.membership.hear(said)
-        except ValueError:
-            return
-
-    async def tend(self) -> None:
-        """This node's own session, and sessions that ended."""
-        while True:
-            self.session.ready = not self.stopping
-            self.session.applied = self.consensus.applied_index
-            fresh = Session()
-            for slot in Session.__slots__:
-                setattr(fresh, slot, getattr(self.session, slot))
-            self.membership.renew(fresh)
-            self.renewals.expire_sessions()
-            await self.scheduler.sleep(0.25)
+    def not_ready_reason(self) -> str:
+        """Return why the node is not ready; empty when it is."""
+        if self.stopping:
+            return "stopping"
+        return "" if self.consensus.knows_leader() else "no leader is known"
 
     def fitness(self) -> Message:
-        known = self.consensus.knows_leader()
-        reason = "stopping" if self.stopping else "" if known else "no leader is known"
+        """Return the node's state for operators and the platform's readiness checks."""
+        reason = self.not_ready_reason()
         return {
             "name": self.settings.name,
             "role": "core",
@@ -344,77 +351,3 @@
             "disk": self.consensus.disk,
             **member_status(self.consensus).to_wire(),
         }
-
-    # The end.
-
-    async def stop(self) -> None:
-        """Hand over duties by name and the voter's place by agreement, then end."""
-        until = self.scheduler.now() + min(self.settings.stop_seconds, LEAVE_SECONDS_MOST)
-        self.stopping = True
-        self.log.write(STOPPING)
-        self.session.ready = False
-        await self.hand_over_duties()
-        await self.leave_consensus(until)
-        self.control_api.listener.stop_accepting()
-        await self.control_api.listener.finish(max(FINISH_SECONDS, until - self.scheduler.now()))
-        for running in self.running:
-            running.cancel()
-        self.log.write(STOPPED)
-
-    async def leave_consensus(self, until: float) -> None:
-        """Wait for the release, then take no part in consensus any more.
-
-        Open requests are answered for a while after that. A leader that was elected meanwhile
-        does not know of the release: an entry that it commits must not rest on this disk.
-        """
-        await self.wait_for_release(until)
-        self.consensus.stop()
-
-    async def wait_for_release(self, until: float) -> bool:
-        """Wait until no agreed entry rests on this disk, or no other node can take its place.
-
-        A spare takes the voter's place where there is one; a node that only restarts comes back
-        as a spare. Without a leader that answers, the wait ends at `until`, without a release.
-        """
-        self.consensus.leaving = True
-        self.log.write(VOTER_LEAVING, voter=self.consensus.disk in self.consensus.voters)
-        message: Message = {"kind": LEAVE, "disk": self.consensus.disk}
-        while self.scheduler.now() < until:
-            leader = self.leader()
-            if leader == "here":
-                successor = self.consensus.best_successor(self.keeper.voters.leaving)
-                if not successor:
-                    return False
-                await self.consensus.transfer_leadership(successor)
-            elif leader:
-                found = await self.lines.call(leader, message, LEAVE_ASK_SECONDS)
-                if found.is_ok() and self.is_released(found.ok):
-                    return True
-            await self.scheduler.sleep(LEAVE_PAUSE_SECONDS)
-        return False
-
-    def is_released(self, answer: Message) -> bool:
-        """Whether an answer to `council.leave` releases this node.
-
-        One of an older epoch does not: this node may have stored entries for a newer leader.
-        """
-        epoch = answer.get("epoch", self.consensus.term)
-        return answer.get("may_end") is True and epoch == self.consensus.term
-
-    async def hand_over_duties(self) -> None:
-        """The holder names its successor; the leader has it agreed."""
-        until = self.scheduler.now() + 1.5
-        while self.scheduler.now() < until:
-            held = [
-                duty
-                for duty in self.replicated_state.singletons.values()
-                if duty.owner == self.settings.name
-            ]
-            if not held or not any(duty.successor for duty in held):
-                return
-            for duty in held:
-                if self.consensus.role == "leader" and duty.successor:
-                    await self.keeper.give(
-                        SingletonRole(duty.name, duty.successor, duty.fencing_token + 1, "")
-                    )
-            await self.scheduler.sleep(0.1)
--- a/packages/testing/ryelock/testing/model/adapter.py
+++ b/packages/testing/ryelock/testing/model/adapter.py
@@ -14,9 +14,10 @@
 from ryelock.consensus import Consensus, ConsensusSettings
 from ryelock.consensus.entries import Entry, EntryKind, Stored, voters_from_data
 from ryelock.consensus.log import RETAINED_BYTES
+from ryelock.control_plane.departure import MAX_DEPARTURE_SECONDS, ConsensusDeparture
 from ryelock.control_plane.identity import open_disk, read_identity
-from ryelock.control_plane.process import FINISH_SECONDS, LEAVE_SECONDS_MOST, ControlNode
-from ryelock.control_plane.voters import LEAVE, VoterManager
+from ryelock.control_plane.process import FINISH_SECONDS
+from ryelock.control_plane.voters import RELEASE_REQUEST, VoterManager
 from ryelock.edge.promises import QuorumLeaseVote, are_enough, decode_vote
 from ryelock.events import Event, Log
 from ryelock.journal import Folder, JournalError, open_journal
@@ -26,7 +27,7 @@
 from ryelock.runtime import Scheduler
 
 __all__ = [
-    "LEAVE",
+    "RELEASE_REQUEST",
     "Message",
     "ProductNode",
     "QuorumLeaseVote",
@@ -245,7 +246,7 @@
         """Start the consensus group and the care for its voters."""
         self.observer.started(self.disk)
         self.consensus.start()
-        self.scheduler.create_task(self.voter_keeper.work(), name="voters")
+        self.scheduler.create_task(self.voter_keeper.run(), name="voters")
 
     @property
     def disk(self) -> str:
@@ -284,8 +285,8 @@
 
     def answer(self, message: Message, reply: Reply) -> bool:
         """Take an ask of another process; False where it is for no part of this node."""
-        if message.get("kind") == LEAVE:
-            reply(self.voter_keeper.on_leave(message))
+        if message.get("kind") == RELEASE_REQUEST:
+            reply(self.voter_keeper.on_release_request(message))
             return True
         return self.consensus.answer(message, reply)
 
@@ -320,8 +321,8 @@
 
     async def leave(self) -> None:
         """A planned stop, as the daemon leaves: open requests get a while before it ends."""
-        until = self.scheduler.now() + LEAVE_SECONDS_MOST
-        await ControlNode.leave_consensus(cast(ControlNode, LeavingNode(self)), until)
+        until = self.scheduler.now() + MAX_DEPARTURE_SECONDS
+        await ObservedDeparture(self).leave(until)
         await self.scheduler.sleep(FINISH_SECONDS)
 
     async def hand_over(self) -> None:
@@ -331,44 +332,25 @@
             await self.consensus.transfer_leadership(successor)
 
 
-class LeavingNode:
-    """What `ControlNode.leave_consensus` needs of its node."""
+class ObservedDeparture(ConsensusDeparture):
+    """Leaves as the daemon does; the history gets to know when the node may end."""
+
+    __slots__ = ("node",)
 
     def __init__(self, node: ProductNode) -> None:
-        """Stand in for the daemon of a node."""
+        """Create the departure of a node."""
+        clients = cast(RpcClients, node.lines)
+        super().__init__(node.scheduler, SilentLog(), clients, node.consensus, node.voter_keeper)
         self.node = node
-        self.consensus = node.consensus
-        self.scheduler = node.scheduler
-        self.lines = node.lines
-        self.log: Log = SilentLog()
-        self.keeper = LeavingKeeper(node.voter_keeper)
-
-    def leader(self) -> str:
-        """The leader's address, or that it is here."""
-        if self.consensus.role == "leader":
-            return "here"
-        return self.consensus.leader_address if self.consensus.knows_leader() else ""
-
-    def is_released(self, answer: Message) -> bool:
-        """Judge a leader's answer as the daemon does."""
-        return ControlNode.is_released(cast(ControlNode, self), answer)
 
     async def wait_for_release(self, until: float) -> bool:
-        """Wait as the daemon does; the history is told when the node may end."""
-        released = await ControlNode.wait_for_release(cast(ControlNode, self), until)
+        """Wait as the daemon does."""
+        released = await super().wait_for_release(until)
         if released:
             self.node.observer.release(self.consensus.disk)
         return released
 
 
-class LeavingKeeper:
-    """The keeper of a node that leaves."""
-
-    def __init__(self, voters: VoterManager) -> None:
-        """Stand in for the daemon's keeper."""
-        self.voters = voters
-
-
 class DiskLog:
     """What a fresh open reads back: identity, vote, image and entries of one disk."""
 
--- a/packages/testing/ryelock/testing/model/cluster.py
+++ b/packages/testing/ryelock/testing/model/cluster.py
@@ -8,8 +8,8 @@
 from ryelock.rpc import NoResponseError
 from ryelock.runtime import Queue, Scheduler
 from ryelock.testing.model.adapter import (
-    LEAVE,
     PROMISE_SECONDS,
+    RELEASE_REQUEST,
     UNREADABLE,
     Change,
     DiskLog,
@@ -283,7 +283,7 @@
                 return
 
             def reply(answer: Message) -> None:
-                if message.get("kind") == LEAVE and answer.get("may_end") is True:
+                if message.get("kind") == RELEASE_REQUEST and answer.get("may_end") is True:
                     self.read_disks()
                     self.history.check_left(str(message["disk"]))
                 self.history.answered(message, answer)
--- a/tests/consensus/test_release.py
+++ b/tests/consensus/test_release.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from ryelock.control_plane.process import ControlNode
+from ryelock.control_plane.departure import ConsensusDeparture
 from ryelock.rpc import Message
 from ryelock.testing.loss_cases import LOSS_SETTINGS
 from ryelock.testing.scenario import Scenario
@@ -24,7 +24,7 @@
         released: list[float] = []
 
         async def leave() -> None:
-            await node.core.leave_consensus(node.scheduler.now() + 3)
+            await node.core.departure.leave(node.scheduler.now() + 3)
             released.append(scenario.world.time)
 
         node.scheduler.create_task(leave(), name="stop")
@@ -39,10 +39,10 @@
         self.assertEqual(before, after)
 
     def test_without_the_end_of_its_part_it_would(self) -> None:
-        async def leave_consensus(node: ControlNode, until: float) -> None:
-            await node.wait_for_release(until)
+        async def leave(departure: ConsensusDeparture, until: float) -> None:
+            await departure.wait_for_release(until)
 
-        with mock.patch.object(ControlNode, "leave_consensus", leave_consensus):
+        with mock.patch.object(ConsensusDeparture, "leave", leave):
             before, after = self.last_index_after_a_change()
         self.assertGreater(after, before)
 
@@ -57,4 +57,4 @@
             ({}, False),
         )
         for answer, wanted in cases:
-            self.assertEqual(wanted, ControlNode.is_released(node, answer), str(answer))
+            self.assertEqual(wanted, ConsensusDeparture.is_released(node, answer), str(answer))
--- a/tests/consensus/test_status.py
+++ b/tests/consensus/test_status.py
@@ -84,7 +84,7 @@
         leader = scenario.leader()
         name = next(core for core in scenario.cores if core != leader)
         node = scenario.node(name)
-        node.scheduler.create_task(node.core.leave_consensus(node.scheduler.now() + 3), name="stop")
+        node.scheduler.create_task(node.core.departure.leave(node.scheduler.now() + 3), name="stop")
         scenario.world.run(0.3)
         self.assertEqual("leaving", self.fitness(scenario, name)["state"])
         self.assertEqual("leaving", self.replicas(scenario)[name]["state"])
--- a/tests/control_plane/test_control_cases.py
+++ b/tests/control_plane/test_control_cases.py
@@ -9,7 +9,7 @@
 
 from ryelock.consensus import Consensus
 from ryelock.consensus.leadership import Leadership
-from ryelock.control_plane.leading import OperatorRequests
+from ryelock.control_plane.operator_requests import OperatorRequests
 from ryelock.control_plane.renewal_messages import UnconfirmedRenewalResponse
 from ryelock.journal import FolderError
 from ryelock.replicated_state import ReplicatedState, outcomes
--- a/tests/control_plane/test_finals.py
+++ b/tests/control_plane/test_finals.py
@@ -21,7 +21,7 @@
         return {line.partition(":")[0] for line in ended.findings.violations}
 
     def test_only_the_leaders_reading_is_not_enough(self) -> None:
-        with mock.patch.object(PlatformReader, "hear", lambda *_arguments: None):
+        with mock.patch.object(PlatformReader, "receive_from_peer", lambda *_arguments: None):
             self.assertIn("final", self.broken("listing-out-of-leaders-reach"))
 
     def test_an_edge_that_lost_its_term_must_not_say_ready(self) -> None:
@@ -56,7 +56,7 @@
 
     def test_operators_find_a_way_round_a_cut(self) -> None:
         self.assertEqual(200, self.through_a_core_that_is_cut_from_the_leader())
-        with mock.patch.object(ControlNode, "others", lambda _node: []):
+        with mock.patch.object(ControlNode, "other_control_nodes", lambda _node: []):
             self.assertEqual(503, self.through_a_core_that_is_cut_from_the_leader())
 
     def test_without_a_majority_of_disks_callers_are_told_at_once(self) -> None:
--- a/tests/control_plane/test_loss_cases.py
+++ b/tests/control_plane/test_loss_cases.py
@@ -40,12 +40,12 @@
             self.assertEqual([], leaving_member(seed).violations)
 
     def test_a_voter_that_ends_at_once_leaves_no_majority(self) -> None:
-        with mock.patch.object(VoterManager, "on_leave", lambda *_: {"may_end": True}):
+        with mock.patch.object(VoterManager, "on_release_request", lambda *_: {"may_end": True}):
             found = [text for seed in LEAVING_SEEDS for text in leaving_member(seed).violations]
         self.assertTrue([text for text in found if text.startswith("majority kept")], found)
 
     def test_without_spares_second_losses_are_not_borne(self) -> None:
-        with mock.patch.object(VoterManager, "spares", lambda _: []):
+        with mock.patch.object(VoterManager, "ready_standbys", lambda _: []):
             found = [text for seed in range(8) for text in second_loss(seed).violations]
         self.assertTrue([text for text in found if text.startswith("majority kept")], found)
 
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -5,7 +5,7 @@
 
 import testtools
 
-from ryelock.control_plane.leading import OperatorRequests
+from ryelock.control_plane.health_decisions import HealthDecisions
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.events import ROLE_FENCED
 from ryelock.health.evaluation import TargetVerdict
@@ -279,7 +279,7 @@
             leads = scenario.node(scenario.leader())
             found = scenario.world.task(
                 old,
-                old.core.decide(
+                old.core.decisions.submit(
                     {
                         "clock": [leads.core.consensus.disk, leads.scheduler.now()],
                         "kind": "decision",
@@ -450,9 +450,9 @@
         """The aggregator's word hangs on a cut path, within its epoch."""
         for late, wanted in ((True, False), (False, True)):
             with mock.patch.object(
-                OperatorRequests,
-                "in_time",
-                OperatorRequests.in_time if late else lambda *_arguments: True,
+                HealthDecisions,
+                "is_recent",
+                HealthDecisions.is_recent if late else lambda *_arguments: True,
             ):
                 broken = any(self.late_verdict(seed) for seed in range(30, 36))
             self.assertEqual(wanted, broken)
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -210,7 +210,7 @@
 
 
 def no_spare_voter() -> list[Patch]:
-    return [mock.patch.object(VoterManager, "spares", always([]))]
+    return [mock.patch.object(VoterManager, "ready_standbys", always([]))]
 
 
 def no_promises() -> list[Patch]:
--- a/tests/rpc/test_bad_input.py
+++ b/tests/rpc/test_bad_input.py
@@ -225,6 +225,6 @@
         leader = scenario.leader()
         self.assertIn(SERVER_LIST_UNAVAILABLE.number, self.events(scenario, leader))
         self.assertIsNone(
-            scenario.node(leader).core.platform.believed(scenario.node(leader).scheduler.now())
+            scenario.node(leader).core.platform.current_list(scenario.node(leader).scheduler.now())
         )
         self.assertEqual([], scenario.world.faults)
--- a/tests/support/consensus_takeouts.py
+++ b/tests/support/consensus_takeouts.py
@@ -25,7 +25,7 @@
 from ryelock.consensus.quorum_lease import QuorumLease
 from ryelock.consensus.replicator import Replicator
 from ryelock.consensus.state import MemberState
-from ryelock.control_plane.process import ControlNode
+from ryelock.control_plane.departure import ConsensusDeparture
 from ryelock.control_plane.voters import VoterManager
 from ryelock.journal import Journal, open_journal
 from ryelock.replicated_state import ReplicatedState
@@ -285,16 +285,16 @@
 
 def leaves_at_once() -> AbstractContextManager[object]:
     """A member that leaves is let go at once."""
-    return mock.patch.object(VoterManager, "may_end", lambda _keeper, _disk: True)
+    return mock.patch.object(VoterManager, "is_releasable", lambda _voters, _disk: True)
 
 
 def released_members_go_on() -> AbstractContextManager[object]:
     """A member that was let go takes part until its process ends."""
 
-    async def leave_consensus(node: ControlNode, until: float) -> None:
-        await node.wait_for_release(until)
+    async def leave(departure: ConsensusDeparture, until: float) -> None:
+        await departure.wait_for_release(until)
 
-    return mock.patch.object(ControlNode, "leave_consensus", leave_consensus)
+    return mock.patch.object(ConsensusDeparture, "leave", leave)
 
 
 TAKE_OUTS: dict[str, TakeOut] = {
