--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -157,8 +157,8 @@
         self.session.role = "core"
         self.session.zone = settings.zone
         self.session.machine = settings.machine
-        self.session.wire = self.listener.address
-        self.session.control = self.control_api.listener.address
+        self.session.rpc_address = self.listener.address
+        self.session.control_address = self.control_api.listener.address
         self.session.incarnation = incarnation
         self.session.disk = disk
         self.running: list[Task] = []
@@ -168,8 +168,8 @@
             STARTED,
             role="core",
             zone=self.settings.zone,
-            wire=self.session.wire,
-            control=self.session.control,
+            wire=self.session.rpc_address,
+            control=self.session.control_address,
             disk=self.session.disk,
         )
         self.consensus.start()
@@ -199,7 +199,9 @@
 
     def others(self) -> list[str]:
         return [
-            address for address in self.consensus.voters.values() if address != self.session.wire
+            address
+            for address in self.consensus.voters.values()
+            if address != self.session.rpc_address
         ]
 
     # Asks of other processes.
--- a/packages/control_plane/ryelock/control_plane/renewals.py
+++ b/packages/control_plane/ryelock/control_plane/renewals.py
@@ -143,7 +143,13 @@
         together costs each node a few answers, not one for each other node.
         """
         found: dict[str, tuple[object, ...]] = {
-            name: (session.incarnation, session.zone, session.order, session.wire, session.ready)
+            name: (
+                session.incarnation,
+                session.zone,
+                session.request_address,
+                session.rpc_address,
+                session.ready,
+            )
             for name, session in self.membership.members().items()
         }
         lost = set(self.membership.lost())
--- a/packages/control_plane/ryelock/control_plane/voters.py
+++ b/packages/control_plane/ryelock/control_plane/voters.py
@@ -128,7 +128,9 @@
         """How many voters stand in the zone of each disk already; one look at the members."""
         if not disks:
             return {}
-        zones = {session.wire: session.zone for session in self.membership.members().values()}
+        zones = {
+            session.rpc_address: session.zone for session in self.membership.members().values()
+        }
         voting = Counter(zones.get(address) for address in self.consensus.voters.values())
         return {disk: voting[zones.get(address, "")] for disk, address in disks.items()}
 
--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -312,7 +312,7 @@
             gone = [Session.from_wire(plain) for plain in members["gone"]]
             self.gone = {session.name: session for session in gone}
             self.cores = [
-                session.wire for session in self.members.values() if session.role == "core"
+                session.rpc_address for session in self.members.values() if session.role == "core"
             ]
 
     def take_members(self, plain: Message) -> None:
--- a/packages/edge/ryelock/edge/owner.py
+++ b/packages/edge/ryelock/edge/owner.py
@@ -147,9 +147,9 @@
             working *= HOME_PART
         self.until = now + silent
         self.working_until = now + working
-        kept = peers.kept_connection(owner.order)
+        kept = peers.kept_connection(owner.request_address)
         self.connection: Connection = (
-            kept[0] if kept is not None else handler.network.connect(owner.order)
+            kept[0] if kept is not None else handler.network.connect(owner.request_address)
         )
         self.reader = kept[1] if kept is not None else Reader(handler.scheduler, self.connection)
 
@@ -177,7 +177,7 @@
         finally:
             self.peers.asked[self.owner.name] -= 1
             if self.keep:
-                self.peers.keep_connection(self.owner.order, self.connection, self.reader)
+                self.peers.keep_connection(self.owner.request_address, self.connection, self.reader)
             else:
                 self.connection.abort()
 
@@ -225,7 +225,9 @@
         if self.known is not None and self.known.etag is not None:
             fields.append((b"If-None-Match", self.known.etag))
         session = handler.member.session
-        said = f"{session.name} {session.mark} {handler.store.purged} {handler.plan.version}"
+        said = (
+            f"{session.name} {session.probe_secret} {handler.store.purged} {handler.plan.version}"
+        )
         fields.append((PEER_FIELD, said.encode()))
         fields.append((SERVERS_FIELD, b"%d" % servers))
         send_request(self.connection, b"GET", head.target, fields, b"")
--- a/packages/edge/ryelock/edge/peers.py
+++ b/packages/edge/ryelock/edge/peers.py
@@ -106,7 +106,7 @@
             for name, session in members.items()
             if session.role == "edge"
             and self.regions.get(session.zone, session.zone) == self.region
-            and session.order
+            and session.request_address
             and (session.ready or name == self.name)
         }
         zones: dict[str, list[str]] = {self.zone: [self.name]}
@@ -116,7 +116,7 @@
         if zones != self.zones:
             self.zones = zones
             self.owners.clear()
-        addresses = {session.order for session in self.sessions.values()}
+        addresses = {session.request_address for session in self.sessions.values()}
         for address in [address for address in self.kept if address not in addresses]:
             for connection, _, _ in self.kept.pop(address):
                 connection.close()
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -77,7 +77,7 @@
         self.session.incarnation = f"{random.getrandbits(48):012x}"
         self.session.probes = role == "prober" or (role == "edge" and settings.probe)
         marked = self.session.probes or (role == "edge" and settings.share_copies)
-        self.session.mark = f"{random.getrandbits(64):016x}" if marked else ""
+        self.session.probe_secret = f"{random.getrandbits(64):016x}" if marked else ""
         self.member = EdgeSession(
             scheduler,
             self.lines,
@@ -95,7 +95,7 @@
         self.handler: RequestHandler | None = None
         self.request_server: HttpServer | None = None
         self.listener = RpcServer(scheduler, network, log, settings.wire_address, self.on_ask)
-        self.session.wire = self.listener.address
+        self.session.rpc_address = self.listener.address
         self.control_api = ControlApi(
             scheduler,
             network,
@@ -108,7 +108,7 @@
             self.fitness,
             self.explain if role == "edge" else None,
         )
-        self.session.control = self.control_api.listener.address
+        self.session.control_address = self.control_api.listener.address
         if role == "edge":
             self.handler = RequestHandler(
                 settings, scheduler, network, log, self.member, random, dialect or ProtocolProfile()
@@ -138,7 +138,7 @@
                 self.handler.serve,
                 bulk=True,
             )
-            self.session.order = self.request_server.address
+            self.session.request_address = self.request_server.address
         figures = self.handler.metrics.all if self.handler is not None else Metrics()
         export_metrics(
             scheduler, network, log, figures, settings.metrics_address, settings.metrics_log_seconds
@@ -152,7 +152,7 @@
                 scheduler,
                 network,
                 settings.name,
-                self.session.mark,
+                self.session.probe_secret,
                 settings.machine,
                 settings.zone,
                 settings.probe_seconds,
@@ -169,9 +169,9 @@
             STARTED,
             role=self.role,
             zone=self.settings.zone,
-            wire=self.session.wire,
-            control=self.session.control,
-            orders=self.session.order,
+            wire=self.session.rpc_address,
+            control=self.session.control_address,
+            orders=self.session.request_address,
         )
         self.member.start()
         self.running.append(self.scheduler.create_task(self.tend(), name="tends"))
@@ -349,7 +349,7 @@
             "version": self.replicated_state.version,
             "index": self.replicated_state.index,
             "served": self.session.served,
-            "orders": self.session.order,
+            "orders": self.session.request_address,
             "leader": self.member.leader,
             "term_left": round(max(0.0, self.member.term_until - self.scheduler.now()), 3),
         }
@@ -372,7 +372,7 @@
                 continue
             now = self.scheduler.now()
             found = await self.lines.call(
-                holder.wire,
+                holder.rpc_address,
                 {
                     "kind": "rows",
                     "epoch": duty.fencing_token,
--- a/packages/edge/ryelock/edge/replies.py
+++ b/packages/edge/ryelock/edge/replies.py
@@ -162,7 +162,7 @@
             or field(fields, b"cookie") is not None
         ):
             return
-        own = self.member.session.order.rpartition(":")[0]
+        own = self.member.session.request_address.rpartition(":")[0]
         self.lately[request.route_name] = (
             "" if request.host == own else request.host,
             request.target,
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -59,7 +59,7 @@
         ):
             return "", 0, 0
         session = self.member.members.get(parts[0])
-        if session is None or session.mark == "" or session.mark != parts[1]:
+        if session is None or session.probe_secret == "" or session.probe_secret != parts[1]:
             return "", 0, 0
         return session.zone, int(parts[2]), int(parts[3])
 
@@ -67,7 +67,9 @@
         """Whether an order comes from a prober that is a member; others may say so in vain."""
         name, _, mark = (said or b"").decode("latin-1").partition(" ")
         session = self.member.members.get(name)
-        return session is not None and session.probes and mark != "" and session.mark == mark
+        return (
+            session is not None and session.probes and mark != "" and session.probe_secret == mark
+        )
 
     def find_route(self, request: Request) -> Route | None:
         """Route, service and class by the version that is now in force."""
--- a/packages/edge/ryelock/edge/targets.py
+++ b/packages/edge/ryelock/edge/targets.py
@@ -65,14 +65,14 @@
         seconds = self.seconds_by_watch(watches, len(edges))
         covered = self.covered_zones({session.zone for session in edges.values()})
         for name, session in sorted(edges.items()):
-            if session.role != "edge" or not session.order or name == self.settings.name:
+            if session.role != "edge" or not session.request_address or name == self.settings.name:
                 continue
             for watch_name, watch in watches:
                 found.append(
                     ProbeTarget(
                         session.zone,
                         name,
-                        session.order,
+                        session.request_address,
                         watch_name,
                         watch,
                         session.zone not in covered,
@@ -90,7 +90,7 @@
         found = {
             name: session
             for name, session in sorted(edges.items())
-            if session.role == "edge" and session.order and name != self.settings.name
+            if session.role == "edge" and session.request_address and name != self.settings.name
         }
         inside = {
             name
@@ -104,7 +104,7 @@
             ProbeTarget(
                 session.zone,
                 name,
-                session.order,
+                session.request_address,
                 watch_name,
                 watch,
                 name not in inside,
--- a/packages/membership/ryelock/membership/sessions.py
+++ b/packages/membership/ryelock/membership/sessions.py
@@ -11,18 +11,19 @@
 from ryelock.runtime import Scheduler
 
 Plain = dict[str, object]
-TEXTS = (
-    "name",
-    "role",
-    "zone",
-    "machine",
-    "wire",
-    "control",
-    "order",
-    "incarnation",
-    "disk",
-    "mark",
-)
+TEXT_FIELDS = {
+    "name": "name",
+    "role": "role",
+    "zone": "zone",
+    "machine": "machine",
+    "rpc_address": "wire",
+    "control_address": "control",
+    "request_address": "order",
+    "incarnation": "incarnation",
+    "disk": "disk",
+    "probe_secret": "mark",
+}
+"""Fields of a session that are texts, with their names on the wire, in the order of the wire."""
 TEXT_MOST = 200
 EDGE = "edge"
 ROLES = ("core", EDGE, "prober", "desk")
@@ -37,12 +38,12 @@
         role: one of ROLES.
         zone: zone it stands in.
         machine: machine it runs on.
-        wire: address where other processes reach it.
-        control: address of its control API.
-        order: address where an edge takes requests, empty for others.
+        rpc_address: address where other processes reach it.
+        control_address: address of its control API.
+        request_address: address where an edge takes requests, empty for others.
         incarnation: tells this run of the node from others.
         disk: identity of a control node's disk, empty for others.
-        mark: secret by which edges know the node's probes.
+        probe_secret: secret by which edges know the node's probes.
         probes: whether it probes.
         ready: whether it takes traffic.
         served: callers' requests served since its start.
@@ -55,12 +56,12 @@
     role: str = ""
     zone: str = ""
     machine: str = ""
-    wire: str = ""
-    control: str = ""
-    order: str = ""
+    rpc_address: str = ""
+    control_address: str = ""
+    request_address: str = ""
     incarnation: str = ""
     disk: str = ""
-    mark: str = ""
+    probe_secret: str = ""
     probes: bool = False
     ready: bool = False
     served: int = 0
@@ -76,7 +77,7 @@
     def to_wire(self) -> Plain:
         """Return the session as a map for the wire; see `from_wire`."""
         return {
-            **{key: getattr(self, key) for key in TEXTS},
+            **{key: getattr(self, name) for name, key in TEXT_FIELDS.items()},
             "probes": self.probes,
             "ready": self.ready,
             "served": self.served,
@@ -89,11 +90,11 @@
         if not isinstance(data, dict):
             raise ValueError("not a session")
         session = cls()
-        for key in TEXTS:
+        for name, key in TEXT_FIELDS.items():
             value = data.get(key, "")
             if not isinstance(value, str) or len(value) > TEXT_MOST:
                 raise ValueError(f"session: {key}")
-            setattr(session, key, value)
+            setattr(session, name, value)
         if not session.name or session.role not in ROLES:
             raise ValueError("session: name or role")
         for key in ("served", "applied"):
--- a/packages/testing/ryelock/testing/hollow_node.py
+++ b/packages/testing/ryelock/testing/hollow_node.py
@@ -142,11 +142,11 @@
         role="edge",
         zone=zone,
         machine=name,
-        wire=host.address,
-        control=host.address,
-        order=host.address,
+        rpc_address=host.address,
+        control_address=host.address,
+        request_address=host.address,
         incarnation=f"{host.random.getrandbits(48):012x}",
-        mark=f"{host.random.getrandbits(64):016x}",
+        probe_secret=f"{host.random.getrandbits(64):016x}",
         probes=True,
     )
 
@@ -282,7 +282,7 @@
         now = self.scheduler.now()
         rows, self.rows = self.rows[:ROWS_MOST], self.rows[ROWS_MOST:]
         await self.lines.call(
-            holder.wire,
+            holder.rpc_address,
             {
                 "kind": "rows",
                 "epoch": duty.fencing_token,
--- a/tests/consensus/test_status.py
+++ b/tests/consensus/test_status.py
@@ -28,7 +28,7 @@
         """The replicas by name of their node, as operators read them."""
         status, answer = scenario.ask_now("GET", "/members")
         self.assertEqual(200, status)
-        names = {scenario.node(name).core.session.wire: name for name in scenario.cores}
+        names = {scenario.node(name).core.session.rpc_address: name for name in scenario.cores}
         found: Any = answer["replicas"]
         return {names[replica["address"]]: replica for replica in found}
 
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -260,7 +260,7 @@
             for number in range(4):
                 session = Session()
                 session.name, session.zone, session.role = f"{zone}{number}", zone, "edge"
-                session.order, session.ready = f"10.0.0.{len(found)}:80", True
+                session.request_address, session.ready = f"10.0.0.{len(found)}:80", True
                 found[session.name] = session
         return found
 
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -394,7 +394,7 @@
         scenario = standing(60)
         node = scenario.node(scenario.edges[0]).traffic
         assert node.handler is not None
-        mark = scenario.node(scenario.probers[0]).traffic.session.mark
+        mark = scenario.node(scenario.probers[0]).traffic.session.probe_secret
         name = scenario.probers[0].encode()
         self.assertTrue(node.handler.is_probe(name + b" " + mark.encode()))
         for said in (None, b"", b"x", name, name + b" ", name + b" 0123456789abcdef"):
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -320,7 +320,7 @@
                 ProbeTarget(
                     "zone0",
                     edge,
-                    fleet.scenario.node(edge).traffic.session.order,
+                    fleet.scenario.node(edge).traffic.session.request_address,
                     "lookups",
                     Watch("lookups", "/lookups/77777"),
                     False,
