--- a/packages/control_plane/ryelock/control_plane/membership_changes.py
+++ b/packages/control_plane/ryelock/control_plane/membership_changes.py
@@ -21,7 +21,13 @@
 
 def state_of(session: Session) -> MemberState:
     """Return what of a session other nodes act on; a change of it makes a new version."""
-    return session.incarnation, session.zone, session.order, session.wire, session.ready
+    return (
+        session.incarnation,
+        session.zone,
+        session.request_address,
+        session.rpc_address,
+        session.ready,
+    )
 
 
 class MembershipChanges:
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -238,8 +238,8 @@
             role="core",
             zone=self.settings.zone,
             machine=self.settings.machine,
-            wire=self.listener.address,
-            control=self.control_api.listener.address,
+            rpc_address=self.listener.address,
+            control_address=self.control_api.listener.address,
             incarnation=incarnation,
             disk=disk,
         )
@@ -252,8 +252,8 @@
             STARTED,
             role="core",
             zone=self.settings.zone,
-            wire=self.session.wire,
-            control=self.session.control,
+            wire=self.session.rpc_address,
+            control=self.session.control_address,
             disk=self.session.disk,
         )
         self.consensus.start()
@@ -324,7 +324,9 @@
     def other_control_nodes(self) -> list[str]:
         """Return the addresses of the other voters."""
         return [
-            address for address in self.consensus.voters.values() if address != self.session.wire
+            address
+            for address in self.consensus.voters.values()
+            if address != self.session.rpc_address
         ]
 
     def not_ready_reason(self) -> str:
--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -191,12 +191,12 @@
         self.keep = False
         self.sent_at = 0.0
         self.until, self.working_until = self.timeouts()
-        kept = peers.kept_connection(owner.order)
+        kept = peers.kept_connection(owner.request_address)
         if kept is not None:
             self.connection: Connection = kept[0]
             self.reader = kept[1]
         else:
-            self.connection = self.context.network.connect(owner.order)
+            self.connection = self.context.network.connect(owner.request_address)
             self.reader = Reader(self.context.scheduler, self.connection)
 
     def timeouts(self) -> tuple[float, float]:
@@ -232,7 +232,7 @@
         finally:
             self.peers.asked[self.owner.name] -= 1
             if self.keep:
-                self.peers.keep_connection(self.owner.order, self.connection, self.reader)
+                self.peers.keep_connection(self.owner.request_address, self.connection, self.reader)
             else:
                 self.connection.abort()
 
@@ -303,7 +303,7 @@
         """
         context, session = self.context, self.context.member.session
         purges, version = context.store.purged, context.plan.version
-        return f"{session.name} {session.mark} {purges} {version}".encode()
+        return f"{session.name} {session.probe_secret} {purges} {version}".encode()
 
     async def receive(self, until: float, waits_longer: bool = False) -> OwnerReply | None:
         """Return the owner's reply, or None where it gave no whole one to this request.
