--- a/packages/cache/ryelock/cache/store.py
+++ b/packages/cache/ryelock/cache/store.py
@@ -1,166 +1,192 @@
-"""Copies within bounded room, one fill a key, and purges that no fill outlives.
+"""Stored responses within bounded memory, one fill a key, and purges that no fill outlives.
 
-A fill remembers under which purges it began. A purge that matches spoils the fills under
-way: what they bring is not kept and answers nobody who came to wait for it, and later orders
-begin a fill of their own.
+A fill is one fetch on behalf of all that wait for a key. A purge that matches invalidates the fills
+under way: what they bring is not stored and answers nobody who came to wait for it, and later
+requests begin a fill of their own.
 """
 
 from cachetools import LRUCache
 
-from ryelock.cache.rules import StoredResponse, vary_key
+from ryelock.cache.stored_response import StoredResponse
+from ryelock.cache.storing import vary_key
 from ryelock.http import Fields, field
 from ryelock.replicated_state import Purge
 from ryelock.runtime import Queue
 
-Key = tuple[str, str, str]
+CacheKey = tuple[str, str, str]
+"""Route, host and target."""
+VARIANTS_MOST = 16
+"""Most variants of one key."""
 
 
 class Fill:
-    """A dispatch on behalf of all that wait for one key."""
+    """A fetch on behalf of all that wait for one key.
+
+    Attributes:
+        key: the key.
+        invalidated: whether a purge came since it began, so that what it brings is not stored.
+        waiting: one queue for each request that waits.
+    """
 
-    __slots__ = ("key", "spoiled", "waiting")
+    __slots__ = ("invalidated", "key", "waiting")
 
-    def __init__(self, key: Key) -> None:
+    def __init__(self, key: CacheKey) -> None:
         """Create a fill of one key that nobody waits for yet."""
         self.key = key
-        self.spoiled = False
+        self.invalidated = False
         self.waiting: list[Queue[StoredResponse | None]] = []
 
-    def end(self, copy: StoredResponse | None) -> None:
-        """Wake everyone who waits; None means that there is no copy to serve."""
-        for box in self.waiting:
-            box.put(copy)
+    def end(self, response: StoredResponse | None) -> None:
+        """Wake everyone who waits; None means that there is no response to serve."""
+        for result in self.waiting:
+            result.put(response)
         self.waiting = []
 
 
 class Variants:
-    """All copies of one key, by what the answers vary on."""
+    """All stored responses of one key, by what they vary on (RFC 9111, 4.1)."""
 
-    __slots__ = ("copies",)
+    __slots__ = ("responses",)
 
     def __init__(self) -> None:
-        """Create a set without copies."""
-        self.copies: list[StoredResponse] = []
+        """Create a set without responses."""
+        self.responses: list[StoredResponse] = []
 
     @property
     def size(self) -> int:
-        """Bytes that all copies count for."""
-        return sum(copy.size for copy in self.copies)
+        """Bytes that all responses count for."""
+        return sum(response.size for response in self.responses)
 
 
 def size_of(variants: Variants) -> int:
-    """Return the size of a set of copies, as the LRU cache asks for it."""
+    """Return the size of a set of variants, as the LRU cache asks for it."""
     return variants.size
 
 
-VARIANTS_MOST = 16
-
-
 class CacheStore:
-    """The cache of one edge: copies, fills under way, and the purges done so far."""
-
-    __slots__ = ("fills", "labels", "purged", "recent", "responses", "room")
-
-    def __init__(self, room: int, labels: bytes = b"") -> None:
-        """Create an empty cache.
+    """The cache of one edge.
+
+    Attributes:
+        max_bytes: most bytes of stored responses.
+        label_field: name of the response field that holds an object's labels, empty for none.
+        variants: stored responses by key, the least recently used first to go.
+        fills: fetches under way by key.
+        last_purge: number of the newest purge that was applied.
+        recent_purges: the purges that are still known, for fills that began before them.
+    """
+
+    __slots__ = ("fills", "label_field", "last_purge", "max_bytes", "recent_purges", "variants")
+
+    def __init__(self, max_bytes: int, label_field: bytes = b"") -> None:
+        """Create an empty cache; see the attributes."""
+        self.max_bytes = max_bytes
+        self.label_field = label_field.lower()
+        self.recent_purges: list[Purge] = []
+        self.variants: LRUCache[CacheKey, Variants] = LRUCache(
+            maxsize=max(1, max_bytes), getsizeof=size_of
+        )
+        self.fills: dict[CacheKey, Fill] = {}
+        self.last_purge = 0
 
-        Args:
-            room: most bytes of copies.
-            labels: name of the response field that holds an object's labels, empty for none.
-        """
-        self.room = room
-        self.labels = labels.lower()
-        self.recent: list[Purge] = []
-        self.responses: LRUCache[Key, Variants] = LRUCache(maxsize=max(1, room), getsizeof=size_of)
-        self.fills: dict[Key, Fill] = {}
-        self.purged = 0
-
-    def find(self, key: Key, request: Fields) -> StoredResponse | None:
-        """Return the copy that matches the request's fields, or None."""
-        variants = self.responses.get(key)
+    def find(self, key: CacheKey, request: Fields) -> StoredResponse | None:
+        """Return the stored response that matches the request's fields, or None."""
+        variants = self.variants.get(key)
         if variants is None:
             return None
-        for copy in variants.copies:
-            if vary_key(request, [name for name, _ in copy.vary]) == copy.vary:
-                return copy
+        for response in variants.responses:
+            if vary_key(request, [name for name, _ in response.vary]) == response.vary:
+                return response
         return None
 
-    def begin(self, key: Key) -> Fill:
+    def begin_fill(self, key: CacheKey) -> Fill:
         """Register a new fill of a key."""
         fill = Fill(key)
         self.fills[key] = fill
         return fill
 
-    def end(self, fill: Fill, copy: StoredResponse | None) -> None:
-        """Keep what a fill brought, unless a purge came in between, and wake who waits."""
+    def end_fill(self, fill: Fill, response: StoredResponse | None) -> None:
+        """Store what a fill brought, unless a purge came in between, and wake who waits."""
         if self.fills.get(fill.key) is fill:
             del self.fills[fill.key]
-        if fill.spoiled:
-            copy = None
-        if copy is not None:
-            self.keep(fill.key, copy)
-        fill.end(copy)
-
-    def keep(self, key: Key, copy: StoredResponse) -> None:
-        """Add a copy beside the other variants of its key, replacing an equal variant."""
-        before = self.responses.pop(key, None)
+        if fill.invalidated:
+            response = None
+        if response is not None:
+            self.add(fill.key, response)
+        fill.end(response)
+
+    def add(self, key: CacheKey, response: StoredResponse) -> None:
+        """Add a response beside the other variants of its key, replacing an equal variant."""
+        before = self.variants.pop(key, None)
         variants = Variants()
         if before is not None:
-            variants.copies = [other for other in before.copies if other.vary != copy.vary][
-                -VARIANTS_MOST + 1 :
-            ]
-        variants.copies.append(copy)
-        if variants.size <= self.room:
-            self.responses[key] = variants
-
-    def drop(self, key: Key) -> None:
-        """Remove all copies of a key."""
-        self.responses.pop(key, None)
-
-    def take_purges(self, purges: list[Purge], newest: int) -> int:
-        """Do all purges that were not done yet, in one pass; says how many copies went."""
-        fresh = [purge for purge in purges if purge.number > self.purged]
-        if newest <= self.purged:
+            others = [other for other in before.responses if other.vary != response.vary]
+            variants.responses = others[-VARIANTS_MOST + 1 :]
+        variants.responses.append(response)
+        if variants.size <= self.max_bytes:
+            self.variants[key] = variants
+
+    def remove(self, key: CacheKey) -> None:
+        """Remove all stored responses of a key."""
+        self.variants.pop(key, None)
+
+    def apply_purges(self, purges: list[Purge], newest: int) -> int:
+        """Apply all purges that were not applied yet, in one pass.
+
+        Args:
+            purges: the purges that are still known, in the order of their numbers.
+            newest: number of the newest purge. Where a purge up to it is known no more, all is
+                removed: nobody can say what it named.
+
+        Returns:
+            How many keys were removed.
+        """
+        if newest <= self.last_purge:
             return 0
-        missed = newest - self.purged > len(fresh)
-        self.purged = newest
-        self.recent = purges
-        gone = 0
-        for key, variants in list(self.responses.items()):
-            if missed or any(
-                matches(purge, key) or self.bears(purge, variants.copies) for purge in fresh
-            ):
-                del self.responses[key]
-                gone += 1
+        fresh = [purge for purge in purges if purge.number > self.last_purge]
+        missed = newest - self.last_purge > len(fresh)
+        self.last_purge = newest
+        self.recent_purges = purges
+        purged = [
+            key
+            for key, variants in self.variants.items()
+            if missed or self.any_names(fresh, key, variants.responses)
+        ]
+        for key in purged:
+            del self.variants[key]
         for key, fill in list(self.fills.items()):
-            if missed or any(matches(purge, key) for purge in fresh):
-                fill.spoiled = True
+            if missed or any(names_key(purge, key) for purge in fresh):
+                fill.invalidated = True
                 del self.fills[key]
                 fill.end(None)
-        return gone
+        return len(purged)
 
-    def bears(self, purge: Purge, copies: list[StoredResponse]) -> bool:
-        """Whether one of the copies bears the label of a purge."""
+    def any_names(
+        self, purges: list[Purge], key: CacheKey, responses: list[StoredResponse]
+    ) -> bool:
+        """Whether one of the purges names a key, or a label of one of its responses."""
+        return any(names_key(purge, key) or self.has_label(purge, responses) for purge in purges)
+
+    def has_label(self, purge: Purge, responses: list[StoredResponse]) -> bool:
+        """Whether one of the responses has the label of a purge."""
         return (
             purge.kind == "label"
-            and self.labels != b""
+            and self.label_field != b""
             and any(
-                purge.text.encode() in (field(copy.fields, self.labels) or b"").split()
-                for copy in copies
+                purge.text.encode() in (field(response.fields, self.label_field) or b"").split()
+                for response in responses
             )
         )
 
-    def purged_since(self, before: int, key: Key, copy: StoredResponse) -> bool:
-        """Whether a purge later than a number names what a fill begun at that number brought."""
-        if self.purged == before:
+    def is_purged_since(self, before: int, key: CacheKey, response: StoredResponse) -> bool:
+        """Whether a purge later than number `before` names what a fill brought."""
+        if self.last_purge == before:
             return False
-        fresh = [purge for purge in self.recent if purge.number > before]
-        return self.purged - before > len(fresh) or any(
-            matches(purge, key) or self.bears(purge, [copy]) for purge in fresh
-        )
+        fresh = [purge for purge in self.recent_purges if purge.number > before]
+        missed = self.last_purge - before > len(fresh)
+        return missed or self.any_names(fresh, key, [response])
 
 
-def matches(purge: Purge, key: Key) -> bool:
+def names_key(purge: Purge, key: CacheKey) -> bool:
     """Tell whether a purge names a key by route, prefix or path; labels are matched elsewhere."""
     route, host, target = key
     if purge.kind == "label":
--- a/packages/edge/ryelock/edge/cache_fill.py
+++ b/packages/edge/ryelock/edge/cache_fill.py
@@ -1,12 +1,12 @@
 """Fills the cache: what of a server's or a peer's response is stored, and who is woken by it.
 
-A purge that comes while a fetch is under way spoils it: what the fetch brings answers its own
+A purge that comes while a fetch is under way invalidates it: what the fetch brings answers its own
 request and is not stored.
 """
 
 from dataclasses import dataclass
 
-from ryelock.cache import Fill, StoredResponse, copy_of, freshen
+from ryelock.cache import Fill, StoredResponse, freshen, storable_response
 from ryelock.edge.cache_lookup import CacheLookup
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.request import CacheStatus, Request
@@ -54,10 +54,10 @@
         Whoever serves the request ends `request.fill`, so that nobody waits for ever.
         """
         store, key = self.context.store, request.cache_key
-        fill = store.begin(key) if shareable and key not in store.fills else Fill(key)
+        fill = store.begin_fill(key) if shareable and key not in store.fills else Fill(key)
         request.fill = fill
         stale = stored if stored is not None and stored.etag is not None else None
-        return FillInProgress(fill, stale, store.purged)
+        return FillInProgress(fill, stale, store.last_purge)
 
     def store_from_owner(self, progress: FillInProgress, response: StoredResponse) -> None:
         """Store what the owner of the object gave."""
@@ -84,7 +84,7 @@
             if upstream.complete and request.cache_status is CacheStatus.MISS:
                 request.cache_status = CacheStatus.NOT_STORED
             if not request.is_probe:
-                self.context.store.drop(progress.fill.key)
+                self.context.store.remove(progress.fill.key)
             self.finish(progress, None)
             return None
         bypasses = request.is_probe and not self.lookup.may_reuse(response, route, exchange)
@@ -108,14 +108,16 @@
         if not upstream.complete or not self.validator.is_sealed(head):
             return None
         fields = end_to_end(head.fields)
-        return copy_of(exchange.head, route, head, fields, upstream.prefix, upstream.sent_at, now)
+        return storable_response(
+            exchange.head, route, head, fields, upstream.prefix, upstream.sent_at, now
+        )
 
     def may_store(self, progress: FillInProgress, response: StoredResponse) -> bool:
         """Whether no purge since the fetch began names the response."""
         fill = progress.fill
-        purged = self.context.store.purged_since(progress.purged_before, fill.key, response)
-        return not fill.spoiled and not purged
+        purged = self.context.store.is_purged_since(progress.purged_before, fill.key, response)
+        return not fill.invalidated and not purged
 
     def finish(self, progress: FillInProgress, response: StoredResponse | None) -> None:
         """Store a response, if there is one, and wake those who wait for it."""
-        self.context.store.end(progress.fill, response)
+        self.context.store.end_fill(progress.fill, response)
--- a/packages/edge/ryelock/edge/cache_lookup.py
+++ b/packages/edge/ryelock/edge/cache_lookup.py
@@ -1,6 +1,6 @@
 """Finds what the cache has for a request: a stored response, or a fetch of one under way."""
 
-from ryelock.cache import Fill, StoredResponse, may_use
+from ryelock.cache import Fill, StoredResponse, may_reuse
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.request import Request
 from ryelock.edge.routing import Router
@@ -21,7 +21,7 @@
 
     def is_behind_peer(self, request: Request) -> bool:
         """Whether the edge that asks knows of purges that this one has not applied yet."""
-        return request.peer is not None and request.peer.purges > self.context.store.purged
+        return request.peer is not None and request.peer.purges > self.context.store.last_purge
 
     def find(self, exchange: HttpExchange, request: Request) -> StoredResponse | None:
         """Return the stored response for a request, fresh or stale.
@@ -34,7 +34,7 @@
 
     def may_reuse(self, stored: StoredResponse, route: Route, exchange: HttpExchange) -> bool:
         """Whether a stored response may answer without asking the server (RFC 9111, 4)."""
-        return may_use(stored, route, exchange.head.fields, self.context.scheduler.now())
+        return may_reuse(stored, route, exchange.head.fields, self.context.scheduler.now())
 
     def is_only_if_cached(self, exchange: HttpExchange) -> bool:
         """Whether the caller wants a stored response or none (RFC 9111, 5.2.1.7)."""
--- a/packages/edge/ryelock/edge/handler.py
+++ b/packages/edge/ryelock/edge/handler.py
@@ -284,7 +284,7 @@
         if request.held_key is not None:
             self.context.idempotency_keys.end(request.service, request.held_key)
         if request.fill is not None:
-            self.context.store.end(request.fill, None)
+            self.context.store.end_fill(request.fill, None)
 
     def record(self, exchange: HttpExchange, request: Request) -> None:
         """Note how a request ended: for the metrics, for explain, and to know its retry."""
--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -22,7 +22,7 @@
 
 from expression import Result
 
-from ryelock.cache import CONDITIONAL_FIELDS, StoredResponse, copy_of, freshen
+from ryelock.cache import CONDITIONAL_FIELDS, StoredResponse, freshen, storable_response
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.peer_protocol import (
     AGE_FIELD,
@@ -302,7 +302,7 @@
         An owner that knows of fewer purges uses nothing that it has stored.
         """
         context, session = self.context, self.context.member.session
-        purges, version = context.store.purged, context.plan.version
+        purges, version = context.store.last_purge, context.plan.version
         return f"{session.name} {session.mark} {purges} {version}".encode()
 
     async def receive(self, until: float, waits_longer: bool = False) -> OwnerReply | None:
@@ -377,11 +377,11 @@
         if head.status == 304 and self.stale is not None:
             stored: StoredResponse | None = freshen(self.stale, head, self.sent_at, now)
         else:
-            stored = copy_of(
+            stored = storable_response(
                 self.exchange.head, self.route, head, head.fields, body, self.sent_at, now
             )
         if stored is not None:
-            stored.age_then = age + (now - self.sent_at)
+            stored.initial_age = age + (now - self.sent_at)
         return stored
 
 
--- a/packages/edge/ryelock/edge/preview.py
+++ b/packages/edge/ryelock/edge/preview.py
@@ -1,6 +1,6 @@
 """Tells an operator what would become of a request, without sending it."""
 
-from ryelock.cache import may_use
+from ryelock.cache import may_reuse
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.plan import path_of
 from ryelock.edge.request import Request
@@ -29,7 +29,7 @@
         if route is None:
             return {**found, "status": 404, "reason": "no route"}
         stored = context.store.find((request.route_name, host, target), [])
-        is_hit = stored is not None and may_use(stored, route, [], now)
+        is_hit = stored is not None and may_reuse(stored, route, [], now)
         candidates: list[dict[str, object]] = []
         address = self.pick_address(request, candidates)
         return {
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -209,11 +209,11 @@
                 or (now.service, now.split, now.cached)
                 != (route.service, route.split, route.cached)
             }
-            for key in [key for key in handler.context.store.responses if key[0] in moved]:
-                handler.context.store.drop(key)
+            for key in [key for key in handler.context.store.variants if key[0] in moved]:
+                handler.context.store.remove(key)
             for key, fill in list(handler.context.store.fills.items()):
                 if key[0] in moved:
-                    fill.spoiled = True
+                    fill.invalidated = True
             self.limit(configuration.limits.get("callers"))
             queues = handler.context.admission_queues
             for name, service in configuration.services.items():
@@ -223,7 +223,7 @@
                 gate.resize(service, self.member.edges)
             for name in [name for name in queues if name not in configuration.services]:
                 queues.pop(name).running.cancel()
-        handler.context.store.take_purges(
+        handler.context.store.apply_purges(
             self.replicated_state.purges, self.replicated_state.purge_number
         )
 
--- a/packages/edge/ryelock/edge/request.py
+++ b/packages/edge/ryelock/edge/request.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from ryelock.cache import Fill
+from ryelock.cache import CacheKey, Fill
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.replicated_state import Route
 
@@ -195,7 +195,7 @@
             self.attempts.append(OwnerAttempt(servers))
 
     @property
-    def cache_key(self) -> tuple[str, str, str]:
+    def cache_key(self) -> CacheKey:
         """Key of the object in the cache: route, host and target."""
         return self.route_name, self.host, self.target
 
--- a/packages/testing/ryelock/testing/pieces.py
+++ b/packages/testing/ryelock/testing/pieces.py
@@ -194,11 +194,11 @@
     """One purge of one path at an edge that holds so many copies, none of which it meets."""
     store = CacheStore(1)
     for number in range(copies):
-        store.responses["route-0", "", f"/route-0/{number}"] = Variants()
+        store.variants["route-0", "", f"/route-0/{number}"] = Variants()
 
     def purge() -> None:
-        number = store.purged + 1
-        store.take_purges([Purge(number, "path", "", "/elsewhere")], number)
+        number = store.last_purge + 1
+        store.apply_purges([Purge(number, "path", "", "/elsewhere")], number)
 
     return {f"edge: ms of a purge at {copies} copies": 1e3 * seconds_of(purge)}
 
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -146,8 +146,8 @@
         assert way is not None
         target = owned_by(scenario, scenario.edges[0], scenario.edges[1])
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
-        way.context.store.responses.clear()
-        way.context.store.purged += 1
+        way.context.store.variants.clear()
+        way.context.store.last_purge += 1
         before = self.arrivals(scenario, target)
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
         return self.arrivals(scenario, target) == before
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from ryelock.cache import StoredResponse, answer_from, copy_of, may_use
+from ryelock.cache import StoredResponse, answer_from, may_reuse, storable_response
 from ryelock.http import (
     FramingError,
     HttpExchange,
@@ -218,7 +218,9 @@
     *fields: tuple[bytes, bytes], asked: RequestHead | None = None, status: int = 200
 ) -> StoredResponse | None:
     head = ResponseHead(status, b"OK", 1, list(fields))
-    return copy_of(asked or request(), CACHED, head, list(fields), b"0123456789", 100.0, 100.5)
+    return storable_response(
+        asked or request(), CACHED, head, list(fields), b"0123456789", 100.0, 100.5
+    )
 
 
 class CacheTests(testtools.TestCase):
@@ -258,8 +260,8 @@
         ):
             copy = kept(*fields)
             assert copy is not None
-            self.assertTrue(may_use(copy, CACHED, [], 100.0 + lasts - 0.1), repr(fields))
-            self.assertFalse(may_use(copy, CACHED, [], 100.0 + lasts + 0.1), repr(fields))
+            self.assertTrue(may_reuse(copy, CACHED, [], 100.0 + lasts - 0.1), repr(fields))
+            self.assertFalse(may_reuse(copy, CACHED, [], 100.0 + lasts + 0.1), repr(fields))
 
     def test_what_an_order_asks_is_kept_to(self) -> None:
         copy = kept((b"ETag", b'"1"'))
@@ -272,8 +274,8 @@
             (b"max-stale=50", True),
         ):
             fields = [(b"Cache-Control", asked)]
-            self.assertEqual(usable, may_use(copy, CACHED, fields, 101.0), repr(asked))
-        self.assertFalse(may_use(copy, CACHED, [(b"Cache-Control", b"max-stale=50")], 120.0))
+            self.assertEqual(usable, may_reuse(copy, CACHED, fields, 101.0), repr(asked))
+        self.assertFalse(may_reuse(copy, CACHED, [(b"Cache-Control", b"max-stale=50")], 120.0))
 
     def test_ranges_and_conditions(self) -> None:
         copy = kept((b"ETag", b'"1"'), (b"Date", b"Tue, 01 Dec 2026 00:00:00 GMT"))
--- a/tests/platform/test_platform_takeouts.py
+++ b/tests/platform/test_platform_takeouts.py
@@ -136,7 +136,7 @@
         "find_error",
         any_503,
     ),
-    "purges": (purged, CacheStore, "take_purges", lambda _self, _purges, _number: None),
+    "purges": (purged, CacheStore, "apply_purges", lambda _self, _purges, _number: None),
     "budgets": (failing, RetryBudget, "repeat", lambda _self: True),
     "rates": (limited, TokenBucket, "allow", lambda _self, _now: True),
 }
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -87,20 +87,20 @@
 
 
 def no_purges() -> list[Patch]:
-    return [mock.patch.object(CacheStore, "take_purges", always(0))]
+    return [mock.patch.object(CacheStore, "apply_purges", always(0))]
 
 
 def fills_outlive_purges() -> list[Patch]:
-    def take_purges(store: CacheStore, purges: Any, newest: int) -> int:
-        if newest > store.purged:
-            store.responses.clear()
+    def apply_purges(store: CacheStore, purges: Any, newest: int) -> int:
+        if newest > store.last_purge:
+            store.variants.clear()
         return 0
 
-    return [mock.patch.object(CacheStore, "take_purges", take_purges)]
+    return [mock.patch.object(CacheStore, "apply_purges", apply_purges)]
 
 
 def no_lifetime() -> list[Patch]:
-    return [mock.patch("ryelock.edge.cache_lookup.may_use", always(True))]
+    return [mock.patch("ryelock.edge.cache_lookup.may_reuse", always(True))]
 
 
 def no_sync() -> list[Patch]:
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -344,7 +344,7 @@
         target = fleet.replicated_state.derived["covers"].object
         fleet.scenario.world.run(8)
         self.assertNotEqual("stale", fleet.word("zone0"))
-        with mock.patch("ryelock.edge.cache_lookup.may_use", never_ends):
+        with mock.patch("ryelock.edge.cache_lookup.may_reuse", never_ends):
             fleet.scenario.objects["pages"].change(target, fleet.scenario.world.time)
             self.assertTrue(fleet.until(lambda: fleet.word("zone0") == "stale", 30))
 
