--- a/packages/cache/ryelock/cache/store.py
+++ b/packages/cache/ryelock/cache/store.py
@@ -10,7 +10,7 @@
 from ryelock.cache.stored_response import StoredResponse
 from ryelock.cache.storing import vary_key
 from ryelock.http import Fields, field
-from ryelock.replicated_state import Purge
+from ryelock.replicated_state import Purge, PurgeKind
 from ryelock.runtime import Queue
 
 CacheKey = tuple[str, str, str]
@@ -129,6 +129,14 @@
         """Remove all stored responses of a key."""
         self.variants.pop(key, None)
 
+    def invalidate_routes(self, routes: set[str]) -> None:
+        """Remove what is stored of routes; fills under way answer who waits and are not stored."""
+        for key in [key for key in self.variants if key[0] in routes]:
+            self.remove(key)
+        for key, fill in self.fills.items():
+            if key[0] in routes:
+                fill.invalidated = True
+
     def apply_purges(self, purges: list[Purge], newest: int) -> int:
         """Apply all purges that were not applied yet, in one pass.
 
@@ -169,7 +177,7 @@
     def has_label(self, purge: Purge, responses: list[StoredResponse]) -> bool:
         """Whether one of the responses has the label of a purge."""
         return (
-            purge.kind == "label"
+            purge.kind is PurgeKind.LABEL
             and self.label_field != b""
             and any(
                 purge.text.encode() in (field(response.fields, self.label_field) or b"").split()
@@ -189,12 +197,12 @@
 def names_key(purge: Purge, key: CacheKey) -> bool:
     """Tell whether a purge names a key by route, prefix or path; labels are matched elsewhere."""
     route, host, target = key
-    if purge.kind == "label":
+    if purge.kind is PurgeKind.LABEL:
         return False
-    if purge.kind == "route":
+    if purge.kind is PurgeKind.ROUTE:
         return purge.text == route
     if purge.host and purge.host != host:
         return False
-    if purge.kind == "prefix":
+    if purge.kind is PurgeKind.PREFIX:
         return target.startswith(purge.text)
     return target == purge.text or target.partition("?")[0] == purge.text
--- a/packages/control_plane/ryelock/control_plane/leading.py
+++ b/packages/control_plane/ryelock/control_plane/leading.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ryelock.consensus import Consensus
-from ryelock.control_plane.renewals import LeaseRenewals
+from ryelock.control_plane.lease_renewal import LeaseRenewals
 from ryelock.events import (
     CHANGE_ACCEPTED,
     CHANGE_REJECTED,
@@ -19,10 +19,10 @@
 from ryelock.membership import Membership
 from ryelock.replicated_state import (
     ReplicatedState,
+    derived_targets,
     encode_command,
     merge_change,
-    places_of,
-    plan_of,
+    plan_change,
 )
 from ryelock.rpc import Message
 from ryelock.runtime import Scheduler
@@ -79,7 +79,7 @@
             return {
                 "version": self.replicated_state.version,
                 "index": self.replicated_state.index,
-                "configuration": self.replicated_state.configuration.plain(),
+                "configuration": self.replicated_state.configuration.to_wire(),
             }
         if what == "plan":
             return self.plan(given)
@@ -105,8 +105,8 @@
             return {"status": "conflict", "version": version}
         found = merge_change(self.replicated_state.configuration, change)
         if found.is_error():
-            return {"status": "invalid", "faults": found.error, "version": version}
-        return {"base": version, "plan": plan_of(self.replicated_state.configuration, found.ok)}
+            return {"status": "invalid", "faults": found.error.to_wire(), "version": version}
+        return {"base": version, "plan": plan_change(self.replicated_state.configuration, found.ok)}
 
     async def take(self, kind: str, given: object, fields: Message) -> Message:
         """A word with an id, agreed on and carried to every edge."""
@@ -130,7 +130,7 @@
         if result.get("status") != "accepted":
             self.log.write(CHANGE_REJECTED, id=identity, status=str(result.get("status")))
             return {**result, "id": identity}
-        await self.renewals.settle(int(str(result["index"])))
+        await self.renewals.leases.wait_until_in_force(int(str(result["index"])))
         self.log.write(
             PURGE_ACCEPTED if kind == "purge" else CHANGE_ACCEPTED,
             id=identity,
@@ -277,9 +277,9 @@
     def shown_members(self) -> dict[str, object]:
         found: dict[str, object] = {}
         for name, session in sorted(self.membership.members().items()):
-            found[name] = session.plain()
+            found[name] = session.to_wire()
         for name, session in sorted(self.membership.lost().items()):
-            found[name] = {**session.plain(), "gone": True, "ready": False}
+            found[name] = {**session.to_wire(), "gone": True, "ready": False}
         return found
 
     def record(self) -> Message:
@@ -290,8 +290,8 @@
             "version": replicated_state.version,
             "verdict": replicated_state.verdict,
             "drains": replicated_state.drains,
-            "derived": places_of(replicated_state.derived),
-            "duties": {name: duty.plain() for name, duty in replicated_state.singletons.items()},
+            "derived": derived_targets(replicated_state.derived),
+            "duties": replicated_state.singletons_to_wire(),
             "decisions": replicated_state.decisions[-100:],
             "members": self.shown_members(),
             "voters": self.consensus.voters,
--- a/packages/edge/ryelock/edge/served_objects.py
+++ b/packages/edge/ryelock/edge/served_objects.py
@@ -3,7 +3,7 @@
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.request import Request
 from ryelock.http import HttpExchange, field
-from ryelock.replicated_state import DERIVED_MOST
+from ryelock.replicated_state import MAX_DERIVED_WATCHES
 
 TARGET_LENGTH_MOST = 300
 
@@ -41,4 +41,6 @@
         """Return route, host and target of each object; what needs no watch is forgotten."""
         derivable = self.context.member.replicated_state.derivable
         self.latest = {route: found for route, found in self.latest.items() if route in derivable}
-        return [[route, *found] for route, found in sorted(self.latest.items())[:DERIVED_MOST]]
+        return [
+            [route, *found] for route, found in sorted(self.latest.items())[:MAX_DERIVED_WATCHES]
+        ]
--- a/packages/rpc/ryelock/rpc/codec.py
+++ b/packages/rpc/ryelock/rpc/codec.py
@@ -35,6 +35,17 @@
     __slots__ = ()
 
 
+@dataclasses.dataclass(frozen=True, slots=True)
+class AsIs:
+    """In a field's `Annotated` type: the value is passed on untouched.
+
+    Only its own type is checked, not what it holds. For large parts of hot messages, which their
+    users read, and for what the sender's process alone understands.
+    """
+
+    kind: type
+
+
 def exactly(kind: type[Shape]) -> Callable[[object, object], Shape]:
     """Return a check for values of exactly this type: bool is no int, int is no float."""
 
@@ -60,6 +71,11 @@
     return Natural(value)
 
 
+def identity(value: object) -> object:
+    """Return a value as it is."""
+    return value
+
+
 def overrides_of(message: type) -> dict[str, Any]:
     """Return how cattrs treats the fields whose annotation names another form on the wire."""
     found: dict[str, Any] = {}
@@ -67,7 +83,15 @@
         metadata = getattr(annotation, "__metadata__", ())
         renamed = next((item.name for item in metadata if isinstance(item, WireName)), None)
         omitted = any(isinstance(item, OmitDefault) for item in metadata)
-        if renamed is not None or omitted:
+        as_is = next((item for item in metadata if isinstance(item, AsIs)), None)
+        if as_is is not None:
+            found[name] = override(
+                rename=renamed,
+                omit_if_default=omitted,
+                struct_hook=exactly(as_is.kind),
+                unstruct_hook=identity,
+            )
+        elif renamed is not None or omitted:
             found[name] = override(rename=renamed, omit_if_default=omitted)
     return found
 
--- a/packages/testing/ryelock/testing/catchup_measure.py
+++ b/packages/testing/ryelock/testing/scale/catch_up.py
@@ -17,13 +17,14 @@
 
 from ryelock.consensus import Consensus, ConsensusSettings, Entry
 from ryelock.consensus.compaction import Compaction
-from ryelock.consensus.entries import COMMAND
-from ryelock.consensus.types import Peer
-from ryelock.control_plane.renewals import LeaseRenewals
+from ryelock.consensus.entries import EntryKind
+from ryelock.consensus.followers import Follower
+from ryelock.consensus.state import Role
+from ryelock.control_plane.configuration_updates import ConfigurationUpdates
 from ryelock.events import RecordingLog
 from ryelock.journal import Journal, MachineFolder, open_journal
 from ryelock.replicated_state import ReplicatedState, encode_command
-from ryelock.rpc import RpcClients, encode_frame
+from ryelock.rpc import Message, RpcClients, encode_frame
 from ryelock.runtime import Network, Scheduler
 from ryelock.runtime.reactor import Reactor
 
@@ -82,41 +83,45 @@
 def make_leader(folder: str, reactor: Reactor, changes: int, routes: int) -> Consensus:
     """A leader that has applied so many changes and no image of them."""
     leader = make_consensus("leader", folder, reactor)
-    leader.compaction = NoCompaction(0, 0)
+    leader.applier.compaction = NoCompaction(0, 0)
     leader.replicated_log.save_vote(1, "leader")
     for first in range(0, changes, BATCH):
         numbers = range(first, min(first + BATCH, changes))
-        words = [Entry(number + 1, 1, COMMAND, whole_change(number, routes)) for number in numbers]
+        words = [
+            Entry(number + 1, 1, EntryKind.COMMAND, whole_change(number, routes))
+            for number in numbers
+        ]
         leader.replicated_log.append(words)
-    leader.commit_index = changes
+    leader.state.commit_index = changes
     apply_all(leader)
     replicated_state = leader.state_machine
     if not isinstance(replicated_state, ReplicatedState) or replicated_state.version != changes:
         raise ValueError("not all changes were taken")
-    leader.role = "leader"
+    leader.state.role = Role.LEADER
     return leader
 
 
 def apply_all(consensus: Consensus) -> None:
     """Apply everything that is committed."""
     while consensus.applied_index < consensus.commit_index:
-        consensus.apply_committed()
+        consensus.applier.apply_committed()
 
 
 def catch_up(leader: Consensus, follower: Consensus) -> tuple[int, int]:
     """Messages and bytes until an empty follower has applied all that the leader has."""
-    peer = Peer("follower", "follower:1", 1, leader.scheduler)
+    follower_state = Follower("follower", "follower:1", 1, leader.scheduler)
     messages = size = 0
     while follower.applied_index < leader.commit_index:
         if messages > ROUNDS_MOST:
             raise ValueError("the follower does not catch up")
-        sent = encode_frame(leader.next_message(peer))
+        sent = encode_frame(leader.replicator.next_message(follower_state))
         message = cbor2.loads(sent[4:])
-        handler = (
-            follower.on_snapshot if message["kind"] == "council.image" else follower.on_heartbeat
+        replies: list[Message] = []
+        follower.handle(message, replies.append)
+        answer = encode_frame(replies[0])
+        leader.replicator.on_reply(
+            follower_state, leader.term, leader.scheduler.now(), Ok(cbor2.loads(answer[4:]))
         )
-        answer = encode_frame(handler(message))
-        leader.heard_peer(peer, leader.term, leader.scheduler.now(), Ok(cbor2.loads(answer[4:])))
         apply_all(follower)
         messages += 1
         size += len(sent) + len(answer)
@@ -147,13 +152,10 @@
 
 def edge_figures(leader: Consensus) -> Figures:
     """What an edge at the first change is sent, and how long it takes to apply that."""
-    renewals = object.__new__(LeaseRenewals)
-    renewals.consensus = leader
     assert isinstance(leader.state_machine, ReplicatedState)
-    renewals.replicated_state = leader.state_machine
-    renewals.last_edge_snapshot, renewals.last_edge_snapshot_index = b"", 0
+    updates = ConfigurationUpdates(leader, leader.state_machine)
     words = leader.commands_since(1) or []
-    answer = renewals.words({"register": 1})
+    answer = updates.update_since(1).to_wire()
     edge = ReplicatedState()
     started = time.process_time()
     snapshot = answer.get("image")
@@ -178,9 +180,12 @@
     reactor = Reactor(fault)
     with tempfile.TemporaryDirectory(prefix="ryelock-") as folder:
         leader = make_leader(folder, reactor, changes, routes)
-        figures = {"KB of journal": leader.journal.replay_bytes / 1e3, **edge_figures(leader)}
+        figures = {
+            "KB of journal": leader.replicated_log.journal.replay_bytes / 1e3,
+            **edge_figures(leader),
+        }
         figures.update(follower_figures(leader, reactor, "entries"))
-        leader.write_snapshot()
-        figures["KB of image"] = leader.journal.snapshot_bytes / 1e3
+        leader.applier.write_snapshot()
+        figures["KB of image"] = leader.replicated_log.journal.snapshot_bytes / 1e3
         figures.update(follower_figures(leader, reactor, "image"))
     return figures
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -26,8 +26,8 @@
 from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Connection
 from ryelock.settings import read_settings
-from ryelock.testing.simulated import SimNode, World
-from ryelock.testing.standins import PlatformStandIn
+from ryelock.testing.simulated.world import SimNode, World
+from ryelock.testing.stand_ins.servers import PlatformStandIn
 
 DIALECT = ProtocolProfile(
     b"X-Request-Name", b"X-Milliseconds-Left", b"X-Seal", b"X-Server-Life", b"X-Not-Run", b"X-Tags"
@@ -454,7 +454,7 @@
         for number in range(len(self.edges)):
             handler = self.handler(number)
             for state in handler.context.servers.by_service.get(SERVICE, []):
-                handler.context.servers.end_connections(state)
+                state.close_idle()
                 state.failures, state.full_until, state.aside_for = 0, 0.0, 0.0
                 state.aside_until, state.trying, state.latency = 0.0, False, 0.0
             budget = handler.context.admission_queues[SERVICE].budget
