--- a/packages/edge/ryelock/edge/configuration_rollout.py
+++ b/packages/edge/ryelock/edge/configuration_rollout.py
@@ -49,16 +49,11 @@
             self.invalidate_cache(changed_routes(previous, configuration))
             self.limit_callers(configuration.limits.get("callers"))
             self.resize_admission_queues(configuration)
-        self.context.store.take_purges(state.purges, state.purge_number)
+        self.context.store.apply_purges(state.purges, state.purge_number)
 
     def invalidate_cache(self, routes: set[str]) -> None:
-        """Drop the responses of routes, and keep none of the fills that are under way."""
-        store = self.context.store
-        for key in [key for key in store.responses if key[0] in routes]:
-            store.drop(key)
-        for key, fill in list(store.fills.items()):
-            if key[0] in routes:
-                fill.spoiled = True
+        """Remove the stored responses of routes, and store none of the fills under way."""
+        self.context.store.invalidate_routes(routes)
 
     def limit_callers(self, configured: CallerLimits | None) -> None:
         """Set what callers may send, by the configuration or else by the settings."""
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -348,7 +348,7 @@
         target = fleet.replicated_state.derived["covers"].object
         fleet.scenario.world.run(8)
         self.assertNotEqual("stale", fleet.zone_verdict("zone0"))
-        with mock.patch("ryelock.edge.cache_lookup.may_use", never_ends):
+        with mock.patch("ryelock.edge.cache_lookup.may_reuse", never_ends):
             fleet.scenario.objects["pages"].change(target, fleet.scenario.world.time)
             self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "stale", 30))
 
