--- a/packages/edge/ryelock/edge/configuration_rollout.py
+++ b/packages/edge/ryelock/edge/configuration_rollout.py
@@ -1,7 +1,7 @@
 """Making an edge's request path follow the replicated configuration."""
 
-from ryelock.edge.gate import AdmissionQueue
-from ryelock.edge.handler import RequestHandler
+from ryelock.edge.admission_queue import AdmissionQueue
+from ryelock.edge.context import EdgeContext
 from ryelock.edge.member import EdgeSession
 from ryelock.edge.plan import Plan
 from ryelock.http import Limits
@@ -13,14 +13,14 @@
 class ConfigurationRollout:
     """Replaces the plan, the cache's content, the limits and the admission queues of an edge."""
 
-    __slots__ = ("handler", "limits", "member", "replicated_state", "scheduler", "settings")
+    __slots__ = ("context", "limits", "member", "replicated_state", "scheduler", "settings")
 
     def __init__(
         self,
         scheduler: Scheduler,
         settings: Settings,
         member: EdgeSession,
-        handler: RequestHandler,
+        context: EdgeContext,
         limits: Limits,
     ) -> None:
         """Create the rollout.
@@ -29,31 +29,31 @@
             scheduler: for the admission queues' tasks.
             settings: limits of callers where the configuration names none.
             member: holds the replicated state and the number of edges.
-            handler: the request path that follows.
+            context: what the request path shares, which follows.
             limits: limits of the request server that follow.
         """
         self.scheduler = scheduler
         self.settings = settings
         self.member = member
         self.replicated_state = member.replicated_state
-        self.handler = handler
+        self.context = context
         self.limits = limits
 
     def apply(self) -> None:
         """Follow the replicated state at its present index."""
         state = self.replicated_state
-        if self.handler.plan.version != state.version:
+        if self.context.plan.version != state.version:
             configuration = state.configuration
-            previous = self.handler.plan
-            self.handler.plan = Plan(state.version, configuration)
+            previous = self.context.plan
+            self.context.plan = Plan(state.version, configuration)
             self.invalidate_cache(changed_routes(previous, configuration))
             self.limit_callers(configuration.limits.get("callers"))
-            self.resize_gates(configuration)
-        self.handler.store.take_purges(state.purges, state.purge_number)
+            self.resize_admission_queues(configuration)
+        self.context.store.take_purges(state.purges, state.purge_number)
 
     def invalidate_cache(self, routes: set[str]) -> None:
         """Drop the responses of routes, and keep none of the fills that are under way."""
-        store = self.handler.store
+        store = self.context.store
         for key in [key for key in store.responses if key[0] in routes]:
             store.drop(key)
         for key, fill in list(store.fills.items()):
@@ -68,16 +68,16 @@
         limits.body_bytes = configured.body_bytes or settings.body_bytes
         limits.idle_seconds = configured.idle_seconds or settings.idle_seconds
 
-    def resize_gates(self, configuration: Configuration) -> None:
+    def resize_admission_queues(self, configuration: Configuration) -> None:
         """Create, resize and end admission queues, one a service."""
-        gates = self.handler.gates
+        queues = self.context.admission_queues
         for name, service in configuration.services.items():
-            gate = gates.get(name)
-            if gate is None:
-                gate = gates[name] = AdmissionQueue(self.scheduler, name, service)
-            gate.resize(service, self.member.edges)
-        for name in [name for name in gates if name not in configuration.services]:
-            gates.pop(name).running.cancel()
+            queue = queues.get(name)
+            if queue is None:
+                queue = queues[name] = AdmissionQueue(self.scheduler, name, service)
+            queue.resize(service, self.member.edges)
+        for name in [name for name in queues if name not in configuration.services]:
+            queues.pop(name).running.cancel()
 
 
 def changed_routes(previous: Plan, configuration: Configuration) -> set[str]:
--- a/packages/edge/ryelock/edge/edge_delegate.py
+++ b/packages/edge/ryelock/edge/edge_delegate.py
@@ -45,11 +45,11 @@
 
     def take_failed_callers(self) -> list[bytes]:
         """Return callers whose requests failed here since the last report."""
-        return self.handler.failed.take_fresh()
+        return self.handler.context.retry_detector.take_new_reports()
 
     def recent_objects(self) -> list[list[str]]:
         """Return route, host and target of objects lately served."""
-        return self.handler.lately_served()
+        return self.handler.served_objects.report()
 
     def on_configuration(self) -> None:
         """Roll the replicated configuration out to the request path."""
@@ -57,12 +57,12 @@
 
     def on_server_list(self, server_list: ServerList) -> None:
         """Follow a new list of upstream servers."""
-        self.handler.servers.take(server_list)
+        self.handler.context.servers.take(server_list)
 
     def on_failed_callers(self, callers: list[bytes]) -> None:
         """Take note of callers who may retry here after a failure at another edge."""
         for caller in callers:
-            self.handler.failed.hear(caller, self.scheduler.now())
+            self.handler.context.retry_detector.record(caller, self.scheduler.now())
 
     def on_shares(self, shares: dict[str, float], expires_at: float, edges: int) -> None:
         """Spend quota shares until a monotonic time."""
--- a/packages/edge/ryelock/edge/lease_renewal.py
+++ b/packages/edge/ryelock/edge/lease_renewal.py
@@ -14,7 +14,8 @@
 from ryelock.events import Log
 from ryelock.rate_limit.quota_allocator import Grant
 from ryelock.rpc import Message, RpcClients
-from ryelock.rpc.codec import MalformedMessageError, decode, encode
+from ryelock.rpc.codec import decode, encode
+from ryelock.rpc.errors import MalformedMessageError
 from ryelock.runtime import Scheduler, Task
 
 HOLD_SECONDS_PER_EDGE = 0.01
--- a/packages/edge/ryelock/edge/membership_view.py
+++ b/packages/edge/ryelock/edge/membership_view.py
@@ -1,7 +1,7 @@
 """The members that a node knows of, as the control leader last told it."""
 
 from ryelock.edge.session_messages import MembershipUpdate
-from ryelock.membership import Session, session_of
+from ryelock.membership import Session
 
 CONTROL_ROLE = "core"
 
@@ -22,7 +22,7 @@
     def apply(self, update: MembershipUpdate) -> None:
         """Take an update; raises ValueError where a session in it is malformed."""
         self.apply_sessions(update)
-        gone = [session_of(wire) for wire in update.gone]
+        gone = [Session.from_wire(wire) for wire in update.gone]
         self.gone = {session.name: session for session in gone}
         self.control_addresses = [
             session.wire for session in self.members.values() if session.role == CONTROL_ROLE
@@ -30,7 +30,7 @@
 
     def apply_sessions(self, update: MembershipUpdate) -> None:
         """Replace the members, or merge the changes where they start from the version held."""
-        sessions = {session.name: session for session in map(session_of, update.sessions)}
+        sessions = {session.name: session for session in map(Session.from_wire, update.sessions)}
         if update.since is not None:
             if (update.source, update.since) != (self.source, self.version):
                 # Changes to a version that is not held here: the next answer brings all members.
--- a/packages/edge/ryelock/edge/node_report.py
+++ b/packages/edge/ryelock/edge/node_report.py
@@ -27,7 +27,7 @@
         self.sequence += 1
         delegate = self.delegate
         return NodeReport(
-            session=self.member.session.plain(),
+            session=self.member.session.to_wire(),
             sequence=self.sequence,
             versions=self.versions(),
             demand=delegate.demand(),
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -105,7 +105,7 @@
                 settings, scheduler, network, log, self.member, random, profile
             )
             delegate = self.build_request_path(self.handler)
-            metrics = self.handler.metrics.all
+            metrics = self.handler.context.metrics.all
         self.renewal = LeaseRenewal(scheduler, self.rpc_clients, log, self.member, delegate)
         export_metrics(
             scheduler, network, log, metrics, settings.metrics_address, settings.metrics_log_seconds
@@ -168,9 +168,9 @@
             bulk=True,
         )
         self.session.order = self.request_server.address
-        self.quota = QuotaShares(self.scheduler, self.member, handler.gates)
+        self.quota = QuotaShares(self.scheduler, self.member, handler.context.admission_queues)
         rollout = ConfigurationRollout(
-            self.scheduler, settings, self.member, handler, self.request_server.limits
+            self.scheduler, settings, self.member, handler.context, self.request_server.limits
         )
         return EdgeDelegate(self.scheduler, handler, self.quota, rollout)
 
@@ -252,7 +252,7 @@
         """Keep what the session reports of this node up to date."""
         while True:
             if self.handler is not None:
-                self.session.served = self.handler.served
+                self.session.served = self.handler.context.requests_served
             self.session.applied = self.replicated_state.index
             self.session.ready = self.ready
             await self.scheduler.sleep(SESSION_REFRESH_SECONDS)
@@ -282,12 +282,12 @@
             return {"fault": "no orders come here"}
         identity = query.get("order")
         if isinstance(identity, str):
-            kept = handler.recent_requests.kept.get(identity)
+            kept = handler.context.recent_requests.kept.get(identity)
             if kept is None:
                 return {"fault": f"order {identity} is not remembered here"}
-            return kept.plain()
+            return kept.to_wire()
         method, target = str(query.get("method", "GET")), str(query.get("target", "/"))
-        return handler.foresee(method, target, str(query.get("host", "")))
+        return handler.preview.describe(method, target, str(query.get("host", "")))
 
 
 def new_session(role: str, settings: Settings, random: Random) -> Session:
--- a/packages/edge/ryelock/edge/quorum_lease.py
+++ b/packages/edge/ryelock/edge/quorum_lease.py
@@ -14,7 +14,8 @@
 from ryelock.edge.session_messages import QuorumLeaseUpdate, quorum_lease_request
 from ryelock.events import LEASE_GRANTED_BY_QUORUM, Log
 from ryelock.rpc import Message, RpcClients
-from ryelock.rpc.codec import MalformedMessageError, decode
+from ryelock.rpc.codec import decode
+from ryelock.rpc.errors import MalformedMessageError
 from ryelock.runtime import Queue, Scheduler
 
 CALL_TIMEOUT_SECONDS = 0.4
--- a/packages/edge/ryelock/edge/server_list_view.py
+++ b/packages/edge/ryelock/edge/server_list_view.py
@@ -2,7 +2,7 @@
 
 from ryelock.edge.session_messages import ServerListUpdate
 from ryelock.membership import ServerList
-from ryelock.membership.servers import servers_from
+from ryelock.membership.servers import servers_from_wire
 from ryelock.runtime import Scheduler
 
 
@@ -50,7 +50,7 @@
         now = self.scheduler.now()
         found = self.known(update.source, update.version)
         if update.servers is not None:
-            servers = servers_from(update.servers)
+            servers = servers_from_wire(update.servers)
             found = ServerList(update.source, update.version, servers, 0.0)
         if found is None:
             return None
--- a/packages/explain/ryelock/explain/client.py
+++ b/packages/explain/ryelock/explain/client.py
@@ -11,7 +11,7 @@
 
 from ryelock.control_client import ControlResponse, OperatorError, call_control_api, with_query
 from ryelock.explain.explanation import decode_explanation
-from ryelock.rpc.codec import MalformedMessageError
+from ryelock.rpc import MalformedMessageError
 from ryelock.runtime import Network, Scheduler
 
 Body = dict[str, object]
