--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -13,7 +13,8 @@
 from ryelock.edge.response_validator import ResponseValidator
 from ryelock.edge.routing import Router
 from ryelock.edge.servers import Servers
-from ryelock.testing.answer_cases import (
+from ryelock.testing.cases import CASES
+from ryelock.testing.cases.answers import (
     RUNS_ONCE,
     Cell,
     Kind,
@@ -21,7 +22,6 @@
     play,
     run_cell,
 )
-from ryelock.testing.cases import CASES
 from ryelock.testing.scripted import DIALECT, AnswerFleet, Event, Moment
 
 Patch = AbstractContextManager[Any]
