--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -52,8 +52,8 @@
 
 def start_control_api(site: Deployment, node: SimNode, lines: dict[str, str]) -> None:
     """Start the platform's control role on a machine without a disk."""
-    told = settings.Told(lines)
-    process_settings = settings.env_of("core", told)
+    told = settings.NodeSettings(lines)
+    process_settings = settings.product_settings("core", told)
 
     def build() -> TrafficNode:
         control_api = TrafficNode(
--- a/tests/golden/test_golden_lists.py
+++ b/tests/golden/test_golden_lists.py
@@ -112,14 +112,16 @@
 def platform_environment(role: str, lines: dict[str, str]) -> dict[str, object]:
     """Return the product's settings for lines of the platform, or their faults."""
     try:
-        return dict(platform_settings.env_of(role, platform_settings.Told(lines)).values)
+        return dict(
+            platform_settings.product_settings(role, platform_settings.NodeSettings(lines)).values
+        )
     except settings.SettingsError as error:
         return {"faults": error.faults}
 
 
 def platform_dialect() -> tuple[ProtocolProfile, bytes]:
     """Return the platform's header fields, and the one of a version a change builds on."""
-    return platform_words.DIALECT, platform_words.BASE_VERSION
+    return platform_words.PROFILE, platform_words.BASE_VERSION
 
 
 def shown_metrics(metrics: Metrics) -> dict[str, object]:
--- a/tests/platform/test_platform_listing.py
+++ b/tests/platform/test_platform_listing.py
@@ -8,7 +8,7 @@
 from deployment import Deployment
 from ryelock.control_plane.platform import Listed
 from ryelock.testing.platform_clients import SAFE, UNSAFE
-from servers import Instances
+from servers import ServerListReader
 
 
 def entry(
@@ -46,7 +46,9 @@
         deployment.platform.raw = raw
         node = deployment.operator_node
         return deployment.world.task(
-            node, Instances(node.scheduler, node.network, deployment.platform.address).read(), 60
+            node,
+            ServerListReader(node.scheduler, node.network, deployment.platform.address).read(),
+            60,
         )
 
     def test_all_pages_make_one_listing(self) -> None:
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -24,7 +24,7 @@
 
 
 def env_of(role: str, plain: dict[str, str]) -> Settings:
-    return settings.env_of(role, settings.Told(plain))
+    return settings.product_settings(role, settings.NodeSettings(plain))
 
 
 class SettingsTests(testtools.TestCase):
@@ -36,11 +36,14 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.conf"
             path.write_text("# a remark\n\nno equals here\n" + text)
-            told = settings.read_told(str(path))
-            core, edge = settings.env_of("core", told), settings.env_of("edge", told)
+            told = settings.read_node_settings(str(path))
+            core, edge = (
+                settings.product_settings("core", told),
+                settings.product_settings("edge", told),
+            )
             path.write_bytes(b"zone=\xff\xfe")
-            self.assertRaises(SettingsError, settings.read_told, str(path))
-            self.assertRaises(SettingsError, settings.read_told, str(path / "none"))
+            self.assertRaises(SettingsError, settings.read_node_settings, str(path))
+            self.assertRaises(SettingsError, settings.read_node_settings, str(path / "none"))
         self.assertEqual(("edge-a-0.core", "edge-a-0", "a"), (core.name, core.machine, core.zone))
         self.assertEqual(
             ("10.1.0.1:8144", "/data/my-role", "10.200.0.4:8142"),
@@ -99,7 +102,7 @@
             self.assertIn(key, told)
 
     def test_a_bound_that_a_rule_in_force_rests_on_has_no_default(self) -> None:
-        for part, names in settings.NEEDED_BOUNDS.items():
+        for part, names in settings.REQUIRED_BOUNDS.items():
             for name in names:
                 bounds = ",".join(
                     pair for pair in deployment.BOUNDS.split(",") if not pair.startswith(f"{name}=")
@@ -128,11 +131,11 @@
             self.assertEqual(env_of(role, lines()).values, env_of(role, plain).values)
 
     def test_bounds_may_be_whole_broken_true_or_false(self) -> None:
-        told = settings.Told({"bounds": "a=3, b=0.25,c=true,d=false,"})
+        told = settings.NodeSettings({"bounds": "a=3, b=0.25,c=true,d=false,"})
         self.assertEqual({"a": 3.0, "b": 0.25, "c": 1.0, "d": 0.0}, told.bounds)
         self.assertEqual([], told.faults)
-        self.assertTrue(settings.Told({"bounds": "a"}).faults)
-        self.assertTrue(settings.Told({"bounds": "a="}).faults)
+        self.assertTrue(settings.NodeSettings({"bounds": "a"}).faults)
+        self.assertTrue(settings.NodeSettings({"bounds": "a="}).faults)
 
     def test_one_zone_two_zones_three_regions_and_five_zones_are_taken(self) -> None:
         one = {"a": "north"}
--- a/tests/platform/test_platform_takeouts.py
+++ b/tests/platform/test_platform_takeouts.py
@@ -1,5 +1,6 @@
 """What holds a rule in the platform's words is taken out, and the same run must then break it."""
 
+import dataclasses
 from collections import deque
 from collections.abc import Callable
 from typing import Any
@@ -7,8 +8,9 @@
 
 import testtools
 
+import deployment as deployments
 from deployment import HOST, Deployment
-from header_fields import DIALECT
+from header_fields import PROFILE
 from ryelock.cache import CacheStore
 from ryelock.edge.handler import RequestHandler
 from ryelock.http import ClientError
@@ -120,7 +122,12 @@
         "sealed",
         lambda _self, _head: True,
     ),
-    "lives": (handed_addresses, DIALECT, "expected", b"X-Nothing"),
+    "lives": (
+        handed_addresses,
+        deployments,
+        "PROFILE",
+        dataclasses.replace(PROFILE, expected=b"X-Nothing"),
+    ),
     "once": (
         broken_by(Manner.LOST, UNSAFE, "POST", "/orders/"),
         RequestHandler,
--- a/tests/support/deployment.py
+++ b/tests/support/deployment.py
@@ -13,7 +13,7 @@
 sys.path.append(str(ROOT / "platform"))
 
 import settings  # noqa: E402
-from header_fields import DIALECT  # noqa: E402
+from header_fields import PROFILE  # noqa: E402
 from operators import Operators  # noqa: E402
 from readiness import Readiness  # noqa: E402
 from ryelock.control_plane.process import ControlNode  # noqa: E402
@@ -37,7 +37,7 @@
     broken,
 )
 from ryelock.testing.simulated import SimNode, World  # noqa: E402
-from servers import Instances  # noqa: E402
+from servers import ServerListReader  # noqa: E402
 
 Plain = dict[str, object]
 HOST = "shop.example"
@@ -321,8 +321,8 @@
         """Start a process as its program in platform/ does."""
         node = self.node(name)
         machine, _, role = name.rpartition(".")
-        told = settings.Told(self.lines[machine])
-        process_settings = settings.env_of(role, told)
+        told = settings.NodeSettings(self.lines[machine])
+        process_settings = settings.product_settings(role, told)
 
         def build() -> ControlNode | TrafficNode:
             if role == "core" and not process_settings.data_folder:
@@ -340,7 +340,7 @@
                 return control_api
             if role == "core":
                 core = self.world.open_control(node, process_settings)
-                core.platform.read_listing = Instances(
+                core.platform.read_listing = ServerListReader(
                     node.scheduler, node.network, process_settings.platform_address
                 ).read
                 Operators(
@@ -359,7 +359,7 @@
                 node.network,
                 node.log,
                 node.random,
-                DIALECT,
+                PROFILE,
             )
             Readiness(
                 node.scheduler,
