--- a/packages/http/ryelock/http/__init__.py
+++ b/packages/http/ryelock/http/__init__.py
@@ -13,6 +13,7 @@
     HttpError,
     IncompleteMessageError,
     ReadTimeoutError,
+    ResponseTimeoutError,
 )
 from ryelock.http.exchange import HttpExchange
 from ryelock.http.fields import Fields, end_to_end, field, http_date, parse_http_date, tokens
@@ -45,6 +46,7 @@
     "RequestHead",
     "Response",
     "ResponseHead",
+    "ResponseTimeoutError",
     "content_length",
     "end_to_end",
     "fetch",
