--- a/packages/edge/ryelock/edge/request.py
+++ b/packages/edge/ryelock/edge/request.py
@@ -122,13 +122,13 @@
         zone: zone of the peer.
         purges: number of the newest purge that the peer has applied.
         version: configuration version of the peer.
-        attempt_limit: how many servers may be sent the request; None for the route's own limit.
+        max_attempts: how many servers may be sent the request; None for the route's own limit.
     """
 
     zone: str
     purges: int
     version: int
-    attempt_limit: int | None
+    max_attempts: int | None
 
 
 @dataclass(slots=True, eq=False)
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -64,8 +64,8 @@
         session = self.context.member.members.get(parts[0])
         if session is None or session.mark == "" or session.mark != parts[1] or not session.zone:
             return None
-        attempt_limit = parse_count(field(fields, SERVERS_FIELD.lower()))
-        return PeerOrigin(session.zone, int(parts[2]), int(parts[3]), attempt_limit)
+        max_attempts = parse_count(field(fields, SERVERS_FIELD.lower()))
+        return PeerOrigin(session.zone, int(parts[2]), int(parts[3]), max_attempts)
 
     def is_probe(self, value: bytes | None) -> bool:
         """Whether a request comes from a prober that is a member; others may claim it in vain."""
@@ -90,8 +90,8 @@
             RequestClass.AT_MOST_ONCE if route.once or unsafe else RequestClass.IDEMPOTENT
         )
         request.attempts_left = route.attempts
-        if request.peer is not None and request.peer.attempt_limit is not None:
-            request.attempts_left = min(route.attempts, request.peer.attempt_limit)
+        if request.peer is not None and request.peer.max_attempts is not None:
+            request.attempts_left = min(route.attempts, request.peer.max_attempts)
         return route
 
     def choose_service(self, route: Route) -> str:
