--- a/packages/testing/ryelock/testing/__main__.py
+++ b/packages/testing/ryelock/testing/__main__.py
@@ -3,6 +3,8 @@
 import sys
 import time
 import warnings
+from collections import Counter
+from dataclasses import dataclass, field
 
 import defopt
 
@@ -19,7 +21,7 @@
 from ryelock.testing.scale import Point, Size, run_scale, table  # noqa: E402
 from ryelock.testing.scale.catch_up import measure_catch_up  # noqa: E402
 from ryelock.testing.scale.pieces import measure_pieces  # noqa: E402
-from ryelock.testing.schedules import run_schedule  # noqa: E402
+from ryelock.testing.schedules import ScheduleResult, run_schedule  # noqa: E402
 
 
 def fleet(
@@ -52,42 +54,70 @@
     :param size: small, or the size of a deployment: buchfalter, wanjiru
     :param verbose: tell what happened also where no rule was broken
     """
-    failed = 0
-    returns: list[float] = []
-    counts: dict[str, int] = {}
-    downs = wrong = 0
+    totals = SimulationTotals()
     started = time.monotonic()
     for number in range(seed, seed + runs):
         ended = run_schedule(number, faults, size=size)
-        downs += len(ended.scenario.downs)
-        wrong += ended.false_downs
-        for name, count in ended.counts.items():
-            counts[name] = counts.get(name, 0) + count
-        if ended.back_after is not None:
-            returns.append(ended.back_after)
+        totals.add(ended)
         if ended.findings.violations or verbose:
             sys.stdout.write(f"seed {number}: back after {ended.back_after}\n")
             sys.stdout.writelines(f"  {line}\n" for line in ended.happened)
             sys.stdout.writelines(f"  BROKEN {line}\n" for line in ended.findings.violations[:10])
         if ended.findings.violations:
-            failed += 1
             sys.stdout.write(
                 f"  again: python -m ryelock.testing simulate --seed {number} "
                 f"--faults {faults} --size {size}\n"
             )
-    sys.stdout.write(
-        "faults: " + ", ".join(f"{name} {count}" for name, count in sorted(counts.items())) + "\n"
-    )
-    sys.stdout.write(f"down verdicts {downs}, of zones that served {wrong}\n")
-    returns.sort()
-    if returns:
-        sys.stdout.write(
-            f"return after the last fault: median {returns[len(returns) // 2]:.2f} s,"
-            f" longest {returns[-1]:.2f} s\n"
-        )
-    sys.stdout.write(f"{runs - failed} passed, {failed} failed\n")
+    sys.stdout.write(totals.report())
     sys.stderr.write(f"{time.monotonic() - started:.0f} s\n")
-    return 1 if failed else 0
+    return 1 if totals.failed else 0
+
+
+@dataclass(slots=True)
+class SimulationTotals:
+    """What the runs of `simulate` came to, over all seeds.
+
+    Attributes:
+        runs: runs that ended.
+        failed: runs in which a rule was broken.
+        recovery_seconds: time from the last fault to service, of the runs that recovered.
+        fault_counts: faults that were fired, by name.
+        downs: zones that were declared down.
+        false_downs: those of them that served callers well at the time.
+    """
+
+    runs: int = 0
+    failed: int = 0
+    recovery_seconds: list[float] = field(default_factory=list)
+    fault_counts: Counter[str] = field(default_factory=Counter)
+    downs: int = 0
+    false_downs: int = 0
+
+    def add(self, ended: ScheduleResult) -> None:
+        """Add one run."""
+        self.runs += 1
+        self.failed += bool(ended.findings.violations)
+        self.downs += len(ended.scenario.downs)
+        self.false_downs += ended.false_downs
+        self.fault_counts.update(ended.counts)
+        if ended.back_after is not None:
+            self.recovery_seconds.append(ended.back_after)
+
+    def report(self) -> str:
+        """Return the lines that end a run of the command."""
+        counts = sorted(self.fault_counts.items())
+        lines = [
+            "faults: " + ", ".join(f"{name} {count}" for name, count in counts),
+            f"down verdicts {self.downs}, of zones that served {self.false_downs}",
+        ]
+        seconds = sorted(self.recovery_seconds)
+        if seconds:
+            lines.append(
+                f"return after the last fault: median {seconds[len(seconds) // 2]:.2f} s,"
+                f" longest {seconds[-1]:.2f} s"
+            )
+        lines.append(f"{self.runs - self.failed} passed, {self.failed} failed")
+        return "".join(f"{line}\n" for line in lines)
 
 
 def case(name: str = "", *, seed: int = 1, runs: int = 1) -> int:
@@ -174,7 +204,8 @@
     return 0
 
 
-def whole_numbers(text: str) -> list[int]:
+def parse_numbers(text: str) -> list[int]:
+    """Parse whole numbers divided by commas."""
     return [int(part) for part in text.split(",")]
 
 
@@ -217,10 +248,10 @@
     :param plots: folder for a plot of each figure
     """
     sizes = {
-        "nodes": whole_numbers(nodes),
-        "zones": whole_numbers(zones),
-        "servers": whole_numbers(servers),
-        "routes": whole_numbers(routes),
+        "nodes": parse_numbers(nodes),
+        "zones": parse_numbers(zones),
+        "servers": parse_numbers(servers),
+        "routes": parse_numbers(routes),
     }
     fixed = Size(
         1,
@@ -266,7 +297,7 @@
     """
     points = [
         Point(f"{count} nodes", Size(count, zones, servers, routes))
-        for count in whole_numbers(nodes)
+        for count in parse_numbers(nodes)
     ]
     for point in points:
         point.runs = [
@@ -284,12 +315,12 @@
     :param routes: routes that each change sets anew, divided by commas
     :param runs: times that each pair is measured
     """
-    for route_count in whole_numbers(routes):
+    for route_count in parse_numbers(routes):
         points = [
             Point(f"{count} changes", Size(1, 1, 0, route_count))
-            for count in whole_numbers(changes)
+            for count in parse_numbers(changes)
         ]
-        for point, count in zip(points, whole_numbers(changes), strict=True):
+        for point, count in zip(points, parse_numbers(changes), strict=True):
             point.runs = [measure_catch_up(count, route_count) for _ in range(runs)]
         sys.stdout.write(f"{route_count} routes\n\n{table(points, 'changes')}\n")
     return 0
@@ -324,6 +355,7 @@
 
 
 def main() -> None:
+    """Run the command that the arguments name, and exit with its status."""
     # A simulated process is dropped in the middle of whatever it does, with tasks that never ran.
     warnings.filterwarnings("ignore", "coroutine .* was never awaited", RuntimeWarning)
     commands = [
--- a/packages/testing/ryelock/testing/cases/cluster_faults.py
+++ b/packages/testing/ryelock/testing/cases/cluster_faults.py
@@ -56,6 +56,7 @@
 
 
 def end_version(scenario: Scenario) -> int:
+    """Return the version of the configuration that is in force; -1 where nobody answers."""
     status, answer = scenario.ask_now("GET", "/configuration")
     found = answer.get("version")
     return found if status == 200 and isinstance(found, int) else -1
@@ -89,6 +90,7 @@
 
 
 async def read_from(scenario: Scenario, name: str, seconds: float) -> None:
+    """Read the configuration through one node for so many seconds, again and again."""
     until = scenario.world.time + seconds
     while scenario.world.time < until:
         started = scenario.world.time
@@ -133,9 +135,9 @@
     found = Findings()
     version = 1
     for turn in range(3):
-        scenario.world.run_until(lambda: voters_stand(scenario), 30)
+        scenario.world.run_until(lambda: voters_are_replaced(scenario), 30)
         found.look("voters")
-        if not voters_stand(scenario):
+        if not voters_are_replaced(scenario):
             found.broken("voters", "the lost voter was not replaced")
         scenario.world.task(scenario.operators, scenario.add_route(f"gen-d-{turn}", version), 30)
         version = max(changed.version for changed in scenario.changes)
@@ -143,14 +145,14 @@
         scenario.lose_disk(lost)
         scenario.world.run(1)
         scenario.start(lost)
-    scenario.world.run_until(lambda: voters_stand(scenario), 30)
+    scenario.world.run_until(lambda: voters_are_replaced(scenario), 30)
     if end_version(scenario) < version:
         found.broken("end of day", "an acknowledged change was lost with a disk")
     found.violations += scenario.findings().violations
     return found
 
 
-def voters_stand(scenario: Scenario) -> bool:
+def voters_are_replaced(scenario: Scenario) -> bool:
     """Whether the voters are exactly the disks that are there."""
     leader = scenario.leader()
     if not leader or len(scenario.alive(scenario.cores)) < len(scenario.cores):
--- a/packages/testing/ryelock/testing/cases/traffic.py
+++ b/packages/testing/ryelock/testing/cases/traffic.py
@@ -126,6 +126,7 @@
 
 
 async def flood(scenario: Scenario, number: int, count: int) -> None:
+    """Purge eight objects in a row, so many times in all."""
     for turn in range(count):
         target = f"/covers/{(number + turn) % 8}"
         await scenario.renew_object(target, f"flood-{number}-{turn}")
--- a/packages/testing/ryelock/testing/schedules.py
+++ b/packages/testing/ryelock/testing/schedules.py
@@ -489,7 +489,7 @@
 )
 
 
-class Ended:
+class ScheduleResult:
     """What a schedule came to."""
 
     __slots__ = (
@@ -529,7 +529,7 @@
     seconds: float = 24.0,
     pool: tuple[Fault, ...] = FAULTS,
     size: str = "small",
-) -> Ended:
+) -> ScheduleResult:
     """One schedule from founding to the return after the last fault."""
     random = Random(f"schedule {seed}")
     drawn = random.choice([3, 3, 5])
@@ -573,7 +573,7 @@
     if back_after is None or back_after > RETURN_SECONDS:
         findings.broken("return", f"service was not back: {back_after}")
     end_of_day(scenario, findings)
-    ended = Ended(scenario, findings, happened, back_after)
+    ended = ScheduleResult(scenario, findings, happened, back_after)
     ended.counts = counts
     return ended
 
