--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -1,18 +1,23 @@
 """Objects kept by one edge of a zone for all of them: who owns what, and what purges, losses and
 lifetimes do to copies that come by way of another edge."""
 
+from dataclasses import replace
 from itertools import pairwise
+from typing import Any, ClassVar
 from unittest import mock
 
 import testtools
 from clocks import SteppedClock, raise_fault
 
-from ryelock.control_plane.renewals import LeaseRenewals
-from ryelock.edge.handler import RequestHandler
+from ryelock.control_plane.membership_changes import MembershipChanges
 from ryelock.edge.peers import Peers, owner_of
+from ryelock.edge.request import PeerOrigin
+from ryelock.edge.routing import Router
+from ryelock.edge.session_messages import MembershipUpdate
 from ryelock.http import fetch, field
 from ryelock.membership import Session
 from ryelock.rpc import Message
+from ryelock.rpc.codec import Natural
 from ryelock.runtime import Scheduler
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
@@ -23,12 +28,12 @@
 def owned_by(scenario: Scenario, asking: str, owner: str) -> str:
     """An object that one edge keeps, as another edge finds it."""
     way = scenario.node(asking).traffic.handler
-    assert way is not None and way.peers is not None
-    way.peers.follow(way.member.members)
+    assert way is not None and way.context.peers is not None
+    way.context.peers.follow(way.context.member.members)
     return next(
         f"/covers/{number}"
         for number in range(300)
-        if owner_of((HOST, f"/covers/{number}"), way.peers.names) == owner
+        if owner_of((HOST, f"/covers/{number}"), way.context.peers.names) == owner
     )
 
 
@@ -124,12 +129,13 @@
 
     def test_an_owner_behind_a_purge_is_not_believed(self) -> None:
         """Without the number of purges an edge takes back what it has just dropped."""
-        plain = RequestHandler.peer_of
+        plain = Router.peer_origin
 
-        def believing(way: RequestHandler, said: bytes | None) -> tuple[str, int, int]:
-            return plain(way, said)[0], 0, 0
+        def believing(router: Router, fields: Any) -> PeerOrigin | None:
+            origin = plain(router, fields)
+            return None if origin is None else replace(origin, purges=0, version=0)
 
-        with mock.patch.object(RequestHandler, "peer_of", believing):
+        with mock.patch.object(Router, "peer_origin", believing):
             found = [self.behind(seed) for seed in range(3)]
         self.assertTrue(all(found), "an owner that is behind gave an old copy")
         self.assertFalse(any(self.behind(seed) for seed in range(3)))
@@ -142,8 +148,8 @@
         assert way is not None
         target = owned_by(scenario, scenario.edges[0], scenario.edges[1])
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
-        way.store.responses.clear()
-        way.store.purged += 1
+        way.context.store.responses.clear()
+        way.context.store.purged += 1
         before = self.arrivals(scenario, target)
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
         return self.arrivals(scenario, target) == before
@@ -165,9 +171,9 @@
     def test_one_edge_alone_asks_nobody(self) -> None:
         scenario = shared(4, edges=1)
         way = scenario.node(scenario.edges[0]).traffic.handler
-        assert way is not None and isinstance(way.peers, Peers)
-        way.peers.follow(way.member.members)
-        self.assertIsNone(way.peers.owner(("", "/covers/1")))
+        assert way is not None and isinstance(way.context.peers, Peers)
+        way.context.peers.follow(way.context.member.members)
+        self.assertIsNone(way.context.peers.owner(("", "/covers/1")))
 
 
 class MembersTests(testtools.TestCase):
@@ -175,14 +181,14 @@
         """Nodes that follow by changes know what one that was told all knows."""
         scenario = shared(5, edges=4)
         told: list[bool] = []
-        plain = LeaseRenewals.members_since
+        plain = MembershipChanges.update_since
 
-        def noted(renewals: LeaseRenewals, version: int | None) -> Message:
-            found = plain(renewals, version)
+        def noted(changes: MembershipChanges, version: int | None) -> Message:
+            found = plain(changes, version)
             told.append("since" in found)
             return found
 
-        with mock.patch.object(LeaseRenewals, "members_since", noted):
+        with mock.patch.object(MembershipChanges, "update_since", noted):
             scenario.world.kill(scenario.edges[0], True)
             scenario.world.run(5.0)
             scenario.start(scenario.edges[0])
@@ -200,18 +206,19 @@
 
     def test_changes_that_do_not_follow_on_are_passed_over(self) -> None:
         scenario = shared(6, edges=2)
-        member = scenario.node(scenario.edges[0]).traffic.member
-        before, version = member.members, member.members_version
-        member.take_members(
-            {
-                "source": version[0],
-                "version": version[1] + 5,
-                "since": version[1] + 4,
-                "sessions": [],
-                "removed": list(before),
-            }
+        view = scenario.node(scenario.edges[0]).traffic.member.membership
+        before, source, version = view.members, view.source, view.version
+        view.apply_sessions(
+            MembershipUpdate(
+                source=source,
+                version=Natural(version + 5),
+                since=Natural(version + 4),
+                sessions=[],
+                gone=[],
+                removed=list(before),
+            )
         )
-        self.assertEqual((before, version), (member.members, member.members_version))
+        self.assertEqual((before, source, version), (view.members, view.source, view.version))
 
 
 class SilentOwnerTests(testtools.TestCase):
@@ -252,7 +259,7 @@
 class HomeTests(testtools.TestCase):
     """Which edges of a region an object goes through, as every edge of it finds them."""
 
-    ZONES = {"a": "north", "b": "north", "c": "north", "far": "south"}
+    ZONES: ClassVar[dict[str, str]] = {"a": "north", "b": "north", "c": "north", "far": "south"}
 
     def edges(self) -> dict[str, Session]:
         found: dict[str, Session] = {}
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -5,12 +5,9 @@
 same entries, appended and applied anew, must give the same bytes.
 """
 
-import ast
-import inspect
 import shutil
 import struct
 import tempfile
-import textwrap
 import zlib
 from collections.abc import Callable, Iterator
 from functools import partial
@@ -20,6 +17,7 @@
 import cbor2
 from golden import DATA, GoldenTest
 
+from ryelock.consensus import Consensus
 from ryelock.consensus import entries as entry_forms
 from ryelock.consensus.entries import Entry, Snapshot
 from ryelock.consensus.log import ReplicatedLog
@@ -27,8 +25,7 @@
 from ryelock.control_plane.process import ControlNode
 from ryelock.events import RecordingLog
 from ryelock.journal import Journal, MachineFolder
-from ryelock.replicated_state import ReplicatedState, encode_command
-from ryelock.replicated_state import state as state_machine
+from ryelock.replicated_state import PurgeKind, ReplicatedState, encode_command
 from ryelock.settings import read_settings
 from ryelock.testing.simulated import World
 
@@ -40,19 +37,18 @@
 
 def state_machine_kinds() -> set[str]:
     """Return the kinds of entries in the state machine's own table of handlers."""
-    tree = ast.parse(textwrap.dedent(inspect.getsource(ReplicatedState.apply)))
-    tables = [node for node in ast.walk(tree) if isinstance(node, ast.Dict) and len(node.keys) > 2]
-    (table,) = tables
-    return {str(key.value) for key in table.keys if isinstance(key, ast.Constant)}
+    return {str(kind) for kind in ReplicatedState().handlers()}
 
 
 def consensus_kinds() -> set[str]:
     """Return the kinds of entries that consensus itself tells apart."""
-    return {
-        value
-        for name, value in vars(entry_forms).items()
-        if name.isupper() and isinstance(value, str)
-    }
+    return {kind.value for kind in entry_forms.EntryKind}
+
+
+def lease_end(consensus: Consensus) -> float:
+    """Return when the lease ends that a voter granted; -1e9 stands for none."""
+    granted_until = consensus.lease.granted_until
+    return -1e9 if granted_until is None else granted_until
 
 
 def record_kinds() -> set[str]:
@@ -62,7 +58,7 @@
 
 def purge_kinds() -> set[str]:
     """Return what a purge can name."""
-    return set(state_machine.PURGE_KINDS)
+    return {str(kind) for kind in PurgeKind}
 
 
 def encoded(kind: str, fields: Plain) -> bytes:
@@ -75,9 +71,9 @@
     covered = {
         "index": replicated_state.index,
         "version": replicated_state.version,
-        "configuration": replicated_state.configuration.plain(),
+        "configuration": replicated_state.configuration.to_wire(),
         "purge_number": replicated_state.purge_number,
-        "purges": [purge.plain() for purge in replicated_state.purges],
+        "purges": [purge.to_wire() for purge in replicated_state.purges],
         "drains": replicated_state.drains,
         "duties": [
             [name, duty.name, duty.owner, duty.fencing_token, duty.successor]
@@ -90,8 +86,8 @@
             for name, watch in replicated_state.derived.items()
         ],
         "derivable": replicated_state.derivable,
-        "outcomes": replicated_state.outcomes.plain(),
-        "claims": list(replicated_state.claims.items()),
+        "outcomes": replicated_state.outcomes.to_wire(),
+        "claims": replicated_state.claims.to_wire(),
     }
     assert len(covered) == len(ReplicatedState.__slots__), (
         "a field of the state machine is not compared"
@@ -197,13 +193,13 @@
     def commit_all(self) -> None:
         """Have the node learn that all entries of its log are committed."""
         consensus = self.node.consensus
-        consensus.advance(consensus.last_index)
+        consensus.applier.advance(consensus.last_index)
         while consensus.applied_index < consensus.commit_index:
-            consensus.apply_committed()
+            consensus.applier.apply_committed()
 
     def write_snapshot(self) -> None:
         """Have the node write a snapshot of all that it applied."""
-        self.node.consensus.write_snapshot()
+        self.node.consensus.applier.write_snapshot()
 
     def log_state(self) -> Plain:
         """Return the durable state of consensus, by terms of the field."""
@@ -243,7 +239,7 @@
             "commit": consensus.commit_index,
             "voters": consensus.voters,
             "role": consensus.role,
-            "promise_ends_after": round(consensus.promised, 3),
+            "promise_ends_after": round(lease_end(consensus), 3),
             "entries_for_edges": [
                 index for index, _ in consensus.commands_since(consensus.snapshot.index) or ()
             ],
