--- a/packages/consensus/ryelock/consensus/election.py
+++ b/packages/consensus/ryelock/consensus/election.py
@@ -22,7 +22,8 @@
 from ryelock.consensus.quorum_lease import QuorumLease
 from ryelock.consensus.state import MemberState, Role, seconds_since
 from ryelock.rpc import RpcClients
-from ryelock.rpc.codec import MalformedMessageError, Natural, decode
+from ryelock.rpc.codec import Natural, decode
+from ryelock.rpc.errors import MalformedMessageError
 from ryelock.runtime import Queue
 
 DISK_RETRY_SECONDS = 2.0
--- a/packages/consensus/ryelock/consensus/entries.py
+++ b/packages/consensus/ryelock/consensus/entries.py
@@ -4,7 +4,7 @@
 
 import cbor2
 
-from ryelock.rpc.codec import MalformedMessageError
+from ryelock.rpc.errors import MalformedMessageError
 
 Voters = dict[str, str]
 """Addresses of the voters by disk."""
--- a/packages/consensus/ryelock/consensus/joining.py
+++ b/packages/consensus/ryelock/consensus/joining.py
@@ -19,7 +19,8 @@
 from ryelock.consensus.state import MemberState
 from ryelock.events import CLUSTER_BOOTSTRAPPED
 from ryelock.rpc import RpcClients
-from ryelock.rpc.codec import MalformedMessageError, Natural, decode
+from ryelock.rpc.codec import Natural, decode
+from ryelock.rpc.errors import MalformedMessageError
 from ryelock.runtime import Queue
 
 STATUS_SECONDS = 0.5
--- a/packages/consensus/ryelock/consensus/leadership_transfer.py
+++ b/packages/consensus/ryelock/consensus/leadership_transfer.py
@@ -5,7 +5,8 @@
 from ryelock.consensus.messages import TimeoutNowReply, TimeoutNowRequest, request_to_wire
 from ryelock.consensus.state import MemberState
 from ryelock.rpc import Message, RpcClients
-from ryelock.rpc.codec import MalformedMessageError, Natural, decode
+from ryelock.rpc.codec import Natural, decode
+from ryelock.rpc.errors import MalformedMessageError
 
 CATCH_UP_SECONDS = 1.0
 """Seconds that a transfer waits for the successor to hold the whole log."""
--- a/packages/consensus/ryelock/consensus/log_receiver.py
+++ b/packages/consensus/ryelock/consensus/log_receiver.py
@@ -18,7 +18,8 @@
 from ryelock.consensus.transfer import IncomingSnapshot, SnapshotChunk, chunk_from_wire
 from ryelock.events import BECAME_FOLLOWER
 from ryelock.rpc import Message
-from ryelock.rpc.codec import MalformedMessageError, Natural, decode
+from ryelock.rpc.codec import Natural, decode
+from ryelock.rpc.errors import MalformedMessageError
 
 
 class LogReceiver:
--- a/packages/consensus/ryelock/consensus/node.py
+++ b/packages/consensus/ryelock/consensus/node.py
@@ -47,7 +47,8 @@
 from ryelock.events import LEADER_STEPPED_DOWN, Log
 from ryelock.journal import Journal
 from ryelock.rpc import Message, Reply, RpcClients
-from ryelock.rpc.codec import MalformedMessageError, decode, encode
+from ryelock.rpc.codec import decode, encode
+from ryelock.rpc.errors import MalformedMessageError
 from ryelock.runtime import Queue, Scheduler, Task
 
 APPLY_PAUSE_SECONDS = 0.0005
--- a/packages/consensus/ryelock/consensus/replicator.py
+++ b/packages/consensus/ryelock/consensus/replicator.py
@@ -23,7 +23,8 @@
 from ryelock.consensus.transfer import SNAPSHOT_CHUNK_BYTES
 from ryelock.events import BECAME_LEADER
 from ryelock.rpc import Message, RpcClients, RpcError
-from ryelock.rpc.codec import MalformedMessageError, Natural, decode
+from ryelock.rpc.codec import Natural, decode
+from ryelock.rpc.errors import MalformedMessageError
 
 SNAPSHOT_CHUNK_SECONDS = 2.0
 """Seconds that a leader waits for the reply to one chunk of a snapshot."""
--- a/packages/consensus/ryelock/consensus/transfer.py
+++ b/packages/consensus/ryelock/consensus/transfer.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ryelock.consensus.entries import Snapshot, Voters
-from ryelock.rpc.codec import MalformedMessageError
+from ryelock.rpc.errors import MalformedMessageError
 
 SNAPSHOT_CHUNK_BYTES = 262_144
 """The most bytes of a snapshot in one message."""
--- a/tests/consensus/test_replication.py
+++ b/tests/consensus/test_replication.py
@@ -15,7 +15,8 @@
 from ryelock.consensus.replicator import Replicator
 from ryelock.consensus.transfer import SNAPSHOT_CHUNK_BYTES, chunk_from_wire
 from ryelock.replicated_state import ReplicatedState, encode_command
-from ryelock.rpc.codec import MalformedMessageError, Natural
+from ryelock.rpc import MalformedMessageError
+from ryelock.rpc.codec import Natural
 from ryelock.testing.simulated import SimFolder
 
 
--- a/tests/control_plane/test_control_cases.py
+++ b/tests/control_plane/test_control_cases.py
@@ -9,12 +9,12 @@
 
 from ryelock.consensus import Consensus
 from ryelock.consensus.leadership import Leadership
-from ryelock.control_plane import renewals
-from ryelock.control_plane.leading import OperatorRequests
+from ryelock.control_plane.operator_requests import OperatorRequests
+from ryelock.control_plane.renewal_messages import UnconfirmedRenewalResponse
 from ryelock.journal import FolderError
 from ryelock.replicated_state import ReplicatedState, outcomes
 from ryelock.replicated_state.outcomes import Outcomes
-from ryelock.testing.control_cases import CONTROL_CASES, ISOLATIONS, route_change
+from ryelock.testing.cases.control import CONTROL_CASES, ISOLATIONS, route_change
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.simulated import SimFolder
 
@@ -85,7 +85,7 @@
 
 def no_version_check() -> list[Patch]:
     """A change is taken whatever version it builds on."""
-    plain = ReplicatedState.change
+    plain = ReplicatedState.apply_change
 
     def change(replicated_state: ReplicatedState, word: Any) -> Any:
         asked = dict(word["change"])
@@ -93,7 +93,7 @@
         asked["version"] = replicated_state.version + 1
         return plain(replicated_state, {**word, "change": asked})
 
-    return [mock.patch.object(ReplicatedState, "change", change)]
+    return [mock.patch.object(ReplicatedState, "apply_change", change)]
 
 
 def no_memory() -> list[Patch]:
@@ -102,12 +102,12 @@
 
 
 def small_memory() -> list[Patch]:
-    return [mock.patch.object(outcomes, "REMEMBERED_MOST", 20)]
+    return [mock.patch.object(outcomes, "MAX_OUTCOMES_PER_KIND", 20)]
 
 
 def nothing_stands() -> list[Patch]:
     """The outcome of the standing change is forgotten like any other."""
-    return [*small_memory(), mock.patch.object(Outcomes, "stand", lambda *_: None)]
+    return [*small_memory(), mock.patch.object(Outcomes, "pin", lambda *_: None)]
 
 
 class RaceTests(CaseTests):
@@ -134,7 +134,7 @@
 
 class UnconfirmedRenewalTests(testtools.TestCase):
     def test_it_carries_no_state(self) -> None:
-        answer = renewals.unconfirmed_renewal({"register": 7}, 0.9)
+        answer = UnconfirmedRenewalResponse(0.9, 7).to_wire()
         self.assertEqual({"ok": True, "age": 0.9, "term": False, "words": [], "index": 7}, answer)
 
 
--- a/tests/platform/test_platform_standin.py
+++ b/tests/platform/test_platform_standin.py
@@ -11,7 +11,14 @@
 from deployment import HOST, WORDS, Deployment
 from ryelock.http import Fields
 from ryelock.testing.hosting_platform import Arrival, Manner, ServerLife
-from ryelock.testing.platform_clients import SAFE, UNSAFE, Client, Note, over_budget, over_ceiling
+from ryelock.testing.hosting_platform.clients import (
+    SAFE,
+    UNSAFE,
+    Client,
+    Note,
+    over_budget,
+    over_ceiling,
+)
 
 
 class Direct(testtools.TestCase):
@@ -117,7 +124,7 @@
         self.assertEqual([200] * 3 + [429] * 5, sorted(note.status for note in notes))
 
     def test_links_above_the_most_are_reset(self) -> None:
-        self.life.listener.limits.links_most = 2
+        self.life.listener.limits.max_connections = 2
         self.life.service.work_seconds = 0.5
         self.assertEqual(2, sum(note.served for note in self.many(5)))
 
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -18,11 +18,13 @@
 from ryelock.consensus.replicator import Replicator
 from ryelock.consensus.transfer import IncomingSnapshot
 from ryelock.control_plane.voters import VoterManager
-from ryelock.edge.handler import RequestHandler
+from ryelock.edge.admission import AdmissionController
 from ryelock.edge.member import EdgeSession
-from ryelock.edge.orders import Failed
+from ryelock.edge.request import RequestClass
+from ryelock.edge.retry_detector import RetryDetector
+from ryelock.edge.routing import Router
 from ryelock.edge.servers import Servers
-from ryelock.http.reader import Body, IncompleteMessageError
+from ryelock.http import Body, IncompleteMessageError
 from ryelock.http.server import HttpServer
 from ryelock.rate_limit import QuotaAllocator, RetryBudget
 from ryelock.replicated_state import ReplicatedState
@@ -42,14 +44,14 @@
 
 
 def redispatched() -> list[Patch]:
-    plain = RequestHandler.find_route
+    plain = Router.find_route
 
-    def find_route(way: RequestHandler, request: Any) -> Any:
-        route = plain(way, request)
-        request.klass = "repeatable"
+    def find_route(router: Router, request: Any) -> Any:
+        route = plain(router, request)
+        request.request_class = RequestClass.IDEMPOTENT
         return route
 
-    return [mock.patch.object(RequestHandler, "find_route", find_route)]
+    return [mock.patch.object(Router, "find_route", find_route)]
 
 
 def cut_taken_for_whole() -> list[Patch]:
@@ -92,20 +94,20 @@
 
 
 def no_purges() -> list[Patch]:
-    return [mock.patch.object(CacheStore, "take_purges", always(0))]
+    return [mock.patch.object(CacheStore, "apply_purges", always(0))]
 
 
 def fills_outlive_purges() -> list[Patch]:
-    def take_purges(store: CacheStore, purges: Any, newest: int) -> int:
-        if newest > store.purged:
-            store.responses.clear()
+    def apply_purges(store: CacheStore, purges: Any, newest: int) -> int:
+        if newest > store.last_purge:
+            store.variants.clear()
         return 0
 
-    return [mock.patch.object(CacheStore, "take_purges", take_purges)]
+    return [mock.patch.object(CacheStore, "apply_purges", apply_purges)]
 
 
 def no_lifetime() -> list[Patch]:
-    return [mock.patch("ryelock.edge.handler.may_use", always(True))]
+    return [mock.patch("ryelock.edge.cache_lookup.may_reuse", always(True))]
 
 
 def no_sync() -> list[Patch]:
@@ -132,7 +134,7 @@
 
 
 def declined_takes_effect() -> list[Patch]:
-    plain = ReplicatedState.change
+    plain = ReplicatedState.apply_change
 
     def change(replicated_state: ReplicatedState, word: dict[str, Any]) -> dict[str, object]:
         outcome = plain(replicated_state, word)
@@ -142,7 +144,7 @@
             )
         return outcome
 
-    return [mock.patch.object(ReplicatedState, "change", change)]
+    return [mock.patch.object(ReplicatedState, "apply_change", change)]
 
 
 def no_wait_for_answers() -> list[Patch]:
@@ -171,7 +173,7 @@
 
 
 def keys_never_given_back() -> list[Patch]:
-    return [mock.patch.object(RequestHandler, "give_back", always(None))]
+    return [mock.patch.object(AdmissionController, "release_key", always(None))]
 
 
 def requests_granted_as_wanted() -> list[Patch]:
@@ -187,26 +189,28 @@
 def no_service_is_narrow() -> list[Patch]:
     return [
         mock.patch(f"ryelock.{place}.is_narrow", always(False))
-        for place in ("control_plane.renewals", "edge.process")
+        for place in ("control_plane.quota_shares", "edge.quota_shares")
     ]
 
 
 def unmarked_taken_for_first() -> list[Patch]:
-    return [mock.patch.object(Failed, "repeats", always(False))]
+    return [mock.patch.object(RetryDetector, "is_retry", always(False))]
 
 
 def unsent_requests_earn_repeats() -> list[Patch]:
-    plain = RequestHandler.enter
+    plain = AdmissionController.admit
 
-    async def enter(way: RequestHandler, exchange: Any, request: Any, route: Any, key: Any) -> Any:
-        way.gates[request.service].budget.first()
-        return await plain(way, exchange, request, route, key)
+    async def admit(
+        admission: AdmissionController, exchange: Any, request: Any, route: Any, key: Any = None
+    ) -> Any:
+        admission.context.admission_queues[request.service].budget.first()
+        return await plain(admission, exchange, request, route, key)
 
-    return [mock.patch.object(RequestHandler, "enter", enter)]
+    return [mock.patch.object(AdmissionController, "admit", admit)]
 
 
 def no_spare_voter() -> list[Patch]:
-    return [mock.patch.object(VoterManager, "spares", always([]))]
+    return [mock.patch.object(VoterManager, "ready_standbys", always([]))]
 
 
 def no_promises() -> list[Patch]:
--- a/tests/rpc/test_codec.py
+++ b/tests/rpc/test_codec.py
@@ -5,15 +5,8 @@
 
 import pytest
 
-from ryelock.rpc.codec import (
-    AsIs,
-    MalformedMessageError,
-    Natural,
-    OmitDefault,
-    WireName,
-    decode,
-    encode,
-)
+from ryelock.rpc import MalformedMessageError
+from ryelock.rpc.codec import AsIs, Natural, OmitDefault, WireName, decode, encode
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/support/consensus_lab.py
+++ b/tests/support/consensus_lab.py
@@ -12,7 +12,7 @@
 from ryelock.consensus.state import Role
 from ryelock.events import RecordingLog
 from ryelock.journal import open_journal
-from ryelock.rpc import RpcError
+from ryelock.rpc import NoResponseError
 from ryelock.runtime import Scheduler
 from ryelock.testing.simulated import SimFolder
 
@@ -103,7 +103,7 @@
         replies: list[Message] = []
         self.follower.handle(message, replies.append)
         if size > limit:
-            leader.replicator.on_reply(peer, leader.term, now, Error(RpcError("late", True)))
+            leader.replicator.on_reply(peer, leader.term, now, Error(NoResponseError("late", True)))
         else:
             leader.replicator.on_reply(peer, leader.term, now, Ok(replies[0]))
         return message
--- a/tests/support/consensus_takeouts.py
+++ b/tests/support/consensus_takeouts.py
@@ -25,7 +25,7 @@
 from ryelock.consensus.quorum_lease import QuorumLease
 from ryelock.consensus.replicator import Replicator
 from ryelock.consensus.state import MemberState
-from ryelock.control_plane.process import ControlNode
+from ryelock.control_plane.departure import ConsensusDeparture
 from ryelock.control_plane.voters import VoterManager
 from ryelock.journal import Journal, open_journal
 from ryelock.replicated_state import ReplicatedState
@@ -195,7 +195,7 @@
 
 
 def base_unchecked() -> AbstractContextManager[object]:
-    original = ReplicatedState.change
+    original = ReplicatedState.apply_change
 
     def change(replicated_state: ReplicatedState, word: Plain) -> Plain:
         given = dict(word["change"])
@@ -203,15 +203,15 @@
         replicated_state.version = given["base"]
         return original(replicated_state, {**word, "change": given})
 
-    return mock.patch.object(ReplicatedState, "change", change)
+    return mock.patch.object(ReplicatedState, "apply_change", change)
 
 
 @contextmanager
 def outcomes_forgotten() -> Iterator[None]:
     """Two outcomes of a kind are remembered, that of the standing change not for longer."""
     with (
-        mock.patch("ryelock.replicated_state.outcomes.REMEMBERED_MOST", 1),
-        mock.patch.object(Outcomes, "stand", lambda _outcomes, _kind, _identity: None),
+        mock.patch("ryelock.replicated_state.outcomes.MAX_OUTCOMES_PER_KIND", 1),
+        mock.patch.object(Outcomes, "pin", lambda _outcomes, _kind, _identity: None),
     ):
         yield
 
@@ -285,16 +285,16 @@
 
 def leaves_at_once() -> AbstractContextManager[object]:
     """A member that leaves is let go at once."""
-    return mock.patch.object(VoterManager, "may_end", lambda _keeper, _disk: True)
+    return mock.patch.object(VoterManager, "is_releasable", lambda _voters, _disk: True)
 
 
 def released_members_go_on() -> AbstractContextManager[object]:
     """A member that was let go takes part until its process ends."""
 
-    async def leave_consensus(node: ControlNode, until: float) -> None:
-        await node.wait_for_release(until)
+    async def leave(departure: ConsensusDeparture, until: float) -> None:
+        await departure.wait_for_release(until)
 
-    return mock.patch.object(ControlNode, "leave_consensus", leave_consensus)
+    return mock.patch.object(ConsensusDeparture, "leave", leave)
 
 
 TAKE_OUTS: dict[str, TakeOut] = {
