--- /dev/null
+++ b/packages/consensus/ryelock/consensus/dispatcher.py
@@ -0,0 +1,72 @@
+"""Requests of other processes: decoding, the part that handles each, and the reply."""
+
+from collections.abc import Callable
+from typing import Any
+
+from ryelock.consensus.election import Election
+from ryelock.consensus.joining import Joining
+from ryelock.consensus.log_receiver import LogReceiver
+from ryelock.consensus.messages import (
+    AppendEntriesRequest,
+    InstallSnapshotRequest,
+    JoinRequest,
+    LeaseRequest,
+    Request,
+    StatusRequest,
+    TimeoutNowRequest,
+    VoteRequest,
+)
+from ryelock.consensus.quorum_lease import QuorumLease
+from ryelock.rpc import Message, Reply
+from ryelock.rpc.codec import decode, encode
+from ryelock.rpc.errors import MalformedMessageError
+
+Handler = Callable[[Any], object]
+"""Takes a request of its type and returns the reply, a message of `messages`."""
+
+
+class RequestDispatcher:
+    """Hands each request to the part that handles it; in the owner's task only.
+
+    Attributes:
+        handlers: The type of each request, and who handles it, by kind on the wire.
+    """
+
+    __slots__ = ("handlers", "receiver")
+
+    def __init__(
+        self, receiver: LogReceiver, election: Election, lease: QuorumLease, joining: Joining
+    ) -> None:
+        """Create the table of handlers."""
+        self.receiver = receiver
+        self.handlers: dict[str, tuple[type[Request], Handler]] = {
+            AppendEntriesRequest.KIND: (AppendEntriesRequest, receiver.on_heartbeat),
+            InstallSnapshotRequest.KIND: (InstallSnapshotRequest, receiver.on_snapshot),
+            VoteRequest.KIND: (VoteRequest, election.on_vote),
+            TimeoutNowRequest.KIND: (TimeoutNowRequest, election.on_timeout_now),
+            LeaseRequest.KIND: (LeaseRequest, lease.on_request),
+            StatusRequest.KIND: (StatusRequest, joining.on_status),
+            JoinRequest.KIND: (JoinRequest, joining.on_join),
+        }
+
+    def handles(self, message: Message) -> bool:
+        """Whether a message is of a kind that consensus handles."""
+        return str(message.get("kind")) in self.handlers
+
+    def handle(self, message: Message, reply: Reply) -> None:
+        """Answer a request that `handles` took; one that is malformed gets the reason."""
+        request_type, handler = self.handlers[str(message.get("kind"))]
+        try:
+            reply(encode(handler(decode(request_type, message))))
+        except MalformedMessageError as error:
+            reply(self.answer_to_malformed(request_type, message, error))
+
+    def answer_to_malformed(
+        self, request_type: type[Request], message: Message, error: MalformedMessageError
+    ) -> Message:
+        """Return what a malformed request is answered."""
+        if request_type in (AppendEntriesRequest, InstallSnapshotRequest):
+            rejection = self.receiver.rejection_of_malformed(message)
+            if rejection is not None:
+                return encode(rejection)
+        return {"fault": f"malformed: {error}"}
--- a/packages/consensus/ryelock/consensus/node.py
+++ b/packages/consensus/ryelock/consensus/node.py
@@ -3,7 +3,6 @@
 import math
 from collections.abc import Callable, Collection
 from random import Random
-from typing import Any
 
 from ryelock.consensus.applier import CommittedApplier
 from ryelock.consensus.commands import (
@@ -16,6 +15,7 @@
     PeerRequest,
 )
 from ryelock.consensus.compaction import Compaction
+from ryelock.consensus.dispatcher import RequestDispatcher
 from ryelock.consensus.election import Election
 from ryelock.consensus.election_timer import ElectionTimer
 from ryelock.consensus.entries import EntryKind, Snapshot, Voters
@@ -26,16 +26,6 @@
 from ryelock.consensus.leadership_transfer import LeadershipTransfer
 from ryelock.consensus.log import ReplicatedLog
 from ryelock.consensus.log_receiver import LogReceiver
-from ryelock.consensus.messages import (
-    AppendEntriesRequest,
-    InstallSnapshotRequest,
-    JoinRequest,
-    LeaseRequest,
-    Request,
-    StatusRequest,
-    TimeoutNowRequest,
-    VoteRequest,
-)
 from ryelock.consensus.payloads import Payloads
 from ryelock.consensus.pending import Outcome, PendingProposals, Proposal
 from ryelock.consensus.proposals import Proposals
@@ -47,16 +37,11 @@
 from ryelock.events import LEADER_STEPPED_DOWN, Log
 from ryelock.journal import Journal
 from ryelock.rpc import Message, Reply, RpcClients
-from ryelock.rpc.codec import decode, encode
-from ryelock.rpc.errors import MalformedMessageError
 from ryelock.runtime import Queue, Scheduler, Task
 
 APPLY_PAUSE_SECONDS = 0.0005
 """Seconds that the other tasks of the process get between two batches of applied entries."""
 
-Handler = Callable[[Any], object]
-"""Takes a request of its type and returns the reply, a message of `messages`."""
-
 
 class Consensus:
     """The composition root of a member, and the owner of its state.
@@ -68,9 +53,9 @@
     __slots__ = (
         "applier",
         "commands",
+        "dispatcher",
         "election",
         "followers",
-        "handlers",
         "isolation",
         "joining",
         "leadership",
@@ -162,19 +147,7 @@
         self.joining = Joining(
             state, rpc_clients, commands, self.timer, self.followers, self.replicator, seeds
         )
-        self.handlers = self.new_handlers()
-
-    def new_handlers(self) -> dict[str, tuple[type[Request], Handler]]:
-        """Return the type of each request, and who handles it, by kind on the wire."""
-        return {
-            StatusRequest.KIND: (StatusRequest, self.joining.on_status),
-            AppendEntriesRequest.KIND: (AppendEntriesRequest, self.receiver.on_heartbeat),
-            VoteRequest.KIND: (VoteRequest, self.election.on_vote),
-            InstallSnapshotRequest.KIND: (InstallSnapshotRequest, self.receiver.on_snapshot),
-            JoinRequest.KIND: (JoinRequest, self.joining.on_join),
-            LeaseRequest.KIND: (LeaseRequest, self.lease.on_request),
-            TimeoutNowRequest.KIND: (TimeoutNowRequest, self.election.on_timeout_now),
-        }
+        self.dispatcher = RequestDispatcher(self.receiver, self.election, self.lease, self.joining)
 
     # Life cycle.
 
@@ -229,7 +202,7 @@
             case FollowerReplied(follower, term, sent_at, result):
                 self.replicator.on_reply(follower, term, sent_at, result)
             case PeerRequest(message, reply):
-                self.handle(message, reply)
+                self.dispatcher.handle(message, reply)
             case HigherTermSeen(term):
                 self.leadership.observe_term(term)
             case ElectionWon(term):
@@ -256,28 +229,14 @@
 
     def answer(self, message: Message, reply: Reply) -> bool:
         """Queue a request of another process; False where its kind is not of consensus."""
-        if str(message.get("kind")) not in self.handlers:
+        if not self.dispatcher.handles(message):
             return False
         self.commands.put(PeerRequest(message, reply))
         return True
 
     def handle(self, message: Message, reply: Reply) -> None:
-        """Answer a request; one that is malformed gets the reason."""
-        request_type, handler = self.handlers[str(message.get("kind"))]
-        try:
-            reply(encode(handler(decode(request_type, message))))
-        except MalformedMessageError as error:
-            reply(self.answer_to_malformed(request_type, message, error))
-
-    def answer_to_malformed(
-        self, request_type: type[Request], message: Message, error: MalformedMessageError
-    ) -> Message:
-        """Return what a malformed request is answered."""
-        if request_type in (AppendEntriesRequest, InstallSnapshotRequest):
-            rejection = self.receiver.rejection_of_malformed(message)
-            if rejection is not None:
-                return encode(rejection)
-        return {"fault": f"malformed: {error}"}
+        """Answer a request at once; for the owner's task and for tests without one."""
+        self.dispatcher.handle(message, reply)
 
     # What the process asks of the group.
 
