--- a/packages/consensus/ryelock/consensus/entries.py
+++ b/packages/consensus/ryelock/consensus/entries.py
@@ -35,8 +35,8 @@
     """One entry of the log.
 
     Attributes:
-        kind: An `EntryKind`; a kind that this version does not know stays as it came, and applying
-            it does nothing.
+        kind: A member of `EntryKind`, so that `is` compares it; a kind that this version does not
+            know stays as it came, and applying it does nothing.
         repeated: Whether the state machine said that it had applied the command before. Such an
             entry is kept from replicas that lack the outcomes of old commands and would apply it a
             second time.
@@ -48,7 +48,7 @@
         """Create an entry that was not applied yet."""
         self.index = index
         self.term = term
-        self.kind = kind
+        self.kind = KINDS.get(kind, kind)
         self.data = data
         self.repeated = False
 
@@ -61,7 +61,7 @@
     """Read an entry from a message or record; raises MalformedMessageError."""
     match data:
         case [int(index), int(term), str(kind), bytes(content)]:
-            return Entry(index, term, KINDS.get(kind, kind), content)
+            return Entry(index, term, kind, content)
         case _:
             raise MalformedMessageError("entries: not an entry")
 
@@ -130,14 +130,17 @@
 
 
 def promise_record(noted: bool) -> bytes:
-    """Return the record that a lease of this voter may be in force, or that none is."""
+    """Return the record that a lease of this voter may be in force, or that none is.
+
+    `promise` is its older name on disk.
+    """
     return cbor2.dumps(["promise", noted])
 
 
 class Stored:
     """What a journal gave back, replayed: a later entry at an index replaces the tail."""
 
-    __slots__ = ("entries", "promised", "snapshot", "term", "voted")
+    __slots__ = ("entries", "lease_noted", "snapshot", "term", "voted_for")
 
     def __init__(self, snapshot: bytes | None, records: list[bytes]) -> None:
         """Replay the records behind a snapshot; raises ValueError on what is no record."""
@@ -146,8 +149,8 @@
         )
         self.entries: list[Entry] = []
         self.term = self.snapshot.term
-        self.voted = ""
-        self.promised = False
+        self.voted_for = ""
+        self.lease_noted = False
         for record in records:
             self.replay(cbor2.loads(record))
 
@@ -156,11 +159,11 @@
         match record:
             case ["entry", *entry]:
                 self.append(entry_from_wire(entry))
-            case ["vote", int(term), str(voted)]:
+            case ["vote", int(term), str(voted_for)]:
                 self.term = term
-                self.voted = voted
+                self.voted_for = voted_for
             case ["promise", bool(noted)]:
-                self.promised = noted
+                self.lease_noted = noted
             case _:
                 raise MalformedMessageError("unknown record")
 
