--- a/packages/edge/ryelock/edge/metrics.py
+++ b/packages/edge/ryelock/edge/metrics.py
@@ -10,16 +10,26 @@
 class EdgeMetrics:
     """Counters of an edge's request path, and gauges that read its admission queues."""
 
-    __slots__ = ("all", "attempts", "cache", "cancelled", "gates", "refusals", "scheduler")
+    __slots__ = (
+        "admission_queues",
+        "all",
+        "attempts",
+        "cache",
+        "cancelled",
+        "refusals",
+        "scheduler",
+    )
 
-    def __init__(self, gates: Mapping[str, AdmissionQueue], scheduler: Scheduler) -> None:
+    def __init__(
+        self, admission_queues: Mapping[str, AdmissionQueue], scheduler: Scheduler
+    ) -> None:
         """Create the metrics.
 
         Args:
-            gates: the edge's admission queues by service, as they come and go.
+            admission_queues: the edge's admission queues by service, as they come and go.
             scheduler: the clock.
         """
-        self.gates = gates
+        self.admission_queues = admission_queues
         self.scheduler = scheduler
         self.all = Metrics()
         self.refusals = self.all.counter(
@@ -34,24 +44,24 @@
         )
         self.add_gauge("rate_share", "Requests a second that may be sent.", self.share_of)
         self.add_gauge("rate_room", "Requests that may be sent now.", self.room_of)
-        self.add_gauge("demand", "Requests a second that lately came.", lambda gate: gate.demand)
-        self.add_gauge("in_flight", "Requests let through.", lambda gate: gate.in_flight)
-        self.add_gauge("waiting", "Requests that wait for room.", lambda gate: gate.waiting)
-        self.add_gauge("retries_left", "Retries that may be sent.", lambda gate: gate.budget.room)
+        self.add_gauge("demand", "Requests a second that lately came.", lambda queue: queue.demand)
+        self.add_gauge("in_flight", "Requests let through.", lambda queue: queue.in_flight)
+        self.add_gauge("waiting", "Requests that wait for room.", lambda queue: queue.waiting)
+        self.add_gauge("retries_left", "Retries that may be sent.", lambda queue: queue.budget.room)
 
     def add_gauge(self, name: str, note: str, read: Callable[[AdmissionQueue], float]) -> None:
         """Add a gauge that is read from the admission queue of each service."""
 
         def read_all() -> dict[Labels, float]:
-            return {(service,): read(gate) for service, gate in self.gates.items()}
+            return {(service,): read(queue) for service, queue in self.admission_queues.items()}
 
         self.all.gauge(name, note, read_all, "service")
 
-    def share_of(self, gate: AdmissionQueue) -> float:
+    def share_of(self, queue: AdmissionQueue) -> float:
         """Return the quota share of a service in requests a second, 0 where none is held."""
-        return gate.bucket.holding(self.scheduler.now())
+        return queue.bucket.holding(self.scheduler.now())
 
-    def room_of(self, gate: AdmissionQueue) -> float:
+    def room_of(self, queue: AdmissionQueue) -> float:
         """Return how many requests the token bucket would let through at this moment."""
-        gate.bucket.fill(self.scheduler.now())
-        return gate.bucket.room
+        queue.bucket.fill(self.scheduler.now())
+        return queue.bucket.room
--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -131,7 +131,7 @@
         peers = self.context.peers
         if peers is None or not self.may_ask(request):
             return None
-        peers.follow(self.context.member.members)
+        peers.update_members(self.context.member.members)
         zone = "" if request.peer is None else request.peer.zone
         owner = peers.owner((request.host, request.target), zone)
         if owner is None:
@@ -191,10 +191,10 @@
         self.keep = False
         self.sent_at = 0.0
         self.until, self.working_until = self.timeouts()
-        kept = peers.kept_connection(owner.order)
-        if kept is not None:
-            self.connection: Connection = kept[0]
-            self.reader = kept[1]
+        idle = peers.take_connection(owner.order)
+        if idle is not None:
+            self.connection: Connection = idle.connection
+            self.reader = idle.reader
         else:
             self.connection = self.context.network.connect(owner.order)
             self.reader = Reader(self.context.scheduler, self.connection)
@@ -218,19 +218,19 @@
         An owner without room in the service's rate rejects for all: what was fetched here instead
         would take as much of the rate, and serve this edge alone.
         """
-        self.peers.asked[self.owner.name] += 1
+        self.peers.requests_in_flight[self.owner.name] += 1
         try:
             if not self.connection.connected and not await self.connection.wait_connected(
                 CONNECT_SECONDS
             ):
-                self.peers.doubt(self.owner)
+                self.peers.suspect(self.owner)
                 return None
             reply = await self.look_up_and_fetch()
             if isinstance(reply, OwnerRejection) and reply.room_in is None:
                 return None
             return reply
         finally:
-            self.peers.asked[self.owner.name] -= 1
+            self.peers.requests_in_flight[self.owner.name] -= 1
             if self.keep:
                 self.peers.keep_connection(self.owner.order, self.connection, self.reader)
             else:
@@ -251,7 +251,10 @@
         another one then is a retry.
         """
         queue = self.context.admission_queues.get(self.request.service)
-        return queue is not None and queue.budget.room >= self.peers.asked[self.owner.name]
+        return (
+            queue is not None
+            and queue.budget.room >= self.peers.requests_in_flight[self.owner.name]
+        )
 
     async def look_up(self) -> OwnerReply | None:
         """Ask for a stored response. Whatever comes of it, no server was sent anything."""
@@ -320,8 +323,8 @@
                 found = await self.read_head(until)
             if found.is_error():
                 # An owner that answered others meanwhile is slow, not gone.
-                if self.peers.heard(self.owner) < self.sent_at:
-                    self.peers.doubt(self.owner)
+                if not self.peers.answered_since(self.owner, self.sent_at):
+                    self.peers.suspect(self.owner)
                 return None
             response = found.ok
             if not self.validator.is_for(self.request, response.head):
@@ -330,7 +333,7 @@
                 response, max(until, self.working_until), self.context.settings.answer_bytes
             )
         except (IncompleteMessageError, ReadTimeoutError, FramingError):
-            self.peers.doubt(self.owner)
+            self.peers.suspect(self.owner)
             return None
         self.keep = complete and response.keep_alive
         return self.read_reply(response.head, body, complete)
@@ -358,12 +361,12 @@
         ]
         server_head = ResponseHead(head.status, head.reason, 1, fields)
         if complete and age is not None:
-            self.peers.trust(self.owner)
+            self.peers.record_answer(self.owner)
             stored = self.read_stored(server_head, body, age)
             if stored is not None:
                 return stored
         elif complete and is_final(head.status) and field(head.fields, RELAYED_FIELD.lower()):
-            self.peers.trust(self.owner)
+            self.peers.record_answer(self.owner)
             return RelayedResponse(server_head, body)
         return OwnerRejection(
             head.status,
--- a/packages/edge/ryelock/edge/quorum_lease.py
+++ b/packages/edge/ryelock/edge/quorum_lease.py
@@ -2,14 +2,14 @@
 
 Where no voter knows a leader, so many voters must promise to join none that no majority can exist
 without one of them, and none of them may hold a log entry that this node has not applied. See
-promises.py for the argument and docs/consensus.md.
+quorum_votes.py for the argument and docs/consensus.md.
 """
 
 from dataclasses import dataclass, field
 
 from ryelock.edge.member import EdgeSession
 from ryelock.edge.node_report import NodeReporter
-from ryelock.edge.promises import QuorumLeaseVote, are_enough, decode_vote
+from ryelock.edge.quorum_votes import QuorumLeaseVote, decode_vote, is_quorum
 from ryelock.edge.session_delegate import SessionDelegate
 from ryelock.edge.session_messages import QuorumLeaseUpdate, quorum_lease_request
 from ryelock.events import LEASE_GRANTED_BY_QUORUM, Log
@@ -82,8 +82,8 @@
         index = self.member.replicated_state.index
         # A voter's later log entry may be committed: serving without it would break a change that
         # was acknowledged.
-        behind = any(vote.last > index for vote in ballot.votes)
-        if behind or not are_enough(ballot.votes):
+        behind = any(vote.last_index > index for vote in ballot.votes)
+        if behind or not is_quorum(ballot.votes):
             return
         expires_at = requested_at + self.member.settings.lease_seconds
         self.member.lease.extend(expires_at)
@@ -110,7 +110,7 @@
                 continue
             ballot.votes.append(vote)
             ballot.last_answer = answer
-            if are_enough(ballot.votes):
+            if is_quorum(ballot.votes):
                 break
         return ballot
 
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -2,7 +2,7 @@
 
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.peer_protocol import PEER_FIELD, SERVERS_FIELD, parse_count
-from ryelock.edge.plan import has_dots, host_of, path_of
+from ryelock.edge.plan import has_dot_segments, host_of, path_of
 from ryelock.edge.request import PeerOrigin, Request, RequestClass
 from ryelock.http import Fields, HttpExchange, field
 from ryelock.replicated_state import Route
@@ -77,7 +77,7 @@
         """Decide route, service and class by the configuration version that is now in force."""
         plan = self.context.plan
         request.version = plan.version
-        if has_dots(request.path):
+        if has_dot_segments(request.path):
             return None
         index = plan.resolve(request.host, request.path)
         if index < 0:
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -13,6 +13,7 @@
 from collections.abc import Sequence
 from random import Random
 
+from ryelock.edge.idle_connections import IdleConnection, is_clean, take_idle
 from ryelock.events import SERVER_EJECTED, SERVER_READMITTED, Log
 from ryelock.http import Reader
 from ryelock.membership import Server, ServerList
@@ -98,7 +99,7 @@
         self.used_at = 0.0
         self.gone = False
         self.full_until = 0.0
-        self.kept: list[tuple[Connection, Reader, float]] = []
+        self.kept: list[IdleConnection] = []
 
     @property
     def in_flight(self) -> int:
@@ -400,19 +401,9 @@
         for state in self.by_service.get(service, ()):
             state.aside_until = min(state.aside_until, now)
 
-    def kept_connection(self, state: ServerState) -> tuple[Connection, Reader] | None:
-        """Return an idle connection that may be reused; close those that may not.
-
-        Bytes that came while it was idle answer no request, so such a connection is never reused.
-        """
-        now = self.scheduler.now()
-        while state.kept:
-            connection, reader, until = state.kept.pop()
-            if connection.closed or connection.received.items or reader.buffer or now > until:
-                connection.close()
-                continue
-            return connection, reader
-        return None
+    def kept_connection(self, state: ServerState) -> IdleConnection | None:
+        """Return an idle connection that may be reused, or None."""
+        return take_idle(state.kept, self.scheduler.now())
 
     def keep_connection(
         self, state: ServerState, connection: Connection, reader: Reader, idle: float | None = None
@@ -429,9 +420,7 @@
         if (
             state.gone
             or state.server.leaving
-            or connection.closed
-            or reader.buffer
-            or connection.received.items
+            or not is_clean(connection, reader)
             or len(state.kept) >= IDLE_CONNECTIONS_MAX
         ):
             connection.close()
@@ -439,7 +428,8 @@
         idle_seconds = self.settings.link_idle_seconds
         if idle is not None:
             idle_seconds = min(idle_seconds, IDLE_TIME_PART * idle)
-        state.kept.append((connection, reader, self.scheduler.now() + idle_seconds))
+        until = self.scheduler.now() + idle_seconds
+        state.kept.append(IdleConnection(connection, reader, until))
 
 
 def as_candidate(state: ServerState) -> dict[str, object]:
--- a/packages/edge/ryelock/edge/upstream_client.py
+++ b/packages/edge/ryelock/edge/upstream_client.py
@@ -113,9 +113,9 @@
     def open_connection(self, request: Request, server: ServerState) -> UpstreamConnection:
         """Return an idle connection to a server, or a new one."""
         if self.validator.may_reuse_connection(request):
-            kept = self.context.servers.kept_connection(server)
-            if kept is not None:
-                return UpstreamConnection(*kept, reused=True)
+            idle = self.context.servers.kept_connection(server)
+            if idle is not None:
+                return UpstreamConnection(idle.connection, idle.reader, True)
         connection = self.context.network.connect(server.server.address)
         return UpstreamConnection(connection, Reader(self.context.scheduler, connection), False)
 
--- a/packages/testing/ryelock/testing/model/adapter.py
+++ b/packages/testing/ryelock/testing/model/adapter.py
@@ -17,7 +17,7 @@
 from ryelock.control_plane.identity import open_disk, read_identity
 from ryelock.control_plane.process import FINISH_SECONDS, LEAVE_SECONDS_MOST, ControlNode
 from ryelock.control_plane.voters import LEAVE, VoterManager
-from ryelock.edge.promises import QuorumLeaseVote, are_enough, decode_vote
+from ryelock.edge.quorum_votes import QuorumLeaseVote, decode_vote, is_quorum
 from ryelock.events import Event, Log
 from ryelock.journal import Folder, JournalError, open_journal
 from ryelock.membership import Membership
@@ -31,8 +31,8 @@
     "ProductNode",
     "QuorumLeaseVote",
     "Reply",
-    "are_enough",
     "decode_vote",
+    "is_quorum",
     "read_disk",
 ]
 
--- a/packages/testing/ryelock/testing/model/cluster.py
+++ b/packages/testing/ryelock/testing/model/cluster.py
@@ -17,8 +17,8 @@
     Message,
     ProductNode,
     QuorumLeaseVote,
-    are_enough,
     decode_vote,
+    is_quorum,
     read_disk,
 )
 from ryelock.testing.model.disk import Crash, ModelFolder
@@ -456,9 +456,9 @@
             if over[0] or promise is None or self.world.time > asked + PROMISE_ROUND_SECONDS:
                 return
             promises.append(promise)
-            if are_enough(promises):
+            if is_quorum(promises):
                 over[0] = True
-                last = max(promise.last for promise in promises)
+                last = max(promise.last_index for promise in promises)
                 self.history.windows.append(
                     PromiseWindow(self.world.time, asked + PROMISE_SECONDS, last)
                 )
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -125,9 +125,9 @@
 def idle_bytes_are_read() -> list[Patch]:
     def kept_link(_servers: Servers, state: Any) -> Any:
         while state.kept:
-            connection, reader, _ = state.kept.pop()
-            if not connection.closed:
-                return connection, reader
+            idle = state.kept.pop()
+            if not idle.connection.closed:
+                return idle
         return None
 
     return [mock.patch.object(Servers, "kept_connection", kept_link)]
--- a/tests/edge/test_owner_asks.py
+++ b/tests/edge/test_owner_asks.py
@@ -28,7 +28,7 @@
     """An object that one edge keeps, as another edge finds it; each number names another."""
     way = deployment.node(asking).traffic.handler
     assert way is not None and way.context.peers is not None
-    way.context.peers.follow(way.context.member.members)
+    way.context.peers.update_members(way.context.member.members)
     found = [
         target
         for target in (f"/covers/{place}" for place in range(400))
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -29,7 +29,7 @@
     """An object that one edge keeps, as another edge finds it."""
     way = scenario.node(asking).traffic.handler
     assert way is not None and way.context.peers is not None
-    way.context.peers.follow(way.context.member.members)
+    way.context.peers.update_members(way.context.member.members)
     return next(
         f"/covers/{number}"
         for number in range(300)
@@ -172,7 +172,7 @@
         scenario = shared(4, edges=1)
         way = scenario.node(scenario.edges[0]).traffic.handler
         assert way is not None and isinstance(way.context.peers, Peers)
-        way.context.peers.follow(way.context.member.members)
+        way.context.peers.update_members(way.context.member.members)
         self.assertIsNone(way.context.peers.owner(("", "/covers/1")))
 
 
@@ -273,7 +273,7 @@
 
     def view(self, name: str, members: dict[str, Session]) -> Peers:
         peers = Peers(Scheduler(SteppedClock(), raise_fault), name, members[name].zone, self.ZONES)
-        peers.follow(members)
+        peers.update_members(members)
         return peers
 
     def way(self, members: dict[str, Session], name: str, key: tuple[str, str]) -> list[str]:
@@ -316,7 +316,7 @@
             }
             self.assertEqual(len({zone for zone, _ in crossing}), len(crossing))
 
-    def test_a_doubted_owner_of_the_zone_is_passed_by_to_the_home(self) -> None:
+    def test_a_suspected_owner_of_the_zone_is_passed_by_to_the_home(self) -> None:
         members = self.edges()
         for number in range(40):
             key = (HOST, f"/covers/{number}")
@@ -325,7 +325,7 @@
                 first = peers.owner(key)
                 if first is None:
                     continue
-                peers.doubt(first)
+                peers.suspect(first)
                 owners = peers.owners_of(key)
                 then = peers.owner(key)
                 if owners.home in (name, first.name):
--- a/tests/support/consensus_takeouts.py
+++ b/tests/support/consensus_takeouts.py
@@ -280,7 +280,7 @@
 
 def few_promises() -> AbstractContextManager[object]:
     """An edge serves on as few promises as hold up the voters it knows of."""
-    return mock.patch("ryelock.edge.promises.majority_of", lambda voters: (voters + 1) // 2)
+    return mock.patch("ryelock.edge.quorum_votes.majority_of", lambda voters: (voters + 1) // 2)
 
 
 def leaves_at_once() -> AbstractContextManager[object]:
