--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -80,7 +80,7 @@
             request.is_probe,
         )
         if wait is not None:
-            return self.reject_for_room(request, queue, wait)
+            return self.reject_over_rate(request, queue, wait)
         request.admission = AdmissionOutcome.ADMITTED
         failure = self.check_after_wait(exchange)
         if failure is not None:
@@ -114,19 +114,19 @@
             timeout = min(timeout, route.target_seconds * QUEUE_TIMEOUT_PART)
         return timeout
 
-    def reject_for_room(self, request: Request, queue: AdmissionQueue, wait: float) -> Failure:
+    def reject_over_rate(self, request: Request, queue: AdmissionQueue, wait: float) -> Failure:
         """Return the failure of a request that got no slot; `wait` is the seconds until room."""
         bucket = queue.bucket
-        has_no_share = bucket.holding(self.context.scheduler.now()) <= 0 and not bucket.counted
+        holds_no_share = bucket.holding(self.context.scheduler.now()) <= 0 and not bucket.counted
         request.admission = (
-            AdmissionOutcome.NO_SHARE if has_no_share else AdmissionOutcome.OVER_RATE
+            AdmissionOutcome.NO_SHARE if holds_no_share else AdmissionOutcome.OVER_RATE
         )
         return Failure(
-            FailureKind.NO_SHARE if has_no_share else FailureKind.OVER_RATE,
+            FailureKind.NO_SHARE if holds_no_share else FailureKind.OVER_RATE,
             503,
             "the service is at its rate; the order was not sent",
             retry_after=retry_after(wait),
-            room_in=wait,
+            capacity_in=wait,
         )
 
     def check_after_wait(self, exchange: HttpExchange) -> Failure | None:
--- a/packages/edge/ryelock/edge/admission_queue.py
+++ b/packages/edge/ryelock/edge/admission_queue.py
@@ -57,12 +57,12 @@
         "arrivals",
         "bucket",
         "budget",
+        "capacity_changed",
         "demand",
         "demand_at",
         "in_flight",
         "queues",
         "retries_waiting",
-        "room_changed",
         "route_in_flight",
         "running",
         "scheduler",
@@ -84,7 +84,7 @@
         self.turns: deque[str] = deque()
         self.waiting = 0
         self.retries_waiting = 0
-        self.room_changed: Queue[bool] = Queue(scheduler)
+        self.capacity_changed: Queue[bool] = Queue(scheduler)
         self.arrivals = 0
         self.demand = 0.0
         self.demand_at = now
@@ -122,7 +122,7 @@
     def notify(self) -> None:
         """Have those who wait looked at again: room may have come."""
         if self.waiting:
-            self.room_changed.put(True)
+            self.capacity_changed.put(True)
 
     def queue_timeout(self) -> float:
         """Return the seconds that a request may wait: longer where tokens come seldom."""
@@ -133,7 +133,7 @@
         """Return the limit in flight of a route with a share of the service."""
         return max(1, math.ceil(self.service.flight * share))
 
-    def has_room(self, route: str, share: float) -> bool:
+    def has_capacity(self, route: str, share: float) -> bool:
         """Whether one more request of a route may be in flight."""
         return self.in_flight < self.service.flight and self.route_in_flight.get(
             route, 0
@@ -157,7 +157,7 @@
         """
         self.arrivals += 1
         now = self.scheduler.now()
-        if not self.waiting and self.has_room(route, share) and self.bucket.allow(now):
+        if not self.waiting and self.has_capacity(route, share) and self.bucket.allow(now):
             self.take_slot(route)
             return None
         wait = self.bucket.wait_for(now, self.waiting)
@@ -197,7 +197,7 @@
             if len(queue) == 1:
                 self.turns.append(route)
         self.waiting += 1
-        self.room_changed.put(True)
+        self.capacity_changed.put(True)
         return queued
 
     async def admit_retry(self, queue_timeout: float) -> bool:
@@ -239,21 +239,21 @@
         while True:
             self.drop_abandoned()
             if not self.turns:
-                self.room_changed.items.clear()
-                await self.room_changed.get()
+                self.capacity_changed.items.clear()
+                await self.capacity_changed.get()
                 continue
             now = self.scheduler.now()
             if self.in_flight >= self.service.flight:
-                await self.room_changed.get(IN_FLIGHT_WAIT_SECONDS)
+                await self.capacity_changed.get(IN_FLIGHT_WAIT_SECONDS)
                 continue
             wait = self.bucket.wait_for(now, 0)
             if wait > 0:
-                await self.room_changed.get(
+                await self.capacity_changed.get(
                     min(IN_FLIGHT_WAIT_SECONDS, max(TOKEN_WAIT_SECONDS_LEAST, wait))
                 )
                 continue
             if not self.admit_next(now):
-                await self.room_changed.get(IN_FLIGHT_WAIT_SECONDS)
+                await self.capacity_changed.get(IN_FLIGHT_WAIT_SECONDS)
 
     def admit_next(self, now: float) -> bool:
         """Admit one request of the first route that has room; False where none has."""
@@ -263,7 +263,7 @@
             self.drop_abandoned_of(queue)
             if not queue:
                 continue
-            if not self.has_room(route, 1.0) or not self.bucket.allow(now):
+            if not self.has_capacity(route, 1.0) or not self.bucket.allow(now):
                 self.turns.append(route)
                 continue
             queued = queue.popleft()
--- a/packages/edge/ryelock/edge/attempts.py
+++ b/packages/edge/ryelock/edge/attempts.py
@@ -72,7 +72,7 @@
                 break
             self.drop_error_response()
             is_last = number + 1 >= limit or request.peer is not None
-            ended = await self.try_server(server, is_last)
+            ended = await self.attempt_at(server, is_last)
             if ended is not None:
                 return ended
         return Ok(self.error_response) if self.error_response is not None else Error(self.failure)
@@ -115,7 +115,7 @@
             self.error_response.connection.abort()
             self.error_response = None
 
-    async def try_server(self, server: ServerState, is_last: bool) -> Ended | None:
+    async def attempt_at(self, server: ServerState, is_last: bool) -> Ended | None:
         """Make one attempt; None where the next server is to be tried."""
         self.tried.add(server.server.identity)
         attempt = Attempt(server.server.address, server.server.zone)
@@ -159,7 +159,7 @@
         if isinstance(error, AttemptCancelledError) and error.kind is FailureKind.RETRY_BUDGET:
             server.trying = False
             return Error(OVER_RETRY_BUDGET)
-        if self.blames_server(error, server, taken):
+        if self.counts_against_server(error, server, taken):
             self.context.servers.fared(server, False, taken)
         else:
             server.trying = False
@@ -184,7 +184,7 @@
         )
         return Error(self.failure) if error.rejected == TOO_MANY_REQUESTS else None
 
-    def blames_server(self, error: ClientError, server: ServerState, taken: float) -> bool:
+    def counts_against_server(self, error: ClientError, server: ServerState, taken: float) -> bool:
         """Whether a failure tells of the server: not where the request had no time left for it.
 
         Nor where nothing was sent for reasons of the caller, the route or the listing.
--- a/packages/edge/ryelock/edge/failures.py
+++ b/packages/edge/ryelock/edge/failures.py
@@ -39,7 +39,7 @@
         reason: why, for the caller and for explain.
         outcome_unknown: whether a server may have run the request.
         retry_after: seconds after which the caller should come back.
-        room_in: seconds until the service's rate is expected to have room; 0 where the rate is
+        capacity_in: seconds until the service's rate is expected to have room; 0 where the rate is
             not the reason, infinite where that is not known.
     """
 
@@ -48,7 +48,7 @@
     reason: str
     outcome_unknown: bool = False
     retry_after: float = 1.0
-    room_in: float = 0.0
+    capacity_in: float = 0.0
 
 
 class AttemptCancelledError(ClientError):
--- a/packages/edge/ryelock/edge/handler.py
+++ b/packages/edge/ryelock/edge/handler.py
@@ -212,7 +212,7 @@
         if shareable:
             reply = await self.owners.ask(exchange, request, route, progress.stale)
             if isinstance(reply, OwnerRejection):
-                return no_room_at_owner(reply)
+                return owner_over_rate(reply)
             if reply is not None:
                 await self.serve_from_owner(exchange, request, progress, reply)
                 return None
@@ -305,11 +305,11 @@
         context.recent_requests.keep(request)
 
 
-def no_room_at_owner(rejection: OwnerRejection) -> Failure:
+def owner_over_rate(rejection: OwnerRejection) -> Failure:
     """Return the failure of a request whose object's owner has no room in the service's rate."""
     return Failure(
         FailureKind.OWNER_OVER_RATE,
         503,
         "the service is at its rate; the order was not sent",
-        room_in=rejection.room_in or 0.0,
+        capacity_in=rejection.capacity_in or 0.0,
     )
--- a/packages/edge/ryelock/edge/metrics.py
+++ b/packages/edge/ryelock/edge/metrics.py
@@ -43,7 +43,7 @@
             "cache", "Requests on cached routes.", "service", "asked_by", "outcome"
         )
         self.add_gauge("rate_share", "Requests a second that may be sent.", self.share_of)
-        self.add_gauge("rate_room", "Requests that may be sent now.", self.room_of)
+        self.add_gauge("rate_room", "Requests that may be sent now.", self.tokens_of)
         self.add_gauge("demand", "Requests a second that lately came.", lambda queue: queue.demand)
         self.add_gauge("in_flight", "Requests let through.", lambda queue: queue.in_flight)
         self.add_gauge("waiting", "Requests that wait for room.", lambda queue: queue.waiting)
@@ -61,7 +61,7 @@
         """Return the quota share of a service in requests a second, 0 where none is held."""
         return queue.bucket.holding(self.scheduler.now())
 
-    def room_of(self, queue: AdmissionQueue) -> float:
+    def tokens_of(self, queue: AdmissionQueue) -> float:
         """Return how many requests the token bucket would let through at this moment."""
         queue.bucket.fill(self.scheduler.now())
         return queue.bucket.room
--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -26,11 +26,11 @@
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.peer_protocol import (
     AGE_FIELD,
+    CAPACITY_FIELD,
     LOOKUP,
     PEER_FIELD,
     PEER_FIELDS,
     RELAYED_FIELD,
-    ROOM_FIELD,
     SERVERS_FIELD,
     parse_count,
     parse_seconds,
@@ -89,13 +89,13 @@
     Attributes:
         status: what it answered.
         servers_reached: how many servers it reached; None where it does not say.
-        room_in: seconds until it expects room in the service's rate; None where it is not for want
-            of room that it has nothing.
+        capacity_in: seconds until it expects room in the service's rate; None where that is not why
+            it has nothing.
     """
 
     status: int
     servers_reached: int | None
-    room_in: float | None = None
+    capacity_in: float | None = None
 
 
 OwnerReply = StoredResponse | RelayedResponse | OwnerRejection
@@ -226,7 +226,7 @@
                 self.peers.suspect(self.owner)
                 return None
             reply = await self.look_up_and_fetch()
-            if isinstance(reply, OwnerRejection) and reply.room_in is None:
+            if isinstance(reply, OwnerRejection) and reply.capacity_in is None:
                 return None
             return reply
         finally:
@@ -371,7 +371,7 @@
         return OwnerRejection(
             head.status,
             parse_count(field(head.fields, SERVERS_FIELD.lower())),
-            parse_seconds(field(head.fields, ROOM_FIELD.lower())),
+            parse_seconds(field(head.fields, CAPACITY_FIELD.lower())),
         )
 
     def read_stored(self, head: ResponseHead, body: bytes, age: float) -> StoredResponse | None:
--- a/packages/edge/ryelock/edge/peer_protocol.py
+++ b/packages/edge/ryelock/edge/peer_protocol.py
@@ -11,10 +11,10 @@
 """Marks a server's response that is relayed and not stored."""
 AGE_FIELD = b"X-Ryelock-Age"
 """Age in seconds of a stored response, more precise than Age (RFC 9111, 5.1)."""
-ROOM_FIELD = b"X-Ryelock-Room-In"
+CAPACITY_FIELD = b"X-Ryelock-Room-In"
 """Seconds until the owner expects room in the service's rate."""
 PEER_FIELDS = frozenset(
-    name.lower() for name in (PEER_FIELD, SERVERS_FIELD, RELAYED_FIELD, AGE_FIELD, ROOM_FIELD)
+    name.lower() for name in (PEER_FIELD, SERVERS_FIELD, RELAYED_FIELD, AGE_FIELD, CAPACITY_FIELD)
 )
 """Fields that never go to a server or a client, in lower case."""
 LOOKUP = 0
--- a/packages/edge/ryelock/edge/rejections.py
+++ b/packages/edge/ryelock/edge/rejections.py
@@ -6,7 +6,7 @@
 
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.failures import Failure, FailureKind
-from ryelock.edge.peer_protocol import ROOM_FIELD, peer_fields
+from ryelock.edge.peer_protocol import CAPACITY_FIELD, peer_fields
 from ryelock.edge.request import AdmissionOutcome, Outcome, Request, RequestClass
 from ryelock.http import Fields, HttpExchange, field
 from ryelock.replicated_state import Route
@@ -18,10 +18,10 @@
 BACKOFF_LEAST_PART = 0.05
 BACKOFF_SPREAD_PART = 0.15
 """A caller comes back after these parts of the latency target, spread by chance."""
-ROOM_RETRY_AFTER_SECONDS_MOST = 0.9
+CAPACITY_RETRY_AFTER_SECONDS_MOST = 0.9
 """A caller is not kept away longer than this for want of room: the rate's shares move sooner."""
-COMES_BACK_STATUSES = (429, 503)
-OWN_COMES_BACK_STATUSES = (429, 502, 503, 504)
+RETRY_LATER_STATUSES = (429, 503)
+OWN_RETRY_LATER_STATUSES = (429, 502, 503, 504)
 CALLER_GONE_STATUS = 499
 CROWDED = (b"X-Ryelock-Outcome", b"crowded")
 """Tells a prober that the service is at its rate, so that the edge is not taken for faulty."""
@@ -42,13 +42,13 @@
         No caller is led to think that a request which may run once has not run where a server may
         have run it: such a one gets 502 in place of a status that asks it to come back.
         """
-        comes_back = failure.status in COMES_BACK_STATUSES
+        may_retry_later = failure.status in RETRY_LATER_STATUSES
         if (
-            comes_back
+            may_retry_later
             and request.may_have_run
             and request.request_class is RequestClass.AT_MOST_ONCE
         ):
-            failure = replace(failure, status=502, room_in=0.0)
+            failure = replace(failure, status=502, capacity_in=0.0)
         self.record(request, failure)
         if failure.status == CALLER_GONE_STATUS or exchange.client_disconnected:
             exchange.abort()
@@ -56,14 +56,14 @@
         if self.context.profile.own:
             fields = self.own_fields(exchange, request, failure)
         else:
-            fields = self.profile_fields(request, failure, comes_back)
+            fields = self.profile_fields(request, failure, may_retry_later)
         fields += peer_fields(request)
         if request.peer is not None and failure.kind in (
             FailureKind.OVER_RATE,
             FailureKind.OWNER_OVER_RATE,
         ):
-            room_in = min(failure.room_in, ROOM_RETRY_AFTER_SECONDS_MOST)
-            fields.append((ROOM_FIELD, b"%.3f" % room_in))
+            capacity_in = min(failure.capacity_in, CAPACITY_RETRY_AFTER_SECONDS_MOST)
+            fields.append((CAPACITY_FIELD, b"%.3f" % capacity_in))
         body = b"" if exchange.head.method == b"HEAD" else rejection_body(request, failure)
         await exchange.respond(failure.status, fields, body)
 
@@ -86,7 +86,9 @@
         retry_after: Fields = []
         if request.is_probe and request.admission is AdmissionOutcome.NO_SHARE:
             outcome = CROWDED
-        elif failure.status in OWN_COMES_BACK_STATUSES and (not failure.outcome_unknown or has_key):
+        elif failure.status in OWN_RETRY_LATER_STATUSES and (
+            not failure.outcome_unknown or has_key
+        ):
             jitter = self.context.random.random() * BACKOFF_JITTER_SECONDS
             retry_after = [(b"Retry-After", b"%d" % math.ceil(failure.retry_after + jitter))]
         return [
@@ -97,12 +99,12 @@
             *retry_after,
         ]
 
-    def profile_fields(self, request: Request, failure: Failure, comes_back: bool) -> Fields:
+    def profile_fields(self, request: Request, failure: Failure, may_retry_later: bool) -> Fields:
         """Return the fields of a rejection on an interface with names of its own."""
         profile = self.context.profile
         seconds = self.retry_after(request, failure)
         fields: Fields = [(b"Content-Type", b"application/json")]
-        if comes_back:
+        if may_retry_later:
             value = b"%.3f" % seconds if profile.fractions else b"%d" % math.ceil(seconds)
             fields.append((b"Retry-After", value))
         fields.append((profile.identity, request.identity.encode("latin-1")))
@@ -119,9 +121,9 @@
         if request.route is None:
             return UNROUTED_RETRY_AFTER_SECONDS
         backoff = backoff_seconds(self.context, request.route)
-        if not math.isfinite(failure.room_in):
+        if not math.isfinite(failure.capacity_in):
             return backoff
-        return max(backoff, min(backoff + failure.room_in, ROOM_RETRY_AFTER_SECONDS_MOST))
+        return max(backoff, min(backoff + failure.capacity_in, CAPACITY_RETRY_AFTER_SECONDS_MOST))
 
     def is_crowded(self, request: Request) -> bool:
         """Whether a request failed since the service is at its rate or its servers are full."""
@@ -142,5 +144,5 @@
 
 def rejection_body(request: Request, failure: Failure) -> bytes:
     """Return the body of a rejection: one JSON object on a line."""
-    told = {"error": failure.reason, "outcome": request.outcome.value, "order": request.identity}
-    return json.dumps(told).encode() + b"\n"
+    content = {"error": failure.reason, "outcome": request.outcome.value, "order": request.identity}
+    return json.dumps(content).encode() + b"\n"
--- a/packages/edge/ryelock/edge/request.py
+++ b/packages/edge/ryelock/edge/request.py
@@ -89,16 +89,16 @@
 
     def to_wire(self) -> dict[str, object]:
         """Return the attempt as explain tells it; what did not happen is left out."""
-        plain: dict[str, object] = {"server": self.server, "zone": self.zone, "sent": self.sent}
+        wire: dict[str, object] = {"server": self.server, "zone": self.zone, "sent": self.sent}
         if self.seconds is not None:
-            plain["seconds"] = self.seconds
+            wire["seconds"] = self.seconds
         if self.status is not None:
-            plain["status"] = self.status
+            wire["status"] = self.status
         if self.fault is not None:
-            plain["fault"] = self.fault
+            wire["fault"] = self.fault
         if self.rejected_status:
-            plain["declined"] = self.rejected_status
-        return plain
+            wire["declined"] = self.rejected_status
+        return wire
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/edge/ryelock/edge/response_validator.py
+++ b/packages/edge/ryelock/edge/response_validator.py
@@ -72,7 +72,7 @@
             return None
         if not request.is_probe and not self.is_for(request, head):
             return ForeignResponseError(self.foreign_reason(head))
-        if head.status == MISDIRECTED or self.says_not_run(head):
+        if head.status == MISDIRECTED or self.is_rejection(head):
             return ServerRejectedError(head.status)
         if not self.is_sealed(head):
             return UnsealedResponseError()
@@ -86,7 +86,7 @@
             return "an answer that does not say whose it is"
         return "an answer to another order"
 
-    def says_not_run(self, head: ResponseHead) -> bool:
+    def is_rejection(self, head: ResponseHead) -> bool:
         """Whether a server says for certain that it did not run the request."""
         not_run = self.context.profile.not_run
         return (
