--- a/packages/edge/ryelock/edge/attempts.py
+++ b/packages/edge/ryelock/edge/attempts.py
@@ -137,7 +137,7 @@
     ) -> Ended | None:
         """A response ends the request, but for a failure that another server may make good."""
         failed = response.head.status >= 500
-        self.context.servers.fared(response.server, not failed, taken)
+        self.context.servers.record_result(response.server, not failed, taken)
         attempt.status = response.head.status
         idempotent = self.call.request.request_class is RequestClass.IDEMPOTENT
         if failed and idempotent and not is_last and not self.context.profile.own:
@@ -157,12 +157,12 @@
         if error.rejected:
             return self.on_rejected(error, server, attempt)
         if isinstance(error, AttemptCancelledError) and error.kind is FailureKind.RETRY_BUDGET:
-            server.trying = False
+            server.trial_in_flight = False
             return Error(OVER_RETRY_BUDGET)
         if self.blames_server(error, server, taken):
-            self.context.servers.fared(server, False, taken)
+            self.context.servers.record_result(server, False, taken)
         else:
-            server.trying = False
+            server.trial_in_flight = False
         if error.sent and call.request.request_class is RequestClass.AT_MOST_ONCE:
             return Error(unknown_outcome(error))
         is_late = self.context.scheduler.now() >= call.until
@@ -175,7 +175,7 @@
     ) -> Ended | None:
         """A server did not run the request: another may be tried, unless it set a limit (429)."""
         attempt.rejected_status = error.rejected
-        self.context.servers.declined(server, error.rejected, FULL_SECONDS)
+        self.context.servers.record_rejection(server, error.rejected, FULL_SECONDS)
         self.failure = Failure(
             FailureKind.SERVER_REJECTED,
             503,
--- a/packages/edge/ryelock/edge/edge_delegate.py
+++ b/packages/edge/ryelock/edge/edge_delegate.py
@@ -57,7 +57,7 @@
 
     def on_server_list(self, server_list: ServerList) -> None:
         """Follow a new list of upstream servers."""
-        self.handler.context.servers.take(server_list)
+        self.handler.context.servers.update(server_list)
 
     def on_failed_callers(self, callers: list[bytes]) -> None:
         """Take note of callers who may retry here after a failure at another edge."""
--- a/packages/edge/ryelock/edge/preview.py
+++ b/packages/edge/ryelock/edge/preview.py
@@ -45,8 +45,8 @@
         state = self.context.servers.pick(request.service, set(), request.zone_verdicts, candidates)
         if state is None:
             return "no live server"
-        if state.trying:
-            state.trying = False
+        if state.trial_in_flight:
+            state.trial_in_flight = False
         return state.server.address
 
     def admission_state(self, service: str, now: float) -> dict[str, object]:
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -144,7 +144,7 @@
             lambda: self.member.leader,
             lambda: self.member.discovery.control_nodes,
             None,
-            self.fitness,
+            self.readiness.report,
             self.explain if self.role == EDGE_ROLE else None,
         )
 
@@ -264,10 +264,6 @@
         """Whether the node should get new callers."""
         return self.readiness.ready
 
-    def fitness(self) -> Message:
-        """Return the health report for the control API."""
-        return self.readiness.report()
-
     def on_message(self, message: Message, reply: Reply) -> None:
         """Answer who leads: a control API may be a seed, but has no disk and is no voter."""
         if message.get("kind") == LEADER_QUERY and self.role == CONTROL_API_ROLE:
--- a/packages/edge/ryelock/edge/relay.py
+++ b/packages/edge/ryelock/edge/relay.py
@@ -93,7 +93,7 @@
         request.outcome = Outcome.CUT
         if exchange.client_disconnected:
             return
-        self.context.servers.fared(upstream.server, False, 0.0)
+        self.context.servers.record_result(upstream.server, False, 0.0)
         self.context.log.write(
             RESPONSE_BROKEN,
             server=upstream.server.server.address,
@@ -104,7 +104,7 @@
     def release_connection(self, upstream: UpstreamResponse) -> None:
         """Keep a server's connection for other requests where its response was read to the end."""
         if upstream.response.keep_alive and upstream.response.body.complete:
-            self.context.servers.keep_connection(
+            self.context.servers.keep_idle_connection(
                 upstream.server,
                 upstream.connection,
                 upstream.reader,
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -62,27 +62,27 @@
         server: its entry in the server list.
         sent_at: monotonic times at which the requests in flight were sent, oldest first.
         failures: failures in a row.
-        aside_for: seconds of the last ejection, 0.0 once it serves again.
-        aside_until: monotonic time at which the ejection ends.
-        trying: whether a request tries it after an ejection.
+        ejection_seconds: seconds of the last ejection, 0.0 once it serves again.
+        ejected_until: monotonic time at which the ejection ends.
+        trial_in_flight: whether a request tries it after an ejection.
         latency: moving average of seconds to an answer's head, 0.0 where none is known.
         used_at: monotonic time of the last result.
         gone: whether it left the server list.
         full_until: monotonic time up to which it gets nothing since it rejected a request.
-        kept: idle connections, each with its reader and the time up to which it may be reused.
+        idle_connections: each with its reader and the time up to which it may be reused.
     """
 
     __slots__ = (
-        "aside_for",
-        "aside_until",
+        "ejected_until",
+        "ejection_seconds",
         "failures",
         "full_until",
         "gone",
-        "kept",
+        "idle_connections",
         "latency",
         "sent_at",
         "server",
-        "trying",
+        "trial_in_flight",
         "used_at",
     )
 
@@ -91,14 +91,14 @@
         self.server = server
         self.sent_at: list[float] = []
         self.failures = 0
-        self.aside_for = 0.0
-        self.aside_until = 0.0
-        self.trying = False
+        self.ejection_seconds = 0.0
+        self.ejected_until = 0.0
+        self.trial_in_flight = False
         self.latency = 0.0
         self.used_at = 0.0
         self.gone = False
         self.full_until = 0.0
-        self.kept: list[tuple[Connection, Reader, float]] = []
+        self.idle_connections: list[tuple[Connection, Reader, float]] = []
 
     @property
     def in_flight(self) -> int:
@@ -133,7 +133,7 @@
     def record_success(self, seconds: float) -> None:
         """End an ejection, and take a sample into the latency."""
         self.failures = 0
-        self.aside_for = 0.0
+        self.ejection_seconds = 0.0
         if not self.latency:
             self.latency = seconds
             return
@@ -145,15 +145,15 @@
         self.failures += 1
         self.latency = max(self.latency, seconds)
         if self.ejected:
-            doubled = max(EJECTION_MIN_SECONDS, self.aside_for * 2)
-            self.aside_for = min(EJECTION_MAX_SECONDS, doubled)
-            self.aside_until = now + self.aside_for
+            doubled = max(EJECTION_MIN_SECONDS, self.ejection_seconds * 2)
+            self.ejection_seconds = min(EJECTION_MAX_SECONDS, doubled)
+            self.ejected_until = now + self.ejection_seconds
 
     def close_idle(self) -> None:
         """Close all idle connections."""
-        for connection, _, _ in self.kept:
+        for connection, _, _ in self.idle_connections:
             connection.close()
-        self.kept = []
+        self.idle_connections = []
 
 
 class Servers:
@@ -161,10 +161,10 @@
 
     __slots__ = (
         "by_service",
-        "listing",
         "log",
         "random",
         "scheduler",
+        "server_list",
         "settings",
         "trial_at",
         "zone",
@@ -184,18 +184,18 @@
         self.log = log
         self.settings = settings
         self.zone = settings.zone
-        self.listing: ServerList | None = None
+        self.server_list: ServerList | None = None
         self.by_service: dict[str, list[ServerState]] = {}
         self.trial_at: dict[str, float] = {}
 
-    def take(self, listing: ServerList) -> None:
+    def update(self, server_list: ServerList) -> None:
         """Follow a server list; idle connections to servers that are gone or leaving close."""
         previous = {
             state.server.identity: state for states in self.by_service.values() for state in states
         }
-        self.listing = listing
+        self.server_list = server_list
         self.by_service = {}
-        for server in listing.servers:
+        for server in server_list.servers:
             state = previous.pop(server.identity, None) or ServerState(server)
             state.server = server
             self.by_service.setdefault(server.service, []).append(state)
@@ -205,14 +205,16 @@
             state.gone = True
             state.close_idle()
 
-    def live(self, now: float) -> bool:
+    def list_is_valid(self, now: float) -> bool:
         """Return whether the list is believed; without end where edges serve without a lease."""
-        return self.listing is not None and (self.settings.serve_lapsed or now < self.listing.until)
+        return self.server_list is not None and (
+            self.settings.serve_lapsed or now < self.server_list.until
+        )
 
     def is_live(self, state: ServerState, service: str, now: float) -> bool:
         """Return whether a request of a service may go to a server at this very moment."""
         return (
-            self.live(now)
+            self.list_is_valid(now)
             and not state.gone
             and not state.server.leaving
             and state.server.service == service
@@ -238,7 +240,7 @@
             connections: connections that a server takes, 0 where that is not limited.
         """
         now = self.scheduler.now()
-        if not self.live(now):
+        if not self.list_is_valid(now):
             return None
         states = self.by_service.get(service, ())
         if all(state.failures >= EJECTION_FAILURES or state.server.leaving for state in states):
@@ -270,7 +272,9 @@
         """Return why a server is no candidate; empty where it is one."""
         if state.server.leaving:
             return EXCLUDED_LEAVING
-        if state.failures >= EJECTION_FAILURES and (now < state.aside_until or state.trying):
+        if state.failures >= EJECTION_FAILURES and (
+            now < state.ejected_until or state.trial_in_flight
+        ):
             return EXCLUDED_EJECTED
         if self.settings.spread_region and not self.has_capacity(state, edges, connections, now):
             return EXCLUDED_FULL
@@ -351,7 +355,9 @@
 
         So seldom that all edges together send a failing service about one request a second.
         """
-        ejected = [state for state in states if not state.server.leaving and not state.trying]
+        ejected = [
+            state for state in states if not state.server.leaving and not state.trial_in_flight
+        ]
         if not ejected or now < self.trial_at.get(service, 0.0):
             if candidates is not None:
                 candidates += [
@@ -361,27 +367,27 @@
             return None
         pause = max(EJECTION_MIN_SECONDS, TRIAL_SECONDS_PER_EDGE * edges)
         self.trial_at[service] = now + min(EJECTION_MAX_SECONDS, pause)
-        picked = min(ejected, key=lambda state: state.aside_until)
+        picked = min(ejected, key=lambda state: state.ejected_until)
         self.start_trial(picked)
         return picked
 
     def start_trial(self, state: ServerState) -> None:
         """Let one request try an ejected server."""
-        state.trying = True
+        state.trial_in_flight = True
         self.log.write(SERVER_READMITTED, server=state.server.address)
 
-    def declined(self, state: ServerState, status: int, seconds: float) -> None:
+    def record_rejection(self, state: ServerState, status: int, seconds: float) -> None:
         """Record that a server did not run a request: it is full, or another has its address."""
-        state.trying = False
+        state.trial_in_flight = False
         pause = MISDIRECTED_PAUSE_SECONDS if status == MISDIRECTED_REQUEST else seconds
         state.full_until = self.scheduler.now() + pause
 
-    def fared(self, state: ServerState, fine: bool, seconds: float) -> None:
+    def record_result(self, state: ServerState, succeeded: bool, seconds: float) -> None:
         """Record the result of one attempt, which took some seconds."""
         now = self.scheduler.now()
-        state.trying = False
+        state.trial_in_flight = False
         state.used_at = now
-        if fine:
+        if succeeded:
             if state.ejected:
                 self.readmit_others(state.server.service, now)
             state.record_success(seconds)
@@ -391,30 +397,30 @@
             self.log.write(
                 SERVER_EJECTED,
                 server=state.server.address,
-                seconds=state.aside_for,
+                seconds=state.ejection_seconds,
                 service=state.server.service,
             )
 
     def readmit_others(self, service: str, now: float) -> None:
         """End the ejections of a service: what failed all its servers may be over."""
         for state in self.by_service.get(service, ()):
-            state.aside_until = min(state.aside_until, now)
+            state.ejected_until = min(state.ejected_until, now)
 
-    def kept_connection(self, state: ServerState) -> tuple[Connection, Reader] | None:
+    def take_idle_connection(self, state: ServerState) -> tuple[Connection, Reader] | None:
         """Return an idle connection that may be reused; close those that may not.
 
         Bytes that came while it was idle answer no request, so such a connection is never reused.
         """
         now = self.scheduler.now()
-        while state.kept:
-            connection, reader, until = state.kept.pop()
+        while state.idle_connections:
+            connection, reader, until = state.idle_connections.pop()
             if connection.closed or connection.received.items or reader.buffer or now > until:
                 connection.close()
                 continue
             return connection, reader
         return None
 
-    def keep_connection(
+    def keep_idle_connection(
         self, state: ServerState, connection: Connection, reader: Reader, idle: float | None = None
     ) -> None:
         """Keep a connection for reuse, or close it.
@@ -432,14 +438,14 @@
             or connection.closed
             or reader.buffer
             or connection.received.items
-            or len(state.kept) >= IDLE_CONNECTIONS_MAX
+            or len(state.idle_connections) >= IDLE_CONNECTIONS_MAX
         ):
             connection.close()
             return
         idle_seconds = self.settings.link_idle_seconds
         if idle is not None:
             idle_seconds = min(idle_seconds, IDLE_TIME_PART * idle)
-        state.kept.append((connection, reader, self.scheduler.now() + idle_seconds))
+        state.idle_connections.append((connection, reader, self.scheduler.now() + idle_seconds))
 
 
 def as_candidate(state: ServerState) -> dict[str, object]:
--- a/packages/edge/ryelock/edge/upstream_client.py
+++ b/packages/edge/ryelock/edge/upstream_client.py
@@ -113,7 +113,7 @@
     def open_connection(self, request: Request, server: ServerState) -> UpstreamConnection:
         """Return an idle connection to a server, or a new one."""
         if self.validator.may_reuse_connection(request):
-            kept = self.context.servers.kept_connection(server)
+            kept = self.context.servers.take_idle_connection(server)
             if kept is not None:
                 return UpstreamConnection(*kept, reused=True)
         connection = self.context.network.connect(server.server.address)
--- a/packages/testing/ryelock/testing/cases/answers.py
+++ b/packages/testing/ryelock/testing/cases/answers.py
@@ -190,7 +190,9 @@
             name = f"{stem}-warm{turn}-{number}"
             fleet.outside.scheduler.create_task(ignore(fleet, name), name="warm")
         fleet.world.run(SETTLE_SECONDS)
-        if all(state.kept for state in fleet.handler().context.servers.by_service[SERVICE]):
+        if all(
+            state.idle_connections for state in fleet.handler().context.servers.by_service[SERVICE]
+        ):
             return
     raise AssertionError(f"no connection is kept to some servers after {WARM_TURNS} turns")
 
--- a/packages/testing/ryelock/testing/cases/cluster_faults.py
+++ b/packages/testing/ryelock/testing/cases/cluster_faults.py
@@ -4,9 +4,11 @@
 outlive every fault.
 """
 
+from ryelock.edge.process import TrafficNode
 from ryelock.testing.cases.traffic import stubborn
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
+from ryelock.testing.simulated import SimNode
 
 
 def cut_edges(seed: int) -> Findings:
@@ -176,9 +178,7 @@
         scenario.world.run(0.3)
         scenario.start(name)
         scenario.world.run_until(
-            lambda node=node: bool(  # type: ignore[misc]
-                node.inner is not None and node.inner.fitness()["ready"]
-            ),
+            lambda node=node: is_ready(node),  # type: ignore[misc]
             20,
         )
     scenario.world.run(2)
@@ -189,3 +189,10 @@
             if told.end not in ("whole", "no link"):
                 found.broken("rolling", f"{told.identity} was cut: {told.end}")
     return found
+
+
+def is_ready(node: SimNode) -> bool:
+    """Return whether the process that runs on a node should get new callers."""
+    if isinstance(node.inner, TrafficNode):
+        return node.inner.ready
+    return node.inner is not None and bool(node.inner.fitness()["ready"])
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -455,8 +455,8 @@
             handler = self.handler(number)
             for state in handler.context.servers.by_service.get(SERVICE, []):
                 state.close_idle()
-                state.failures, state.full_until, state.aside_for = 0, 0.0, 0.0
-                state.aside_until, state.trying, state.latency = 0.0, False, 0.0
+                state.failures, state.full_until, state.ejection_seconds = 0, 0.0, 0.0
+                state.ejected_until, state.trial_in_flight, state.latency = 0.0, False, 0.0
             budget = handler.context.admission_queues[SERVICE].budget
             budget.room = budget.allowance
         for server in self.servers:
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -124,13 +124,13 @@
 
 def idle_bytes_are_read() -> list[Patch]:
     def kept_link(_servers: Servers, state: Any) -> Any:
-        while state.kept:
-            connection, reader, _ = state.kept.pop()
+        while state.idle_connections:
+            connection, reader, _ = state.idle_connections.pop()
             if not connection.closed:
                 return connection, reader
         return None
 
-    return [mock.patch.object(Servers, "kept_connection", kept_link)]
+    return [mock.patch.object(Servers, "take_idle_connection", kept_link)]
 
 
 def sent_again_after_silence() -> list[Patch]:
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -81,15 +81,15 @@
 
 
 def first_listing_for_ever() -> list[Patch]:
-    plain = Servers.take
+    plain = Servers.update
 
-    def take(servers: Servers, listing: Any) -> None:
-        if servers.listing is None:
+    def update(servers: Servers, listing: Any) -> None:
+        if servers.server_list is None:
             plain(servers, listing)
 
     return [
-        mock.patch.object(Servers, "take", take),
-        mock.patch.object(Servers, "live", always(True)),
+        mock.patch.object(Servers, "update", update),
+        mock.patch.object(Servers, "list_is_valid", always(True)),
     ]
 
 
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -629,7 +629,7 @@
         node = world.add("e", "e", "10.0.0.9")
         servers = Servers(node.scheduler, node.log, settings, node.random)
         names = dict(zip(("10.0.1.1:80", "10.0.1.2:80"), ("near", "other"), strict=True))
-        servers.take(
+        servers.update(
             ServerList(
                 "s",
                 1,
