--- a/packages/edge/ryelock/edge/probe_reporting.py
+++ b/packages/edge/ryelock/edge/probe_reporting.py
@@ -77,7 +77,7 @@
         if not results or owner is None:
             return
         message = self.message(role, results)
-        found = await self.rpc_clients.call(owner.wire, message, CALL_TIMEOUT_SECONDS)
+        found = await self.rpc_clients.call(owner.rpc_address, message, CALL_TIMEOUT_SECONDS)
         acknowledged = found.is_ok() and found.ok.get("ok") is True
         # The role may have moved while the call was under way: its new owner has none of these.
         if acknowledged and role.fencing_token == self.fencing_token:
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -91,9 +91,9 @@
         self.member = self.build_member()
         self.readiness = NodeReadiness(role, settings, self.member)
         self.listener = RpcServer(scheduler, network, log, settings.wire_address, self.on_message)
-        self.session.wire = self.listener.address
+        self.session.rpc_address = self.listener.address
         self.control_api = self.build_control_api()
-        self.session.control = self.control_api.listener.address
+        self.session.control_address = self.control_api.listener.address
         self.handler: RequestHandler | None = None
         self.request_server: HttpServer | None = None
         self.quota: QuotaShares | None = None
@@ -167,7 +167,7 @@
             handler.serve,
             bulk=True,
         )
-        self.session.order = self.request_server.address
+        self.session.request_address = self.request_server.address
         self.quota = QuotaShares(self.scheduler, self.member, handler.context.admission_queues)
         rollout = ConfigurationRollout(
             self.scheduler, settings, self.member, handler.context, self.request_server.limits
@@ -181,7 +181,7 @@
             self.scheduler,
             self.network,
             settings.name,
-            self.session.mark,
+            self.session.probe_secret,
             settings.machine,
             settings.zone,
             settings.probe_seconds,
@@ -206,9 +206,9 @@
             STARTED,
             role=self.role,
             zone=self.settings.zone,
-            wire=self.session.wire,
-            control=self.session.control,
-            orders=self.session.order,
+            wire=self.session.rpc_address,
+            control=self.session.control_address,
+            orders=self.session.request_address,
         )
         self.renewal.start()
         self.running.append(
@@ -297,5 +297,5 @@
     session.probes = role == PROBER_ROLE or (role == EDGE_ROLE and settings.probe)
     # Edges know each other's requests by the secret, as they know a prober's.
     has_secret = session.probes or (role == EDGE_ROLE and settings.share_copies)
-    session.mark = f"{random.getrandbits(64):016x}" if has_secret else ""
+    session.probe_secret = f"{random.getrandbits(64):016x}" if has_secret else ""
     return session
--- a/packages/edge/ryelock/edge/readiness.py
+++ b/packages/edge/ryelock/edge/readiness.py
@@ -73,7 +73,7 @@
             "version": state.version,
             "index": state.index,
             "served": session.served,
-            "orders": session.order,
+            "orders": session.request_address,
             "leader": self.member.leader,
             "term_left": round(self.member.lease.seconds_left, 3),
         }
--- a/packages/edge/ryelock/edge/request.py
+++ b/packages/edge/ryelock/edge/request.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from ryelock.cache import Fill
+from ryelock.cache import CacheKey, Fill
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.replicated_state import Route
 
@@ -122,13 +122,13 @@
         zone: zone of the peer.
         purges: number of the newest purge that the peer has applied.
         version: configuration version of the peer.
-        attempt_limit: how many servers may be sent the request; None for the route's own limit.
+        max_attempts: how many servers may be sent the request; None for the route's own limit.
     """
 
     zone: str
     purges: int
     version: int
-    attempt_limit: int | None
+    max_attempts: int | None
 
 
 @dataclass(slots=True, eq=False)
@@ -195,7 +195,7 @@
             self.attempts.append(OwnerAttempt(servers))
 
     @property
-    def cache_key(self) -> tuple[str, str, str]:
+    def cache_key(self) -> CacheKey:
         """Key of the object in the cache: route, host and target."""
         return self.route_name, self.host, self.target
 
--- a/tests/consensus/test_status.py
+++ b/tests/consensus/test_status.py
@@ -28,7 +28,7 @@
         """The replicas by name of their node, as operators read them."""
         status, answer = scenario.ask_now("GET", "/members")
         self.assertEqual(200, status)
-        names = {scenario.node(name).core.session.wire: name for name in scenario.cores}
+        names = {scenario.node(name).core.session.rpc_address: name for name in scenario.cores}
         found: Any = answer["replicas"]
         return {names[replica["address"]]: replica for replica in found}
 
@@ -84,7 +84,7 @@
         leader = scenario.leader()
         name = next(core for core in scenario.cores if core != leader)
         node = scenario.node(name)
-        node.scheduler.create_task(node.core.leave_consensus(node.scheduler.now() + 3), name="stop")
+        node.scheduler.create_task(node.core.departure.leave(node.scheduler.now() + 3), name="stop")
         scenario.world.run(0.3)
         self.assertEqual("leaving", self.fitness(scenario, name)["state"])
         self.assertEqual("leaving", self.replicas(scenario)[name]["state"])
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -148,8 +148,8 @@
         assert way is not None
         target = owned_by(scenario, scenario.edges[0], scenario.edges[1])
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
-        way.context.store.responses.clear()
-        way.context.store.purged += 1
+        way.context.store.variants.clear()
+        way.context.store.last_purge += 1
         before = self.arrivals(scenario, target)
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
         return self.arrivals(scenario, target) == before
@@ -267,7 +267,7 @@
             for number in range(4):
                 session = Session()
                 session.name, session.zone, session.role = f"{zone}{number}", zone, "edge"
-                session.order, session.ready = f"10.0.0.{len(found)}:80", True
+                session.request_address, session.ready = f"10.0.0.{len(found)}:80", True
                 found[session.name] = session
         return found
 
