--- a/packages/edge/ryelock/edge/upstream_client.py
+++ b/packages/edge/ryelock/edge/upstream_client.py
@@ -113,7 +113,7 @@
     def open_connection(self, request: Request, server: ServerState) -> UpstreamConnection:
         """Return an idle connection to a server, or a new one."""
         if self.validator.may_reuse_connection(request):
-            idle = self.context.servers.kept_connection(server)
+            idle = self.context.servers.take_idle_connection(server)
             if idle is not None:
                 return UpstreamConnection(idle.connection, idle.reader, True)
         connection = self.context.network.connect(server.server.address)
