--- a/packages/health/ryelock/health/probe.py
+++ b/packages/health/ryelock/health/probe.py
@@ -24,8 +24,7 @@
     read_response,
     send_request,
 )
-from ryelock.http.heads import FramingError
-from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.http.errors import FramingError, IncompleteMessageError, ReadTimeoutError
 from ryelock.replicated_state import Watch
 from ryelock.runtime import Connection, Network, Scheduler
 
--- a/packages/http/ryelock/http/heads.py
+++ b/packages/http/ryelock/http/heads.py
@@ -10,7 +10,6 @@
 from circuits.web.constants import HTTP_STATUS_CODES
 from circuits.web.parsers.http import HttpParser, InvalidRequestLine
 
-from ryelock.http.errors import FramingError as FramingError
 from ryelock.http.errors import (
     MalformedMessageError,
     MalformedStatusLineError,
--- a/packages/http/ryelock/http/reader.py
+++ b/packages/http/ryelock/http/reader.py
@@ -1,8 +1,11 @@
 """Reading from a connection with deadlines and limits: heads, lines and pieces of bodies."""
 
-from ryelock.http.errors import HeadTooLongError, MalformedMessageError
-from ryelock.http.errors import IncompleteMessageError as IncompleteMessageError
-from ryelock.http.errors import ReadTimeoutError as ReadTimeoutError
+from ryelock.http.errors import (
+    HeadTooLongError,
+    IncompleteMessageError,
+    MalformedMessageError,
+    ReadTimeoutError,
+)
 from ryelock.runtime import Connection, Scheduler
 
 MAX_LINE_BYTES = 4096
--- a/packages/testing/ryelock/testing/hosting_platform/clients.py
+++ b/packages/testing/ryelock/testing/hosting_platform/clients.py
@@ -11,8 +11,7 @@
 from random import Random
 
 from ryelock.http import Fields, Reader, fetch, field, read_response, send_request
-from ryelock.http.heads import FramingError
-from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.http.errors import FramingError, IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Connection, Network, Scheduler
 from ryelock.testing.hosting_platform.platform import Arrival, ServiceStandIn, Words
 
--- a/packages/testing/ryelock/testing/hosting_platform/platform.py
+++ b/packages/testing/ryelock/testing/hosting_platform/platform.py
@@ -17,7 +17,7 @@
 
 from ryelock.events import Log
 from ryelock.http import Fields, HttpExchange, HttpServer, Limits, ProtocolProfile, field
-from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.http.errors import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Connection, Network, Queue, Scheduler
 from ryelock.testing.stand_ins.servers import Objects, body_for
 
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -23,7 +23,7 @@
     field,
     parse_request_head,
 )
-from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.http.errors import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Connection
 from ryelock.settings import read_settings
 from ryelock.testing.simulated.world import SimNode, World
--- a/packages/testing/ryelock/testing/stand_ins/callers.py
+++ b/packages/testing/ryelock/testing/stand_ins/callers.py
@@ -8,8 +8,7 @@
 from random import Random
 
 from ryelock.http import Fields, Reader, field, read_response, send_request
-from ryelock.http.heads import FramingError
-from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.http.errors import FramingError, IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Connection, Network, Scheduler
 
 
--- a/packages/testing/ryelock/testing/stand_ins/servers.py
+++ b/packages/testing/ryelock/testing/stand_ins/servers.py
@@ -11,7 +11,7 @@
 
 from ryelock.events import Log
 from ryelock.http import Fields, HttpExchange, HttpServer, Limits, field, http_date
-from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
+from ryelock.http.errors import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Network, Scheduler
 
 WHOLE, SLOW, CUT, SHORT, LONG, WRONG, LOST, FAILING, DEAF = (
--- a/tests/metrics/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -3,8 +3,7 @@
 import unittest
 
 from deployment import Deployment
-from ryelock.http import read_response, send_request
-from ryelock.http.reader import Reader
+from ryelock.http import Reader, read_response, send_request
 from ryelock.metrics import Metrics
 from ryelock.testing.hosting_platform.clients import SAFE
 
