--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -22,7 +22,7 @@
 
 from expression import Result
 
-from ryelock.cache import CONDITIONAL_FIELDS, StoredResponse, copy_of, freshen
+from ryelock.cache import CONDITIONAL_FIELDS, StoredResponse, freshen, storable_response
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.peer_protocol import (
     AGE_FIELD,
@@ -191,12 +191,12 @@
         self.keep = False
         self.sent_at = 0.0
         self.until, self.working_until = self.timeouts()
-        kept = peers.kept_connection(owner.order)
+        kept = peers.kept_connection(owner.request_address)
         if kept is not None:
             self.connection: Connection = kept[0]
             self.reader = kept[1]
         else:
-            self.connection = self.context.network.connect(owner.order)
+            self.connection = self.context.network.connect(owner.request_address)
             self.reader = Reader(self.context.scheduler, self.connection)
 
     def timeouts(self) -> tuple[float, float]:
@@ -232,7 +232,7 @@
         finally:
             self.peers.asked[self.owner.name] -= 1
             if self.keep:
-                self.peers.keep_connection(self.owner.order, self.connection, self.reader)
+                self.peers.keep_connection(self.owner.request_address, self.connection, self.reader)
             else:
                 self.connection.abort()
 
@@ -302,8 +302,8 @@
         An owner that knows of fewer purges uses nothing that it has stored.
         """
         context, session = self.context, self.context.member.session
-        purges, version = context.store.purged, context.plan.version
-        return f"{session.name} {session.mark} {purges} {version}".encode()
+        purges, version = context.store.last_purge, context.plan.version
+        return f"{session.name} {session.probe_secret} {purges} {version}".encode()
 
     async def receive(self, until: float, waits_longer: bool = False) -> OwnerReply | None:
         """Return the owner's reply, or None where it gave no whole one to this request.
@@ -377,11 +377,11 @@
         if head.status == 304 and self.stale is not None:
             stored: StoredResponse | None = freshen(self.stale, head, self.sent_at, now)
         else:
-            stored = copy_of(
+            stored = storable_response(
                 self.exchange.head, self.route, head, head.fields, body, self.sent_at, now
             )
         if stored is not None:
-            stored.age_then = age + (now - self.sent_at)
+            stored.initial_age = age + (now - self.sent_at)
         return stored
 
 
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -62,7 +62,12 @@
         if len(parts) != 4 or not all(is_number(part) for part in parts[2:]):
             return None
         session = self.context.member.members.get(parts[0])
-        if session is None or session.mark == "" or session.mark != parts[1] or not session.zone:
+        if (
+            session is None
+            or session.probe_secret == ""
+            or session.probe_secret != parts[1]
+            or not session.zone
+        ):
             return None
         max_attempts = parse_count(field(fields, SERVERS_FIELD.lower()))
         return PeerOrigin(session.zone, int(parts[2]), int(parts[3]), max_attempts)
@@ -71,7 +76,9 @@
         """Whether a request comes from a prober that is a member; others may claim it in vain."""
         name, _, mark = (value or b"").decode("latin-1").partition(" ")
         session = self.context.member.members.get(name)
-        return session is not None and session.probes and mark != "" and session.mark == mark
+        return (
+            session is not None and session.probes and mark != "" and session.probe_secret == mark
+        )
 
     def find_route(self, request: Request) -> Route | None:
         """Decide route, service and class by the configuration version that is now in force."""
