--- a/packages/edge/ryelock/edge/relay.py
+++ b/packages/edge/ryelock/edge/relay.py
@@ -47,13 +47,13 @@
                 exchange.finish()
                 done = True
                 request.outcome = Outcome.ANSWERED
-                exchange.keep_from_caller()
+                exchange.detach_from_client()
                 self.release_connection(upstream)
         except (IncompleteMessageError, ReadTimeoutError, FramingError) as error:
             self.on_cut(exchange, request, upstream, error)
         finally:
             if not done:
-                exchange.keep_from_caller()
+                exchange.detach_from_client()
                 exchange.abort()
                 upstream.connection.abort()
 
--- a/packages/edge/ryelock/edge/upstream_client.py
+++ b/packages/edge/ryelock/edge/upstream_client.py
@@ -107,7 +107,7 @@
             return Error(ResponseTimeoutError("no answer in time"))
         finally:
             if not succeeded:
-                call.exchange.keep_from_caller()
+                call.exchange.detach_from_client()
                 upstream.connection.abort()
 
     def open_connection(self, request: Request, server: ServerState) -> UpstreamConnection:
@@ -142,7 +142,7 @@
         if upstream.has_stray_bytes:
             return StrayBytesError()
         if call.ends_with_caller:
-            call.exchange.end_with_caller(connection)
+            call.exchange.abort_with_client(connection)
         if not self.admission.count_send(call.exchange, call.request):
             return AttemptCancelledError(FailureKind.RETRY_BUDGET, "over the budget of repeats")
         return None
--- a/packages/http/ryelock/http/exchange.py
+++ b/packages/http/ryelock/http/exchange.py
@@ -86,17 +86,17 @@
         """Whether the client's connection has ended."""
         return self.connection.closed
 
-    def end_with_caller(self, upstream: Connection) -> None:
+    def abort_with_client(self, upstream: Connection) -> None:
         """Abort a connection to a server once the client disconnects, at once where it has.
 
-        One connection at a time; `keep_from_caller` undoes it.
+        One connection at a time; `detach_from_client` undoes it.
         """
         if self.client_disconnected:
             upstream.abort()
         else:
             self.connection.on_closed = upstream.abort
 
-    def keep_from_caller(self) -> None:
+    def detach_from_client(self) -> None:
         """Let the connection to the server outlive the client's."""
         self.connection.on_closed = None
 
--- a/tests/cli/test_program.py
+++ b/tests/cli/test_program.py
@@ -69,7 +69,7 @@
         self.assertEqual(2, code)
         self.assertIn("No such file", error)
 
-    def test_a_taken_port_and_a_bad_folder_are_plain(self) -> None:
+    def test_a_port_in_use_and_an_unusable_folder_have_one_line(self) -> None:
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             taken.listen()
@@ -83,7 +83,7 @@
         self.assertEqual((1, 1), (code, len(error.splitlines())), error)
         self.assertIn("data folder", error)
 
-    def test_tools_say_when_nobody_is_reached(self) -> None:
+    def test_commands_report_that_no_node_was_reached(self) -> None:
         code, _, error = program("read", "--at", "127.0.0.1:1")
         self.assertEqual(5, code)
         self.assertIn("127.0.0.1:1", error)
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -60,11 +60,11 @@
 
 
 class HeadTests(testtools.TestCase):
-    def test_bad_heads_are_declined(self) -> None:
+    def test_malformed_heads_are_rejected(self) -> None:
         for head in BAD_HEADS:
             self.assertRaises(FramingError, parse_request_head, head)
 
-    def test_doubtful_lengths_are_declined(self) -> None:
+    def test_ambiguous_lengths_are_rejected(self) -> None:
         for fields in BAD_FRAMING:
 
             def framing(fields: Any = fields) -> None:
@@ -81,7 +81,7 @@
         answer = parse_response_head(b"HTTP/1.1 203 Non-Authoritative Information\r\nA: b")
         self.assertEqual(b"Non-Authoritative Information", answer.reason)
 
-    def test_hop_by_hop_fields_are_not_passed_on(self) -> None:
+    def test_hop_by_hop_fields_are_not_forwarded(self) -> None:
         fields = [
             (b"Connection", b"close, X-Mine, Host"),
             (b"X-Mine", b"1"),
@@ -116,7 +116,7 @@
         self.taken.append((exchange.head.target, body))
         await exchange.respond(200, [], b"<" + body + b">")
 
-    def say(self, *pieces: bytes, seconds: float = 8.0) -> bytes:
+    def send(self, *pieces: bytes, seconds: float = 8.0) -> bytes:
         async def work() -> bytes:
             connection = self.client.network.connect("10.0.0.1:80")
             await connection.wait_connected(1.0)
@@ -133,18 +133,18 @@
 
         return self.world.task(self.client, work(), seconds + 5)
 
-    def test_pipelined_orders_are_answered_in_turn(self) -> None:
+    def test_pipelined_requests_are_answered_in_turn(self) -> None:
         one = b"POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab"
         two = CHUNKED.replace(b"/", b"/2", 1) + b"2\r\ncd\r\n0\r\n\r\n"
         three = b"GET /3 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
         whole = one + two + three
         for cut in (len(whole), 1, 40, 60, 75, 140, 150):
             self.taken.clear()
-            found = self.say(whole[:cut], whole[cut:])
+            found = self.send(whole[:cut], whole[cut:])
             self.assertEqual([(b"/1", b"ab"), (b"/2", b"cd"), (b"/3", b"")], self.taken)
             self.assertEqual(3, found.count(b"HTTP/1.1 200"))
 
-    def test_bad_input_is_answered_and_the_door_lives_on(self) -> None:
+    def test_malformed_requests_are_answered_and_the_server_goes_on(self) -> None:
         for bad, status in (
             (b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"y" * 3000 + b"\r\n\r\n", b"431"),
             (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2000\r\n\r\n", b"413"),
@@ -153,38 +153,38 @@
             (b"GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n", b"417"),
             (b"\x16\x03\x01\x00\x00\x00\r\n\r\n", b"400"),
         ):
-            found = self.say(bad)
+            found = self.send(bad)
             self.assertEqual(b"HTTP/1.1 " + status, found[:12], repr(bad))
             self.assertIn(b"Connection: close", found)
         self.assertEqual([], self.taken)
-        self.assertIn(b"200", self.say(b"GET /x HTTP/1.0\r\n\r\n"))
+        self.assertIn(b"200", self.send(b"GET /x HTTP/1.0\r\n\r\n"))
 
-    def test_an_order_cut_in_its_body_is_not_served(self) -> None:
-        self.say(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc", seconds=0.5)
+    def test_a_request_cut_in_its_body_is_not_served(self) -> None:
+        self.send(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc", seconds=0.5)
         self.world.run(10)
         self.assertEqual([], self.taken)
         self.assertEqual({}, self.listener.connections)
 
-    def test_an_order_that_takes_too_long_is_told(self) -> None:
-        found = self.say(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc")
+    def test_a_request_that_takes_too_long_gets_408(self) -> None:
+        found = self.send(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc")
         self.assertEqual(b"HTTP/1.1 408", found[:12])
-        self.assertEqual(b"", self.say(b"", seconds=7.0))
+        self.assertEqual(b"", self.send(b"", seconds=7.0))
 
-    def test_expect_is_told_to_go_on(self) -> None:
-        found = self.say(
+    def test_an_expectation_gets_100_continue(self) -> None:
+        found = self.send(
             b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
             b"Content-Length: 2\r\nConnection: close\r\n\r\n",
             b"ab",
         )
         self.assertTrue(found.startswith(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200"))
 
-    def test_links_above_the_limit_are_told_at_once(self) -> None:
+    def test_connections_above_the_limit_get_503_at_once(self) -> None:
         for _ in range(3):
             self.client.network.connect("10.0.0.1:80")
         self.world.run(0.5)
-        self.assertIn(b"503", self.say(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", seconds=1.0))
+        self.assertIn(b"503", self.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", seconds=1.0))
 
-    def test_an_answer_without_a_provable_end_is_declined(self) -> None:
+    def test_a_response_without_a_provable_end_is_rejected(self) -> None:
         for answer, whole in (
             (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", b"abc"),
             (b"HTTP/1.1 200 OK\r\n\r\nabc", None),
@@ -263,7 +263,7 @@
             self.assertTrue(may_reuse(copy, CACHED, [], 100.0 + lasts - 0.1), repr(fields))
             self.assertFalse(may_reuse(copy, CACHED, [], 100.0 + lasts + 0.1), repr(fields))
 
-    def test_what_an_order_asks_is_kept_to(self) -> None:
+    def test_cache_control_of_a_request_is_obeyed(self) -> None:
         copy = kept((b"ETag", b'"1"'))
         assert copy is not None
         for asked, usable in (
--- a/tests/metrics/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -45,7 +45,7 @@
         self.assertIn("# TYPE ryelock_refusals_total counter", lines)
         self.assertIn("# TYPE ryelock_share gauge", lines)
 
-    def test_an_edge_tells_why_it_refused(self) -> None:
+    def test_an_edge_counts_why_it_rejected(self) -> None:
         deployment = Deployment(41).set_up()
         note = deployment.ask(SAFE, "GET", "/plain/a")
         self.assertEqual(200, note.status)
--- a/tests/rpc/test_bad_input.py
+++ b/tests/rpc/test_bad_input.py
@@ -72,7 +72,7 @@
             {key: duty.to_wire() for key, duty in core.replicated_state.singletons.items()},
         ]
 
-    def test_bad_frames_and_asks_move_nothing(self) -> None:
+    def test_malformed_frames_and_calls_change_nothing(self) -> None:
         scenario = Scenario(1)
         scenario.set_up()
         scenario.world.run(2)
@@ -105,7 +105,7 @@
         self.assertEqual([], scenario.world.faults)
         self.assertEqual(leader, scenario.leader())
 
-    def test_a_full_disk_stops_acknowledging_and_says_so(self) -> None:
+    def test_a_full_disk_stops_acknowledging_and_logs_it(self) -> None:
         scenario = Scenario(2)
         scenario.set_up()
         scenario.world.run(2)
@@ -163,7 +163,7 @@
         self.assertEqual(1, scenario.node(name).core.replicated_state.version)
         self.assertTrue(any(file.startswith("damaged-") for file in folder.names()))
 
-    def test_a_bad_listing_changes_nothing(self) -> None:
+    def test_a_malformed_server_list_changes_nothing(self) -> None:
         scenario = Scenario(4)
         scenario.set_up()
         scenario.platform.servers["bad"] = {"service": "pages", "address": "nowhere"}
