--- a/packages/testing/ryelock/testing/cases/catch_up.py
+++ b/packages/testing/ryelock/testing/cases/catch_up.py
@@ -59,16 +59,16 @@
         name, path = f"many-{number % ROUTES}", f"/many/{number}"
         put: dict[str, object] = {"routes": {name: {"path": path, "service": "pages"}}}
         while self.going:
-            told = await self.scenario.change(f"many-{number}", self.version, put)
-            if told.status == 200:
+            record = await self.scenario.change(f"many-{number}", self.version, put)
+            if record.status == 200:
                 self.found.look("changes")
-                if told.version != self.version + 1:
-                    self.found.broken("changes", f"{path}: version {told.version}")
-                self.version = told.version
+                if record.version != self.version + 1:
+                    self.found.broken("changes", f"{path}: version {record.version}")
+                self.version = record.version
                 self.acknowledged.append((name, path))
                 return
-            if told.status in FINAL_REFUSALS:
-                self.found.broken("changes", f"{path} was told {told.status}")
+            if record.status in FINAL_REFUSALS:
+                self.found.broken("changes", f"{path} was told {record.status}")
                 self.going = False
             await self.scenario.operators.scheduler.sleep(RESEND_SECONDS)
 
--- a/packages/testing/ryelock/testing/cases/cluster_faults.py
+++ b/packages/testing/ryelock/testing/cases/cluster_faults.py
@@ -36,7 +36,7 @@
     found = Findings()
     for number in range(4):
         scenario.world.task(scenario.operators, scenario.add_route(f"gen-p-{number}", version), 30)
-        version = max(changed.version for changed in scenario.changes)
+        version = max(change.version for change in scenario.changes)
         for name in scenario.cores:
             scenario.world.kill(name, True)
         scenario.world.run(0.5 + number)
@@ -113,7 +113,7 @@
                 scenario.world.cut(one, other)
     cut_at = scenario.world.time
     scenario.world.run(10)
-    served = sum(told.status == 200 and told.at > cut_at + 5 for told in scenario.notes)
+    served = sum(record.status == 200 and record.sent_at > cut_at + 5 for record in scenario.notes)
     scenario.world.heal()
     scenario.mend_all()
     mended = scenario.world.time
@@ -140,7 +140,7 @@
         if not voters_are_replaced(scenario):
             found.broken("voters", "the lost voter was not replaced")
         scenario.world.task(scenario.operators, scenario.add_route(f"gen-d-{turn}", version), 30)
-        version = max(changed.version for changed in scenario.changes)
+        version = max(change.version for change in scenario.changes)
         lost = scenario.random.choice(scenario.cores)
         scenario.lose_disk(lost)
         scenario.world.run(1)
@@ -185,9 +185,9 @@
         )
     scenario.world.run(2)
     found = scenario.findings()
-    for told in scenario.notes:
-        if told.at >= began and told.end:
+    for record in scenario.notes:
+        if record.sent_at >= began and record.ending:
             found.look("rolling")
-            if told.end not in ("whole", "no link"):
-                found.broken("rolling", f"{told.identity} was cut: {told.end}")
+            if record.ending not in ("whole", "no link"):
+                found.broken("rolling", f"{record.identity} was cut: {record.ending}")
     return found
--- a/packages/testing/ryelock/testing/cases/crash_points.py
+++ b/packages/testing/ryelock/testing/cases/crash_points.py
@@ -11,7 +11,7 @@
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.simulated.world import SimNode
-from ryelock.testing.stand_ins.callers import Caller, Told
+from ryelock.testing.stand_ins.callers import Caller, RequestRecord
 
 Check = Callable[[], str]
 """What is wrong once the cluster is back; empty when the operation was kept or never taken."""
@@ -131,7 +131,7 @@
     )
     key = [(b"Idempotency-Key", b"point")]
 
-    def send() -> TaskCoroutine[Told]:
+    def send() -> TaskCoroutine[RequestRecord]:
         return caller.request(
             f"{scenario.node(scenario.edges[0]).host}:3", "POST", "/orders/1", "point", key, b"body"
         )
@@ -140,7 +140,7 @@
 
     def check() -> str:
         answer = scenario.world.task(scenario.outside, send(), 40)
-        runs = sum(ran.identity == "point" for ran in scenario.history)
+        runs = sum(request.identity == "point" for request in scenario.history)
         return "" if runs == 1 and answer.status in (200, 409) else f"{runs} runs, {answer.status}"
 
     return check
--- a/packages/testing/ryelock/testing/cases/traffic.py
+++ b/packages/testing/ryelock/testing/cases/traffic.py
@@ -8,8 +8,17 @@
 
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
-from ryelock.testing.stand_ins.callers import Caller, Told
-from ryelock.testing.stand_ins.servers import CUT, DEAF, FAILING, LONG, LOST, SHORT, WRONG
+from ryelock.testing.stand_ins.callers import Caller, RequestRecord
+from ryelock.testing.stand_ins.servers import ServerBehavior
+
+BODY_FAULTS = (
+    ServerBehavior.LOST,
+    ServerBehavior.CUT,
+    ServerBehavior.SHORT,
+    ServerBehavior.LONG,
+    ServerBehavior.WRONG,
+    ServerBehavior.DEAF,
+)
 
 
 def crowd(seed: int) -> Findings:
@@ -29,22 +38,22 @@
     scenario.start_callers(60, 3.0, 40)
     scenario.world.run(6)
     broken = next(iter(scenario.servers.values()))
-    broken.manner = LOST
+    broken.behavior = ServerBehavior.LOST
     scenario.world.run(6)
     scenario.world.kill(scenario.edges[0])
     scenario.world.run(2)
     scenario.start(scenario.edges[0])
-    broken.manner = "whole"
+    broken.behavior = ServerBehavior.SOUND
     scenario.world.run(10)
     found = scenario.findings()
-    for told in scenario.notes:
-        if told.status in (429, 503) and told.whole:
+    for record in scenario.notes:
+        if record.status in (429, 503) and record.complete:
             found.look("given up")
-            if not told.retry_after:
-                found.broken("given up", f"{told.identity}: no Retry-After")
-            if told.seconds > 1.5:
-                found.broken("given up", f"{told.identity} held back {told.seconds:.2f} s")
-    served = {told.method for told in scenario.notes if told.status == 200}
+            if not record.retry_after:
+                found.broken("given up", f"{record.identity}: no Retry-After")
+            if record.seconds > 1.5:
+                found.broken("given up", f"{record.identity} held back {record.seconds:.2f} s")
+    served = {record.method for record in scenario.notes if record.status == 200}
     if "POST" not in served:
         found.broken("given up", "no POST was served: cheap orders starve them")
     return found
@@ -56,12 +65,12 @@
     scenario.set_up()
     scenario.start_callers(16, 4.0)
     servers = list(scenario.servers.values())
-    for manner in (LOST, CUT, SHORT, LONG, WRONG, DEAF):
+    for behavior in BODY_FAULTS:
         for server in servers[:4]:
-            server.manner = manner
+            server.behavior = behavior
         scenario.world.run(3)
         for server in servers[:4]:
-            server.manner = "whole"
+            server.behavior = ServerBehavior.SOUND
         scenario.world.run(1)
     return scenario.findings()
 
@@ -74,7 +83,7 @@
     count = 0
     while scenario.callers_on:
         count += 1
-        marks = [changed.mark for changed in scenario.changes if changed.mark][-3:]
+        marks = [change.marker_path for change in scenario.changes if change.marker_path][-3:]
         for target in [*marks, f"/covers/{count % 8}"]:
             await caller.request(
                 f"{scenario.node(edge).host}:3", "GET", target, f"s{edge}-{count}-{target}"
@@ -154,7 +163,7 @@
     control_apis = [server for server in scenario.servers.values() if server.service == "desks"]
     for turn in range(4):
         for server in control_apis:
-            server.manner = LOST if turn % 2 == 0 else "whole"
+            server.behavior = ServerBehavior.LOST if turn % 2 == 0 else ServerBehavior.SOUND
             server.delay = 0.3
         scenario.world.run(2)
         edge = scenario.edges[turn]
@@ -181,15 +190,15 @@
     scenario.mend_all()
     scenario.world.run(6)
     found = scenario.findings()
-    by_identity: dict[str, list[Told]] = {}
-    for told in scenario.notes:
-        if told.method == "POST":
-            by_identity.setdefault(told.identity, []).append(told)
+    by_identity: dict[str, list[RequestRecord]] = {}
+    for record in scenario.notes:
+        if record.method == "POST":
+            by_identity.setdefault(record.identity, []).append(record)
     again = [notes for notes in by_identity.values() if len(notes) > 1]
     found.look("keys", len(again))
     if not any(
         notes[-1].status == 200
-        and any(told.status == 502 and told.outcome == "not-run" for told in notes)
+        and any(record.status == 502 and record.outcome == "not-run" for record in notes)
         for notes in again
     ):
         found.broken("keys", "no order went again after its claim was given back")
@@ -215,7 +224,7 @@
     scenario.world.run(6)
     since = scenario.world.time
     scenario.world.run(10)
-    served = sum(ran.service == "desks" and ran.at >= since for ran in scenario.history)
+    served = sum(request.service == "desks" and request.at >= since for request in scenario.history)
     for turn in range(3):
         scenario.world.kill(scenario.edges[turn], turn % 2 == 0)
         if turn == 1:
@@ -231,7 +240,7 @@
         scenario.world.run(3.0)
     since = scenario.world.time
     scenario.world.run(10)
-    again = sum(ran.service == "desks" and ran.at >= since for ran in scenario.history)
+    again = sum(request.service == "desks" and request.at >= since for request in scenario.history)
     found = scenario.findings()
     for count in (served, again):
         found.look("goodput")
@@ -254,22 +263,22 @@
     scenario.world.run(6)
     for server in scenario.servers.values():
         if server.service == "pages":
-            server.manner = FAILING
+            server.behavior = ServerBehavior.FAILING
     scenario.world.run(8)
     for server in scenario.servers.values():
-        server.manner = "whole"
+        server.behavior = ServerBehavior.SOUND
     scenario.world.run(8)
     found = scenario.findings()
     late = [
-        told
-        for told in scenario.notes
-        if told.target.startswith("/plain/")
-        and told.end
-        and told.identity.startswith("c")
-        and told.at > scenario.world.time - 4.0
+        record
+        for record in scenario.notes
+        if record.target.startswith("/plain/")
+        and record.ending
+        and record.identity.startswith("c")
+        and record.sent_at > scenario.world.time - 4.0
     ]
     found.look("others", len(late))
-    if sum(told.status == 200 for told in late) < 0.9 * len(late):
+    if sum(record.status == 200 for record in late) < 0.9 * len(late):
         found.broken("others", "first orders were declined 4 s after the service was back")
     return found
 
@@ -289,14 +298,14 @@
             edges = scenario.ready_edges()
             if edges and (moving or edge not in edges):
                 edge = random.choice(edges)
-            told = await caller.request(
+            record = await caller.request(
                 f"{scenario.node(edge).host}:3",
                 "GET",
                 target,
                 f"p{number}-{count}",
                 [(b"User-Agent", name)],
             )
-            if told.status == 200 or not scenario.callers_on:
+            if record.status == 200 or not scenario.callers_on:
                 break
             await scenario.outside.scheduler.sleep(0.05)
     caller.close()
--- a/packages/testing/ryelock/testing/checks.py
+++ b/packages/testing/ryelock/testing/checks.py
@@ -4,16 +4,17 @@
 violation for each of them.
 """
 
+import math
 from dataclasses import dataclass
 
-from ryelock.testing.stand_ins.callers import Told
-from ryelock.testing.stand_ins.servers import Objects, Ran, body_for
+from ryelock.testing.stand_ins.callers import RequestRecord
+from ryelock.testing.stand_ins.servers import Objects, ServedRequest, body_for
 
-RATE_WINDOW = 5.0
-RATE_OVER = 1.10
-REPEAT_WINDOW = 10.0
-REPEAT_SHARE = 0.2
-REPEAT_ALLOWANCE = 12
+RATE_WINDOW_SECONDS = 5.0
+RATE_OVERSHOOT = 1.10
+RETRY_WINDOW_SECONDS = 10.0
+RETRY_RATIO = 0.2
+RETRY_SLACK = 12
 
 
 class Findings:
@@ -35,137 +36,156 @@
         self.violations.append(f"{rule}: {text}")
 
 
-def check_once(found: Findings, notes: list[Told], history: list[Ran]) -> None:
-    """An order that may run once ran at most once, however often it was sent under its key.
+def check_at_most_once(
+    found: Findings, notes: list[RequestRecord], history: list[ServedRequest]
+) -> None:
+    """An at-most-once request ran at most once, however often it was sent under its key.
 
-    A run belongs to a sending that began before it; where all of those were told "not run",
-    the order ran after it was said not to have.
+    A run belongs to an attempt that began before it; where all of those were answered "not run",
+    the request ran although the answer denied it.
     """
-    runs: dict[str, list[Ran]] = {}
-    for ran in history:
-        if ran.identity and ran.method == "POST":
-            runs.setdefault(ran.identity, []).append(ran)
-    sent: dict[str, list[Told]] = {}
-    for told in notes:
-        if told.method == "POST":
-            sent.setdefault(told.identity, []).append(told)
-    for identity, sendings in sent.items():
+    runs: dict[str, list[ServedRequest]] = {}
+    for request in history:
+        if request.identity and request.method == "POST":
+            runs.setdefault(request.identity, []).append(request)
+    sent: dict[str, list[RequestRecord]] = {}
+    for record in notes:
+        if record.method == "POST":
+            sent.setdefault(record.identity, []).append(record)
+    for identity, attempts in sent.items():
         found.look("once")
-        if len(sendings) > 1:
-            found.look("once, sent again", len(sendings) - 1)
+        if len(attempts) > 1:
+            found.look("once, sent again", len(attempts) - 1)
         ran_for = runs.get(identity, [])
         if len(ran_for) > 1:
             found.broken("once", f"{identity} ran {len(ran_for)} times")
-        for ran in ran_for:
+        for request in ran_for:
             if all(
-                told.whole and told.outcome == "not-run" for told in sendings if told.at <= ran.at
+                record.complete and record.outcome == "not-run"
+                for record in attempts
+                if record.sent_at <= request.at
             ):
                 found.broken("once", f"{identity} ran after 'not run' was told")
 
 
 def check_bytes(
-    found: Findings, notes: list[Told], objects: dict[str, Objects], routes: dict[str, str]
+    found: Findings, notes: list[RequestRecord], objects: dict[str, Objects], routes: dict[str, str]
 ) -> None:
     """A whole 200 carries a body that its service could have sent."""
-    for told in notes:
-        if not told.whole or told.status != 200:
+    for record in notes:
+        if not record.complete or record.status != 200:
             continue
         service = next(
-            (service for path, service in routes.items() if told.target.startswith(path)), ""
+            (service for path, service in routes.items() if record.target.startswith(path)), ""
         )
         if not service:
             continue
         found.look("bytes")
         known = objects[service]
         right = any(
-            told.body == body_for(service, told.target, revision, known.size)
-            for revision in range(known.revision(told.target) + 1)
+            record.body == body_for(service, record.target, revision, known.size)
+            for revision in range(known.revision(record.target) + 1)
         )
         if not right:
-            found.broken("bytes", f"{told.identity} {told.target}: {told.body[:60]!r}")
+            found.broken("bytes", f"{record.identity} {record.target}: {record.body[:60]!r}")
 
 
-def check_rates(found: Findings, history: list[Ran], rates: dict[str, float]) -> None:
+def check_rates(found: Findings, history: list[ServedRequest], rates: dict[str, float]) -> None:
     """No service was sent more than a tenth over its rate in any 5 s."""
     for service, rate in rates.items():
-        times = sorted(ran.at for ran in history if ran.service == service)
+        times = sorted(request.at for request in history if request.service == service)
         start = 0
         for end, at in enumerate(times):
-            while times[start] <= at - RATE_WINDOW:
+            while times[start] <= at - RATE_WINDOW_SECONDS:
                 start += 1
             found.look("rate")
             count = end - start + 1
-            if count > rate * RATE_WINDOW * RATE_OVER:
+            if count > rate * RATE_WINDOW_SECONDS * RATE_OVERSHOOT:
                 found.broken("rate", f"{service}: {count} orders in 5 s at rate {rate:g}")
                 break
 
 
-def check_repeats(found: Findings, history: list[Ran]) -> None:
-    """Repeats stayed within a fifth and a small allowance in any 10 s."""
+def check_retry_budget(found: Findings, history: list[ServedRequest]) -> None:
+    """Retries stayed within a fifth and a small slack in any 10 s."""
     by_service: dict[str, list[tuple[float, bool]]] = {}
     seen: set[tuple[str, str]] = set()
-    for ran in sorted(history, key=lambda ran: ran.at):
-        if not ran.identity:
+    for request in sorted(history, key=lambda request: request.at):
+        if not request.identity:
             continue
-        again = ran.retry or (ran.service, ran.identity) in seen
-        seen.add((ran.service, ran.identity))
-        by_service.setdefault(ran.service, []).append((ran.at, again))
+        is_retry = request.retry or (request.service, request.identity) in seen
+        seen.add((request.service, request.identity))
+        by_service.setdefault(request.service, []).append((request.at, is_retry))
     for service, sends in by_service.items():
-        start = repeats = 0
-        for end, (at, again) in enumerate(sends):
-            repeats += again
-            while sends[start][0] <= at - REPEAT_WINDOW:
-                repeats -= sends[start][1]
+        start = retries = 0
+        for end, (at, is_retry) in enumerate(sends):
+            retries += is_retry
+            while sends[start][0] <= at - RETRY_WINDOW_SECONDS:
+                retries -= sends[start][1]
                 start += 1
             found.look("repeats")
             count = end - start + 1
-            if repeats > REPEAT_SHARE * count + REPEAT_ALLOWANCE:
-                found.broken("repeats", f"{service}: {repeats} repeats among {count} in 10 s")
+            if retries > RETRY_RATIO * count + RETRY_SLACK:
+                found.broken("repeats", f"{service}: {retries} repeats among {count} in 10 s")
                 break
 
 
-class Changed:
-    """A change as its operator knows it."""
+@dataclass(slots=True, eq=False)
+class ChangeRecord:
+    """A change of the configuration as its operator knows it.
+
+    Attributes:
+        identity: the operator's name for the change.
+        marker_path: a path that only this change routes; empty where it brings none.
+        requested_at: seconds at which it was sent.
+        answered_at: seconds at which its answer came; None before.
+        status: status of the answer, -1 before it.
+        version: version of the configuration that it made; 0 where it made none.
+    """
 
-    __slots__ = ("asked", "identity", "mark", "status", "told", "version")
+    identity: str
+    marker_path: str
+    requested_at: float
+    answered_at: float | None = None
+    status: int = -1
+    version: int = 0
 
-    def __init__(self, identity: str, mark: str, asked: float) -> None:
-        """Create the note of a change that is not answered yet."""
-        self.identity = identity
-        self.mark = mark
-        self.asked = asked
-        self.told = 1e9
-        self.status = -1
-        self.version = 0
+    def answered_before(self, moment: float) -> bool:
+        """Tell whether the answer had come by a moment."""
+        return self.answered_at is not None and self.answered_at <= moment
 
 
-class Purged:
-    """A purge as its operator knows it: the revision that was newest when it was asked for."""
+@dataclass(slots=True, eq=False)
+class PurgeRecord:
+    """A purge as its operator knows it.
 
-    __slots__ = ("revision", "target", "told")
+    Attributes:
+        target: path that was purged.
+        revision: newest revision of the object when the purge was asked for.
+        acknowledged_at: seconds at which the purge was acknowledged; None before.
+    """
 
-    def __init__(self, target: str, revision: int) -> None:
-        """Create the note of a purge that is not acknowledged yet."""
-        self.target = target
-        self.revision = revision
-        self.told = 1e9
+    target: str
+    revision: int
+    acknowledged_at: float | None = None
 
 
-def check_misrouted(found: Findings, history: list[Ran], service_of: dict[str, str]) -> None:
-    """No order ran at a service that no configuration sent it to."""
-    for ran in history:
+def check_misrouted(
+    found: Findings, history: list[ServedRequest], service_of: dict[str, str]
+) -> None:
+    """No request ran at a service that no configuration sent it to."""
+    for request in history:
         service = next(
-            (service for path, service in service_of.items() if ran.target.startswith(path)), ""
+            (service for path, service in service_of.items() if request.target.startswith(path)), ""
         )
-        if not service and ran.target.startswith("/gen-"):
+        if not service and request.target.startswith("/gen-"):
             service = "pages"
         found.look("service")
-        if ran.service != service:
-            found.broken("service", f"{ran.target} ran at {ran.service} {ran.address}")
+        if request.service != service:
+            found.broken("service", f"{request.target} ran at {request.service} {request.address}")
 
 
 def check_leaving(
-    found: Findings, history: list[Ran], shown: list[tuple[float, str, str, bool]]
+    found: Findings, history: list[ServedRequest], shown: list[tuple[float, str, str, bool]]
 ) -> None:
     """A server gets no new work more than 2 s after it shows as leaving or is not listed."""
     for position, (at, _, address, leaving) in enumerate(shown):
@@ -173,98 +193,121 @@
             continue
         until = min(
             (other[0] for other in shown[position + 1 :] if other[2] == address and not other[3]),
-            default=1e18,
+            default=math.inf,
         )
         found.look("leaving")
-        for ran in history:
-            if ran.address == address and at + 2.0 < ran.at < until:
+        for request in history:
+            if request.address == address and at + 2.0 < request.at < until:
                 found.broken(
                     "leaving",
-                    f"{address} got {ran.target} {ran.at - at:.2f} s after it showed as leaving",
+                    f"{address} got {request.target} {request.at - at:.2f} s "
+                    "after it showed as leaving",
                 )
                 break
 
 
 def check_changes(
     found: Findings,
-    notes: list[Told],
-    changes: list[Changed],
+    notes: list[RequestRecord],
+    changes: list[ChangeRecord],
     reads: list[tuple[float, float, int]],
 ) -> None:
-    """Acknowledged changes hold everywhere at once, declined ones nowhere, reads miss none."""
-    accepted = [changed for changed in changes if changed.status == 200]
-    by_mark = {changed.mark: changed for changed in changes if changed.mark}
-    versions = [changed.version for changed in accepted]
+    """Acknowledged changes hold everywhere at once, rejected ones nowhere, reads miss none."""
+    accepted = [change for change in changes if change.status == 200]
+    by_path = {change.marker_path: change for change in changes if change.marker_path}
+    versions = [change.version for change in accepted]
     if len(set(versions)) != len(versions):
         found.broken("changes", "two changes got one version")
-    for told in notes:
-        changed = by_mark.get(told.target)
-        if changed is None or not told.whole:
-            continue
-        found.look("changes")
-        at = told.at
-        if changed.status == 200 and at > changed.told + 2.0 and told.status == 404:
-            found.broken(
-                "changes",
-                f"{changed.identity} ignored {at - changed.told:.2f} s "
-                f"after its acknowledgement by {told.edge}",
-            )
-        if changed.status in (409, 422) and told.status == 200:
-            found.broken("changes", f"{changed.identity} took effect though told {changed.status}")
-    seen: dict[tuple[str, str], float] = {}
-    for told in sorted(notes, key=lambda told: told.at + told.seconds):
-        if told.target not in by_mark or not told.whole:
-            continue
-        key = (told.edge, told.target)
-        if told.status == 200:
-            seen.setdefault(key, told.at + told.seconds)
-        elif told.status == 404 and key in seen and told.at > seen[key]:
-            found.broken("changes", f"{told.edge} slipped back on {told.target}")
+    check_change_effects(found, notes, by_path)
+    check_no_rollback(found, [record for record in notes if record.target in by_path])
     for started, _, version in reads:
         newest = max(
-            (changed.version for changed in accepted if changed.told <= started), default=0
+            (change.version for change in accepted if change.answered_before(started)), default=0
         )
         found.look("reads")
         if version < newest:
             found.broken("reads", f"read {version} after {newest} was acknowledged")
 
 
-def check_purges(found: Findings, notes: list[Told], purges: list[Purged]) -> None:
+def check_change_effects(
+    found: Findings, notes: list[RequestRecord], by_path: dict[str, ChangeRecord]
+) -> None:
+    """An acknowledged change is in force 2 s later, a rejected one never."""
+    for record in notes:
+        change = by_path.get(record.target)
+        if change is None or not record.complete:
+            continue
+        found.look("changes")
+        if change.status == 200 and record.status == 404 and change.answered_at is not None:
+            seconds = record.sent_at - change.answered_at
+            if record.sent_at > change.answered_at + 2.0:
+                found.broken(
+                    "changes",
+                    f"{change.identity} ignored {seconds:.2f} s "
+                    f"after its acknowledgement by {record.edge}",
+                )
+        if change.status in (409, 422) and record.status == 200:
+            found.broken("changes", f"{change.identity} took effect though told {change.status}")
+
+
+def check_no_rollback(found: Findings, notes: list[RequestRecord]) -> None:
+    """An edge that has served a route goes on serving it."""
+    seen: dict[tuple[str, str], float] = {}
+    for record in sorted(notes, key=lambda record: record.sent_at + record.seconds):
+        if not record.complete:
+            continue
+        key = (record.edge, record.target)
+        if record.status == 200:
+            seen.setdefault(key, record.sent_at + record.seconds)
+        elif record.status == 404 and key in seen and record.sent_at > seen[key]:
+            found.broken("changes", f"{record.edge} slipped back on {record.target}")
+
+
+def check_purges(found: Findings, notes: list[RequestRecord], purges: list[PurgeRecord]) -> None:
     """No copy older than a purge is served more than 2 s after the purge's acknowledgement."""
-    for purged in purges:
-        for told in notes:
-            if told.target != purged.target or not told.whole or told.status != 200:
+    for purge in purges:
+        if purge.acknowledged_at is None:
+            continue
+        for record in notes:
+            if record.target != purge.target or not record.complete or record.status != 200:
                 continue
-            if told.at <= purged.told + 2.0:
+            if record.sent_at <= purge.acknowledged_at + 2.0:
                 continue
             found.look("purges")
-            revision = revision_of(told.body)
-            if revision is not None and revision < purged.revision:
+            revision = revision_of(record.body)
+            if revision is not None and revision < purge.revision:
                 found.broken(
                     "purges",
-                    f"{told.target} revision {revision} served by "
-                    f"{told.edge} {told.at - purged.told:.2f} s after the "
-                    f"purge of {purged.revision}",
+                    f"{record.target} revision {revision} served by "
+                    f"{record.edge} {record.sent_at - purge.acknowledged_at:.2f} s after the "
+                    f"purge of {purge.revision}",
                 )
 
 
-def check_lifetimes(found: Findings, notes: list[Told], objects: Objects, lifetime: float) -> None:
+def check_lifetimes(
+    found: Findings, notes: list[RequestRecord], objects: Objects, lifetime: float
+) -> None:
     """No copy outlives its lifetime by more than 2 s."""
-    for told in notes:
-        changed = objects.changed_at.get(told.target)
-        if changed is None or not told.whole or told.status != 200 or told.seconds > 1.0:
+    for record in notes:
+        changed_at = objects.changed_at.get(record.target)
+        if (
+            changed_at is None
+            or not record.complete
+            or record.status != 200
+            or record.seconds > 1.0
+        ):
             continue
         found.look("lifetimes")
-        revision = revision_of(told.body)
+        revision = revision_of(record.body)
         if (
             revision is not None
-            and revision < objects.revision(told.target)
-            and told.at > changed + lifetime + 2.0
+            and revision < objects.revision(record.target)
+            and record.sent_at > changed_at + lifetime + 2.0
         ):
             found.broken(
                 "lifetimes",
-                f"{told.target} revision {revision} served "
-                f"{told.at - changed:.2f} s after it changed",
+                f"{record.target} revision {revision} served "
+                f"{record.sent_at - changed_at:.2f} s after it changed",
             )
 
 
@@ -277,7 +320,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Down:
+class ZoneDown:
     """A down verdict as the record showed it, with the rows it rests on by target."""
 
     at: float
@@ -287,7 +330,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Probed:
+class ProbeRecord:
     """One probe as its prober kept it, on the world's time."""
 
     at: float
@@ -299,19 +342,19 @@
     failed: bool
 
 
-QUORUM = 3
-MACHINES = 2
-LATE_MOST = 5.0
-TOLD_MOST = 2.0
-ROUNDED = 0.05
+PROBES_LEAST = 3
+MACHINES_LEAST = 2
+EVALUATION_SECONDS_MOST = 5.0
+DELIVERY_SECONDS_MOST = 2.0
+ROUNDING_SECONDS = 0.05
 
 
 def check_downs(
     found: Findings,
-    downs: list[Down],
-    probed: list[Probed],
+    downs: list[ZoneDown],
+    probed: list[ProbeRecord],
     span: float = 600.0,
-    late: float = LATE_MOST,
+    late: float = EVALUATION_SECONDS_MOST,
 ) -> None:
     """A zone is down only by fetches that really failed, as its own record names them.
 
@@ -321,7 +364,7 @@
     aggregator. The judging was not long before the verdict stood in the record: 2 s, and where
     the lead changed meanwhile an election more.
     """
-    by_row: dict[tuple[str, int, str, str], list[Probed]] = {}
+    by_row: dict[tuple[str, int, str, str], list[ProbeRecord]] = {}
     for row in probed:
         by_row.setdefault((row.prober, row.sequence, row.edge, row.watch), []).append(row)
     for down in downs:
@@ -340,7 +383,7 @@
 
 def target_fault(
     target: dict[str, object],
-    by_row: dict[tuple[str, int, str, str], list[Probed]],
+    by_row: dict[tuple[str, int, str, str], list[ProbeRecord]],
     at: float,
     span: float,
     late: float,
@@ -348,7 +391,7 @@
     """What is wrong with the evidence of one failed target; empty when nothing is."""
     named = target.get("failed_rows")
     rows = named if isinstance(named, list) else []
-    matched: list[Probed] = []
+    matched: list[ProbeRecord] = []
     for row in rows:
         ago = float(row["seconds_ago"])
         real = [
@@ -358,7 +401,9 @@
             )
             if probe.failed
             and probe.machine == row["machine"]
-            and at - late - TOLD_MOST - ROUNDED <= probe.at + ago <= at + ROUNDED
+            and at - late - DELIVERY_SECONDS_MOST - ROUNDING_SECONDS
+            <= probe.at + ago
+            <= at + ROUNDING_SECONDS
         ]
         if not real:
             return f"names a failed fetch that there was not, or long ago: {row}"
@@ -366,24 +411,28 @@
             return f"names a fetch of {ago} s before"
         matched.append(real[0])
     machines = {probe.machine for probe in matched}
-    if len(matched) < QUORUM or len(machines) < MACHINES:
+    if len(matched) < PROBES_LEAST or len(machines) < MACHINES_LEAST:
         return f"has {len(matched)} failed fetches of {len(machines)} machines"
     if len({(probe.prober, probe.sequence) for probe in matched}) < len(matched):
         return "counts a fetch twice"
     return ""
 
 
-def false_downs(downs: list[Down], notes: list[Told], addresses: dict[str, str]) -> int:
+def false_downs(
+    downs: list[ZoneDown], notes: list[RequestRecord], addresses: dict[str, str]
+) -> int:
     """Down verdicts of zones whose edges served callers well in the 3 s before."""
     count = 0
     for down in downs:
-        places = {addresses[edge] for edge in down.edges if edge in addresses}
-        lately = [
-            told
-            for told in notes
-            if told.edge in places and told.end and down.at - 3.0 <= told.at <= down.at
+        served_at = {addresses[edge] for edge in down.edges if edge in addresses}
+        recent = [
+            record
+            for record in notes
+            if record.edge in served_at
+            and record.ending
+            and down.at - 3.0 <= record.sent_at <= down.at
         ]
-        count += len(lately) >= 5 and sum(
-            told.whole and told.status < 500 for told in lately
-        ) >= 0.9 * len(lately)
+        count += len(recent) >= 5 and sum(
+            record.complete and record.status < 500 for record in recent
+        ) >= 0.9 * len(recent)
     return count
--- a/packages/testing/ryelock/testing/finals.py
+++ b/packages/testing/ryelock/testing/finals.py
@@ -12,8 +12,8 @@
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.schedules import RETURN_SECONDS, SIZES, end_of_day
-from ryelock.testing.stand_ins.callers import Caller, Told
-from ryelock.testing.stand_ins.servers import SLOW
+from ryelock.testing.stand_ins.callers import Caller, RequestRecord
+from ryelock.testing.stand_ins.servers import ServerBehavior
 
 BIN = 0.5
 A_SECOND = 8.0
@@ -119,7 +119,7 @@
 def slow_server(scenario: Scenario, random: Random) -> str:
     """One server stays slow."""
     server = random.choice(list(scenario.servers.values()))
-    server.manner = SLOW
+    server.behavior = ServerBehavior.SLOW
     return f"{server.service} {server.address} stays slow"
 
 
@@ -267,24 +267,26 @@
     caller.close()
 
 
-def failed(told: Told) -> bool:
+def failed(record: RequestRecord) -> bool:
     """Whether a request got no whole success."""
-    return not (told.whole and told.status == 200)
+    return not (record.complete and record.status == 200)
 
 
-def return_of(notes: list[Told], method: str, path: str, since: float, until: float) -> float:
+def return_of(
+    notes: list[RequestRecord], method: str, path: str, since: float, until: float
+) -> float:
     """Seconds from a loss to the end of the last half second in which a kind was not served."""
     last = 0.0
     moment = since
     while moment + BIN <= until:
         found = [
-            told
-            for told in notes
-            if told.method == method
-            and moment <= told.at < moment + BIN
-            and told.target.startswith(path)
+            record
+            for record in notes
+            if record.method == method
+            and moment <= record.sent_at < moment + BIN
+            and record.target.startswith(path)
         ]
-        lost = sum(failed(told) for told in found)
+        lost = sum(failed(record) for record in found)
         if not found or lost > max(1, FAILED_MOST * len(found)) or lost == len(found):
             last = moment + BIN - since
         moment += BIN
@@ -325,15 +327,15 @@
 
 async def change_on(scenario: Scenario, ended: list[float], until: float) -> None:
     """One change under one id: it may be asked for again, and is taken once."""
-    base = max(changed.version for changed in scenario.changes)
+    base = max(change.version for change in scenario.changes)
     while scenario.world.time < until and not ended:
-        changed = await scenario.change(
+        change = await scenario.change(
             "gen-final",
             base,
             {"routes": {"gen-final": {"path": "/gen-final", "service": "pages"}}},
             "/gen-final",
         )
-        if changed.status == 200:
+        if change.status == 200:
             ended.append(scenario.world.time)
         await scenario.operators.scheduler.sleep(0.2)
 
@@ -394,7 +396,7 @@
 
 def judge_return(ended: Final, since: float, asked: dict[str, list[float]]) -> None:
     """Note how long each kind was not served, and find what took longer than it may."""
-    notes = [told for told in ended.scenario.notes if told.end]
+    notes = [record for record in ended.scenario.notes if record.ending]
     for kind, (method, path) in KINDS.items():
         ended.back[kind] = return_of(notes, method, path, since, since + RETURN_SECONDS + LOOK_ON)
     for kind, times in asked.items():
--- a/packages/testing/ryelock/testing/hosting_platform/clients.py
+++ b/packages/testing/ryelock/testing/hosting_platform/clients.py
@@ -13,8 +13,9 @@
 from ryelock.http import Fields, Reader, fetch, field, read_response, send_request
 from ryelock.http.heads import FramingError
 from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
-from ryelock.runtime import Connection, Network, Scheduler
+from ryelock.runtime import Network, Scheduler
 from ryelock.testing.hosting_platform.platform import Arrival, ServiceStandIn, Words
+from ryelock.testing.stand_ins.persistent_connection import PersistentConnection
 
 SAFE, UNSAFE, CACHEABLE = "safe", "unsafe", "cacheable"
 PROMISES = (408, 421, 429, 503)
@@ -133,10 +134,8 @@
         "count",
         "entrance",
         "name",
-        "network",
         "notes",
         "random",
-        "reader",
         "scheduler",
         "words",
         "zone",
@@ -155,7 +154,6 @@
     ) -> None:
         """Create a caller of a zone; its tries are appended to `notes`."""
         self.scheduler = scheduler
-        self.network = network
         self.words = words
         self.entrance = entrance
         self.name = name
@@ -163,14 +161,11 @@
         self.notes = notes
         self.random = Random(f"client {seed} {name}")
         self.count = 0
-        self.connection: Connection | None = None
-        self.reader: Reader | None = None
+        self.connection = PersistentConnection(scheduler, network)
 
     def close(self) -> None:
-        """Close the kept connection."""
-        if self.connection is not None:
-            self.connection.close()
-            self.connection = None
+        """Close the persistent connection."""
+        self.connection.close()
 
     async def request(
         self,
@@ -215,12 +210,13 @@
 
     async def one_try(self, note: Note, until: float, given: Fields) -> None:
         """Send one try and fill in its note."""
-        connected = await self.connect(self.entrance.fronts[note.edge], until)
-        if connected is None:
+        left = max(0.0, until - self.scheduler.now())
+        front = self.entrance.fronts[note.edge]
+        opened = await self.connection.open(front, min(CONNECT_SECONDS, left))
+        if opened is None:
             note.end = "no link"
-            self.close()
             return
-        connection, reader = connected
+        connection, reader = opened
         fields = self.fields_of(note, until, given)
         send_request(connection, note.method.encode(), note.target.encode(), fields, note.body)
         try:
@@ -231,23 +227,6 @@
         if not keep:
             self.close()
 
-    async def connect(self, front: str, until: float) -> tuple[Connection, Reader] | None:
-        """Return the kept connection to a node, else a new one; None where it does not open."""
-        connection, reader = self.connection, self.reader
-        if (
-            connection is not None
-            and reader is not None
-            and not connection.closed
-            and connection.peer == front
-        ):
-            return connection, reader
-        self.close()
-        connection = self.connection = self.network.connect(front)
-        reader = self.reader = Reader(self.scheduler, connection)
-        left = max(0.0, until - self.scheduler.now())
-        opened = await connection.wait_connected(min(CONNECT_SECONDS, left))
-        return (connection, reader) if opened else None
-
     def fields_of(self, note: Note, until: float, given: Fields) -> Fields:
         """Return the header fields of a try: its identity, its deadline, and the given ones."""
         dialect = self.words.dialect
--- a/packages/testing/ryelock/testing/load.py
+++ b/packages/testing/ryelock/testing/load.py
@@ -17,7 +17,7 @@
 from ryelock.testing.processes.fleet_run import Run
 from ryelock.testing.processes.reactors import run_to_end
 from ryelock.testing.processes.shapes import SHAPES
-from ryelock.testing.stand_ins.callers import Caller, Told
+from ryelock.testing.stand_ins.callers import Caller, RequestRecord
 
 KINDS = {
     "hits": ("GET", "/covers/", 20),
@@ -36,12 +36,12 @@
 async def closed_loop(run: Run, edge: str, kind: str, number: int, until: float) -> None:
     """Send requests of a kind, each after the answer to the one before."""
     method, path, objects = KINDS[kind]
-    notes: list[Told] = []
+    notes: list[RequestRecord] = []
     caller = Caller(run.scheduler, run.reactor, run.random, notes)
     count = 0
     while run.scheduler.now() < until:
         count += 1
-        told = await caller.request(
+        record = await caller.request(
             edge,
             method,
             f"{path}{run.random.randrange(objects)}",
@@ -49,7 +49,7 @@
             None,
             b"x" * 64 if method == "POST" else b"",
         )
-        if told.status == 200:
+        if record.status == 200:
             run.requests_sent += 1
         notes.clear()
         run.history.clear()
--- a/packages/testing/ryelock/testing/measure.py
+++ b/packages/testing/ryelock/testing/measure.py
@@ -12,7 +12,7 @@
 from ryelock.testing.checks import Findings, check_rates
 from ryelock.testing.finals import request_once
 from ryelock.testing.scenario import Scenario
-from ryelock.testing.stand_ins.servers import FAILING, SLOW, WHOLE
+from ryelock.testing.stand_ins.servers import ServerBehavior
 
 Measure = Callable[[int], float | None]
 STANDING_SECONDS = 4
@@ -163,7 +163,10 @@
     told = [
         one
         for one in scenario.notes
-        if one.edge == address and one.at >= since and one.end and one.identity.startswith("s")
+        if one.edge == address
+        and one.sent_at >= since
+        and one.ending
+        and one.identity.startswith("s")
     ]
     return sum(one.status == 503 for one in told) / len(told) if told else None
 
@@ -233,19 +236,19 @@
     scenario.world.run(4.0)
     since = scenario.world.time
     if what == "tail":
-        servers[0].manner = SLOW
+        servers[0].behavior = ServerBehavior.SLOW
     scenario.world.run(20.0)
     if what == "tail":
         times = sorted(
             told.seconds
             for told in scenario.notes
-            if told.at >= since and told.end and told.identity.startswith("l")
+            if told.sent_at >= since and told.ending and told.identity.startswith("l")
         )
         return times[int(len(times) * 0.99)] if times else None
     if what == "back":
-        servers[0].manner = FAILING
+        servers[0].behavior = ServerBehavior.FAILING
         scenario.world.run(6.0)
-        servers[0].manner = WHOLE
+        servers[0].behavior = ServerBehavior.SOUND
         scenario.world.run(12.0)
         since = scenario.world.time
         scenario.world.run(15.0)
--- a/packages/testing/ryelock/testing/processes/fleet_run.py
+++ b/packages/testing/ryelock/testing/processes/fleet_run.py
@@ -14,11 +14,17 @@
 from ryelock.events import RecordingLog
 from ryelock.runtime import Scheduler
 from ryelock.runtime.reactor import Reactor
-from ryelock.testing.checks import Findings, check_bytes, check_once, check_rates, check_repeats
+from ryelock.testing.checks import (
+    Findings,
+    check_at_most_once,
+    check_bytes,
+    check_rates,
+    check_retry_budget,
+)
 from ryelock.testing.processes.fleet import Fleet, Process, wait_ready
 from ryelock.testing.processes.shapes import Kind, Shape
-from ryelock.testing.stand_ins.callers import Caller, Told
-from ryelock.testing.stand_ins.servers import Objects, PlatformStandIn, Ran, ServerStandIn
+from ryelock.testing.stand_ins.callers import Caller, RequestRecord
+from ryelock.testing.stand_ins.servers import Objects, PlatformStandIn, ServedRequest, ServerStandIn
 
 CALLERS = 40
 
@@ -56,8 +62,8 @@
         self.scheduler: Scheduler = reactor.scheduler
         self.random = Random(seed)
         self.log = RecordingLog("runner")
-        self.history: list[Ran] = []
-        self.notes: list[Told] = []
+        self.history: list[ServedRequest] = []
+        self.notes: list[RequestRecord] = []
         self.objects: dict[str, Objects] = {}
         self.servers: list[ServerStandIn] = []
         self.report: dict[str, object] = {"shape": shape.name, "seed": seed}
@@ -230,18 +236,18 @@
 
     def summary(self, since: float) -> dict[str, object]:
         """Return counts and times of all requests since a moment."""
-        notes = [told for told in self.notes if told.at >= since and told.end]
+        notes = [record for record in self.notes if record.sent_at >= since and record.ending]
         statuses: dict[str, int] = {}
-        for told in notes:
-            key = str(told.status) if told.whole else told.end
+        for record in notes:
+            key = str(record.status) if record.complete else record.ending
             statuses[key] = statuses.get(key, 0) + 1
         reasons: dict[str, int] = {}
-        for told in notes:
-            if told.whole and told.status >= 400:
-                reason = reason_of(told)
+        for record in notes:
+            if record.complete and record.status >= 400:
+                reason = reason_of(record)
                 reasons[reason] = reasons.get(reason, 0) + 1
-        times = sorted(told.seconds for told in notes if told.whole)
-        span = (max((told.at for told in notes), default=since) - since) or 1.0
+        times = sorted(record.seconds for record in notes if record.complete)
+        span = (max((record.sent_at for record in notes), default=since) - since) or 1.0
         return {
             "orders": len(notes),
             "per_second": round(len(notes) / span, 1),
@@ -249,17 +255,17 @@
             "declined_for": reasons,
             "median_ms": round(statistics.median(times) * 1000, 1) if times else None,
             "p99_ms": round(times[int(len(times) * 0.99)] * 1000, 1) if times else None,
-            "cut": sum(not told.whole and told.status > 0 for told in notes),
+            "cut": sum(not record.complete and record.status > 0 for record in notes),
         }
 
     def findings(self) -> Findings:
         """Check the rules on the notes of callers and the histories of stand-ins."""
         rates = {name: float(str(service["rate"])) for name, service in self.services().items()}
         found = Findings()
-        check_once(found, self.notes, self.history)
+        check_at_most_once(found, self.notes, self.history)
         check_bytes(found, self.notes, self.objects, self.routes())
         check_rates(found, self.history, rates)
-        check_repeats(found, self.history)
+        check_retry_budget(found, self.history)
         return found
 
     def services(self) -> dict[str, dict[str, object]]:
@@ -275,9 +281,9 @@
         return {str(route["path"]): str(route["service"]) for route in routes.values()}
 
 
-def reason_of(told: Told) -> str:
+def reason_of(record: RequestRecord) -> str:
     """Return the reason that a failed request was told."""
     try:
-        return str(json.loads(told.body)["error"])
+        return str(json.loads(record.body)["error"])
     except (ValueError, KeyError, TypeError):
-        return f"status {told.status}"
+        return f"status {record.status}"
--- a/packages/testing/ryelock/testing/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -13,26 +13,32 @@
 from ryelock.health import ProbeResult
 from ryelock.http import fetch
 from ryelock.testing.checks import (
-    LATE_MOST,
-    Changed,
-    Down,
+    EVALUATION_SECONDS_MOST,
+    ChangeRecord,
     Findings,
-    Probed,
-    Purged,
+    ProbeRecord,
+    PurgeRecord,
+    ZoneDown,
+    check_at_most_once,
     check_bytes,
     check_changes,
     check_downs,
     check_leaving,
     check_lifetimes,
     check_misrouted,
-    check_once,
     check_purges,
     check_rates,
-    check_repeats,
+    check_retry_budget,
 )
 from ryelock.testing.simulated.world import SimFolder, SimNode, World
-from ryelock.testing.stand_ins.callers import Caller, Told
-from ryelock.testing.stand_ins.servers import Objects, PlatformStandIn, Ran, ServerStandIn
+from ryelock.testing.stand_ins.callers import Caller, RequestRecord
+from ryelock.testing.stand_ins.servers import (
+    Objects,
+    PlatformStandIn,
+    ServedRequest,
+    ServerBehavior,
+    ServerStandIn,
+)
 
 LIFETIME = 6.0
 DRAINED = ("drained", "its zone is drained")
@@ -118,12 +124,12 @@
             "verdict_seconds": 0.5,
             **settings,
         }
-        self.history: list[Ran] = []
-        self.notes: list[Told] = []
-        self.changes: list[Changed] = []
-        self.purges: list[Purged] = []
+        self.history: list[ServedRequest] = []
+        self.notes: list[RequestRecord] = []
+        self.changes: list[ChangeRecord] = []
+        self.purges: list[PurgeRecord] = []
         self.reads: list[tuple[float, float, int]] = []
-        self.downs: list[Down] = []
+        self.downs: list[ZoneDown] = []
         self.row_stores: list[tuple[SimNode, deque[ProbeResult]]] = []
         self.objects = {"pages": Objects(300), "desks": Objects(100)}
         self.servers: dict[str, ServerStandIn] = {}
@@ -131,7 +137,7 @@
         self.asked_ready: set[str] | None = None
         self.rate_rate = {"pages": 120.0, "desks": 20.0}
         self.planned = 0
-        self.late_most = LATE_MOST
+        self.late_most = EVALUATION_SECONDS_MOST
         self.plans: dict[str, tuple[str, dict[str, object]]] = {}
         self.outside = self.world.add("outside", "outside", "10.9.0.1")
         self.operators = self.world.add("operators", "operators", "10.9.0.2")
@@ -277,27 +283,32 @@
         )
 
     async def change(
-        self, identity: str, base: int, put: dict[str, object], marks: str = "", through: str = ""
-    ) -> Changed:
-        """One change, and what its operator was told; `marks` is a route path it brings."""
-        changed = Changed(identity, marks, self.world.time)
-        self.changes.append(changed)
+        self,
+        identity: str,
+        base: int,
+        put: dict[str, object],
+        marker_path: str = "",
+        through: str = "",
+    ) -> ChangeRecord:
+        """Make one change and record its answer; `marker_path` is a route path it brings."""
+        change = ChangeRecord(identity, marker_path, self.world.time)
+        self.changes.append(change)
         status, answer = await self.operator(
             "POST", "/changes", {"id": identity, "base": base, "put": put}, through
         )
-        changed.told = self.world.time
-        changed.status = status
+        change.answered_at = self.world.time
+        change.status = status
         version = answer.get("version")
-        changed.version = version if status == 200 and isinstance(version, int) else 0
-        return changed
+        change.version = version if status == 200 and isinstance(version, int) else 0
+        return change
 
-    async def add_route(self, mark: str, base: int, through: str = "") -> Changed:
+    async def add_route(self, name: str, base: int, through: str = "") -> ChangeRecord:
         """A change that brings a route of its own name, by which later orders tell it."""
         return await self.change(
-            mark,
+            name,
             base,
-            {"routes": {mark: {"path": f"/{mark}", "service": "pages"}}},
-            f"/{mark}",
+            {"routes": {name: {"path": f"/{name}", "service": "pages"}}},
+            f"/{name}",
             through,
         )
 
@@ -329,8 +340,8 @@
                 route = {"path": f"/{name}", "service": "pages"}
                 if what < 0.1:
                     route["service"] = "nobody"
-                changed = await self.change(name, version, {"routes": {name: route}}, f"/{name}")
-                version = changed.version or version
+                change = await self.change(name, version, {"routes": {name: route}}, f"/{name}")
+                version = change.version or version
             elif what < 0.75:
                 started = self.world.time
                 status, answer = await self.operator("GET", "/configuration")
@@ -345,13 +356,13 @@
     async def renew_object(self, target: str, identity: str) -> None:
         """An object changes and is purged; kept in the notes once that was acknowledged."""
         self.objects["pages"].change(target, self.world.time)
-        purged = Purged(target, self.objects["pages"].revision(target))
+        purge = PurgeRecord(target, self.objects["pages"].revision(target))
         status, _ = await self.operator(
             "POST", "/purges", {"id": identity, "scopes": [{"path": target}]}
         )
         if status == 200:
-            purged.told = self.world.time
-            self.purges.append(purged)
+            purge.acknowledged_at = self.world.time
+            self.purges.append(purge)
 
     # Callers.
 
@@ -371,14 +382,14 @@
             method, target = self.pick_request(random)
             identity = f"c{number}-{count}"
             key = [(b"Idempotency-Key", identity.encode())]
-            told = await caller.request(
+            record = await caller.request(
                 edge, method, target, identity, key, b"body" if method == "POST" else b""
             )
             sendings = 1
             while (
                 again
                 and method == "POST"
-                and told.status != 200
+                and record.status != 200
                 and sendings < 6
                 and self.callers_on
             ):
@@ -386,18 +397,18 @@
                 await scheduler.sleep(0.3 * random.random())
                 edges = self.ready_edges() or edges
                 edge = f"{self.node(random.choice(edges)).host}:3"
-                told = await caller.request(edge, method, target, identity, key, b"body")
+                record = await caller.request(edge, method, target, identity, key, b"body")
             repeats = 0
             while (
                 again
                 and method == "GET"
-                and told.status not in (200, 404)
+                and record.status not in (200, 404)
                 and repeats < 40
                 and self.callers_on
             ):
                 repeats += 1
                 await scheduler.sleep(0.05)
-                told = await caller.request(
+                record = await caller.request(
                     edge,
                     method,
                     target,
@@ -446,16 +457,16 @@
 
     def pick_request(self, random: Random) -> tuple[str, str]:
         """Draw the method and target of a caller's request."""
-        mark = random.random()
-        if mark < 0.5:
+        draw = random.random()
+        if draw < 0.5:
             return "GET", f"/covers/{random.randrange(8)}"
-        if mark < 0.6:
+        if draw < 0.6:
             return "GET", f"/plain/{random.randrange(50)}"
-        if mark < 0.75:
+        if draw < 0.75:
             return "GET", f"/lookups/{random.randrange(50)}"
-        if mark < 0.9:
+        if draw < 0.9:
             return "POST", f"/orders/{random.randrange(1000)}"
-        asked = [changed.mark for changed in self.changes if changed.mark]
+        asked = [change.marker_path for change in self.changes if change.marker_path]
         return "GET", random.choice(asked) if asked else "/nothing"
 
     def start_callers(self, count: int = 12, rate: float = 3.0, again: int = 4) -> None:
@@ -480,7 +491,7 @@
                     if found.get("verdict") == "down" and key not in seen:
                         seen.add(key)
                         self.downs.append(
-                            Down(
+                            ZoneDown(
                                 self.world.time, zone, list(found["edges"]), list(found["targets"])
                             )
                         )
@@ -495,13 +506,13 @@
                 if self.node(name).traffic.readiness.not_ready_reason not in DRAINED
             }
             fine = {
-                told.edge
-                for told in self.notes
-                if told.at >= since and told.status == 200 and told.whole
+                record.edge
+                for record in self.notes
+                if record.sent_at >= since and record.status == 200 and record.complete
             }
             posted = any(
-                told.at >= since and told.status == 200 and told.method == "POST"
-                for told in self.notes
+                record.sent_at >= since and record.status == 200 and record.method == "POST"
+                for record in self.notes
             )
             return bool(edges) and edges <= fine and posted
 
@@ -519,13 +530,13 @@
             if not self.node(name).alive:
                 self.start(name)
         for server in self.servers.values():
-            server.manner = "whole"
+            server.behavior = ServerBehavior.SOUND
             server.delay = 0.0
 
-    def probed(self) -> list[Probed]:
+    def probed(self) -> list[ProbeRecord]:
         """Return all probes that the probers have kept."""
         return [
-            Probed(
+            ProbeRecord(
                 row.started_at - node.clock.zero,
                 row.edge,
                 row.watch,
@@ -541,10 +552,10 @@
     def findings(self) -> Findings:
         """Check all rules against the notes of callers and the histories of servers."""
         found = Findings()
-        check_once(found, self.notes, self.history)
+        check_at_most_once(found, self.notes, self.history)
         check_bytes(found, self.notes, self.objects, SERVICE_OF)
         check_rates(found, self.history, self.rate_rate)
-        check_repeats(found, self.history)
+        check_retry_budget(found, self.history)
         check_misrouted(found, self.history, SERVICE_OF)
         check_leaving(found, self.history, self.platform.shown_since)
         check_changes(found, self.notes, self.changes, self.reads)
--- a/packages/testing/ryelock/testing/schedules.py
+++ b/packages/testing/ryelock/testing/schedules.py
@@ -10,9 +10,11 @@
 
 from ryelock.testing.checks import Findings, false_downs
 from ryelock.testing.scenario import Scenario
-from ryelock.testing.stand_ins.servers import CUT, DEAF, FAILING, LONG, LOST, SHORT, SLOW, WRONG
+from ryelock.testing.stand_ins.servers import ServerBehavior
 
 RETURN_SECONDS = 15.0
+UNSOUND = [behavior for behavior in ServerBehavior if behavior is not ServerBehavior.SOUND]
+"""In the order of the enum: a seed draws by position."""
 Fault = Callable[[Scenario, Random], str]
 
 
@@ -154,13 +156,13 @@
         server for name, server in scenario.servers.items() if scenario.world.nodes[name].alive
     ]
     server = random.choice(servers)
-    server.manner = random.choice([SLOW, CUT, SHORT, LONG, WRONG, LOST, FAILING, DEAF])
+    server.behavior = random.choice(UNSOUND)
 
     def mend() -> None:
-        server.manner = "whole"
+        server.behavior = ServerBehavior.SOUND
 
     scenario.world.later(1 + random.random() * 4, mend)
-    return f"{server.service} {server.address} is {server.manner}"
+    return f"{server.service} {server.address} is {server.behavior}"
 
 
 def staying(scenario: Scenario) -> list[str]:
@@ -415,7 +417,7 @@
     number = scenario.world.points
 
     async def whole() -> None:
-        base = max((changed.version for changed in scenario.changes), default=1)
+        base = max((change.version for change in scenario.changes), default=1)
         for turn in range(3):
             name = f"gen-many-{number}-{turn}"
             routes = {
@@ -423,8 +425,8 @@
                 for count in range(200)
             }
             routes[name] = {"path": f"/{name}", "service": "pages"}
-            changed = await scenario.change(name, base, {"routes": routes}, f"/{name}")
-            base = changed.version or base
+            change = await scenario.change(name, base, {"routes": routes}, f"/{name}")
+            base = change.version or base
 
     scenario.operators.scheduler.create_task(whole(), name="many routes")
     return "changes of hundreds of routes"
@@ -580,8 +582,8 @@
 
 def end_of_day(scenario: Scenario, findings: Findings) -> None:
     """The last read, through any node, has the newest acknowledged change."""
-    told = [changed for changed in scenario.changes if changed.status == 200]
-    newest = max((changed.version for changed in told), default=0)
+    told = [change for change in scenario.changes if change.status == 200]
+    newest = max((change.version for change in told), default=0)
     status, answer = scenario.ask_now("GET", "/configuration")
     version = answer.get("version")
     findings.look("end of day")
@@ -590,11 +592,11 @@
         return
     configuration = answer.get("configuration")
     routes = configuration.get("routes") if isinstance(configuration, dict) else None
-    for changed in scenario.changes:
-        if not changed.mark or not isinstance(routes, dict):
+    for change in scenario.changes:
+        if not change.marker_path or not isinstance(routes, dict):
             continue
-        there = changed.identity in routes
-        if changed in told and not there:
-            findings.broken("end of day", f"{changed.identity} is missing")
-        if changed.status in (409, 422) and there:
-            findings.broken("end of day", f"{changed.identity} took effect")
+        there = change.identity in routes
+        if change in told and not there:
+            findings.broken("end of day", f"{change.identity} is missing")
+        if change.status in (409, 422) and there:
+            findings.broken("end of day", f"{change.identity} took effect")
--- a/packages/testing/ryelock/testing/stand_ins/servers.py
+++ b/packages/testing/ryelock/testing/stand_ins/servers.py
@@ -1,31 +1,46 @@
-"""Stand-ins for the outside: servers, the platform, callers. They keep their own histories.
+"""Stand-ins for servers and for the platform's list of them; they keep their own histories.
 
-A server answers by what it is told to be: whole, slow, cutting, lying about lengths, losing
-answers. What it ran stands in its history, which checkers read; the system's own word is not
-asked. Bodies follow from the service, the target and a revision, so that any byte can be
-checked by whoever holds the answer.
+A server answers by its behavior: sound, slow, cutting, lying about lengths, losing answers. What
+it ran stands in its history, which checkers read in place of what the system says of itself.
+Bodies follow from the service, the target and a revision, so that any byte can be checked.
 """
 
 import hashlib
 import json
+from dataclasses import dataclass
+from enum import StrEnum
 
 from ryelock.events import Log
-from ryelock.http import Fields, HttpExchange, HttpServer, Limits, field, http_date
+from ryelock.http import Fields, HttpExchange, HttpServer, Limits, RequestHead, field, http_date
 from ryelock.http.reader import IncompleteMessageError, ReadTimeoutError
 from ryelock.runtime import Network, Scheduler
 
-WHOLE, SLOW, CUT, SHORT, LONG, WRONG, LOST, FAILING, DEAF = (
-    "whole",
-    "slow",
-    "cut",
-    "short",
-    "long",
-    "wrong",
-    "lost",
-    "failing",
-    "deaf",
-)
-MANNERS = (WHOLE, SLOW, CUT, SHORT, LONG, WRONG, LOST, FAILING, DEAF)
+
+class ServerBehavior(StrEnum):
+    """How a server answers."""
+
+    SOUND = "whole"
+    """It answers at once, completely."""
+    SLOW = "slow"
+    """It answers after 3 s."""
+    CUT = "cut"
+    """It ends the connection in the middle of the body."""
+    SHORT = "short"
+    """It declares more bytes than it sends."""
+    LONG = "long"
+    """It sends more bytes than it declares."""
+    WRONG = "wrong"
+    """It declares two lengths that contradict each other."""
+    LOST = "lost"
+    """It runs the request and ends the connection without an answer."""
+    FAILING = "failing"
+    """It answers 500."""
+    DEAF = "deaf"
+    """It reads the request, does not run it and never answers."""
+
+
+SLOW_SECONDS = 3.0
+NEVER_SECONDS = 3600.0
 
 
 def body_for(service: str, target: str, revision: int, size: int) -> bytes:
@@ -35,45 +50,33 @@
     return (start + seed.encode() * (size // len(seed) + 1))[: max(size, len(start))]
 
 
-class Ran:
-    """One order as a server saw it."""
+@dataclass(slots=True, eq=False)
+class ServedRequest:
+    """One request as the server that ran it saw it.
 
-    __slots__ = (
-        "address",
-        "at",
-        "identity",
-        "key",
-        "method",
-        "probe",
-        "retry",
-        "revision",
-        "service",
-        "target",
-    )
+    Attributes:
+        at: monotonic seconds at which it was run.
+        service: name of the server's service.
+        address: host:port of the server.
+        method: HTTP method.
+        target: path with query.
+        identity: the caller's name for the request; empty where it has none.
+        key: the Idempotency-Key field; empty without one.
+        probe: whether a prober sent it.
+        revision: revision of the object that the answer bears.
+        retry: whether its sender marked it as a retry.
+    """
 
-    def __init__(
-        self,
-        at: float,
-        service: str,
-        address: str,
-        method: str,
-        target: str,
-        identity: str,
-        key: str,
-        probe: bool,
-        revision: int,
-    ) -> None:
-        """Note a request that a server ran, with the revision it answered."""
-        self.at = at
-        self.service = service
-        self.address = address
-        self.method = method
-        self.target = target
-        self.identity = identity
-        self.key = key
-        self.probe = probe
-        self.retry = False
-        self.revision = revision
+    at: float
+    service: str
+    address: str
+    method: str
+    target: str
+    identity: str
+    key: str
+    probe: bool
+    revision: int
+    retry: bool = False
 
 
 class Objects:
@@ -102,13 +105,13 @@
 
     __slots__ = (
         "address",
+        "behavior",
         "clock_error",
         "dated",
         "delay",
         "history",
         "lifetime",
         "listener",
-        "manner",
         "modified",
         "objects",
         "scheduler",
@@ -124,14 +127,14 @@
         service: str,
         address: str,
         objects: Objects,
-        history: list[Ran],
+        history: list[ServedRequest],
     ) -> None:
         """Start a server at an address; what it runs is added to the history."""
         self.scheduler = scheduler
         self.service = service
         self.objects = objects
         self.history = history
-        self.manner = WHOLE
+        self.behavior = ServerBehavior.SOUND
         self.delay = 0.0
         self.lifetime = ""
         self.modified = False
@@ -156,20 +159,32 @@
             connection.abort()
 
     async def serve(self, exchange: HttpExchange) -> None:
-        """Serve one request as the manner says."""
-        head = exchange.head
+        """Serve one request as the behavior has it."""
         try:
             await exchange.read_body()
         except (IncompleteMessageError, ReadTimeoutError):
             return
-        if self.manner == DEAF:
-            await self.scheduler.sleep(3600)
+        if self.behavior == ServerBehavior.DEAF:
+            await self.scheduler.sleep(NEVER_SECONDS)
             return
-        target = head.target.decode("latin-1")
+        target = exchange.head.target.decode("latin-1")
         revision = self.objects.revision(target)
         if self.delay:
             await self.scheduler.sleep(self.delay)
-        ran = Ran(
+        self.history.append(self.served_request(exchange.head, target, revision))
+        if self.behavior == ServerBehavior.SLOW:
+            await self.scheduler.sleep(SLOW_SECONDS)
+        if self.behavior == ServerBehavior.LOST:
+            exchange.abort()
+            return
+        if self.behavior == ServerBehavior.FAILING:
+            await exchange.respond(500, [], b"broken\n")
+            return
+        await self.answer(exchange, target, revision)
+
+    def served_request(self, head: RequestHead, target: str, revision: int) -> ServedRequest:
+        """Return the record of a request that runs now."""
+        return ServedRequest(
             self.scheduler.now(),
             self.service,
             self.address,
@@ -179,43 +194,45 @@
             (field(head.fields, b"idempotency-key") or b"").decode(),
             field(head.fields, b"x-ryelock-probe") is not None,
             revision,
+            field(head.fields, b"x-retry-count") is not None,
         )
-        ran.retry = field(head.fields, b"x-retry-count") is not None
-        self.history.append(ran)
-        if self.manner == SLOW:
-            await self.scheduler.sleep(3.0)
-        if self.manner == LOST:
-            exchange.abort()
-            return
-        if self.manner == FAILING:
-            await exchange.respond(500, [], b"broken\n")
-            return
+
+    async def answer(self, exchange: HttpExchange, target: str, revision: int) -> None:
+        """Answer with the object, a range of it, or that it has not changed."""
+        asked = exchange.head.fields
         body = body_for(self.service, target, revision, self.objects.size)
         fields = self.fields(target, revision)
         status = 200
-        asked = field(head.fields, b"range")
         tag = field(fields, b"etag")
-        if tag is not None and field(head.fields, b"if-none-match") == tag:
+        if tag is not None and field(asked, b"if-none-match") == tag:
             await exchange.respond(304, fields, b"")
             return
-        if asked == b"bytes=0-1023" and len(body) > 1024:
+        if field(asked, b"range") == b"bytes=0-1023" and len(body) > 1024:
             status = 206
             fields.append((b"Content-Range", b"bytes 0-1023/%d" % len(body)))
             body = body[:1024]
-        if self.manner == WRONG:
+        if self.behavior == ServerBehavior.WRONG:
             exchange.connection.write(
                 b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\nContent-Length: 12\r\n\r\n" + body
             )
             exchange.abort()
             return
+        await self.send_body(exchange, status, fields, body)
+
+    async def send_body(
+        self, exchange: HttpExchange, status: int, fields: Fields, body: bytes
+    ) -> None:
+        """Send head and body; the behavior may make them disagree or end too soon."""
         length = len(body)
-        if self.manner == LONG:
+        if self.behavior == ServerBehavior.LONG:
             body += b"tail that belongs to nothing"
-        exchange.send_head(status, b"", fields, length + (50 if self.manner == SHORT else 0))
-        if self.manner == CUT:
+        excess = 50 if self.behavior == ServerBehavior.SHORT else 0
+        exchange.send_head(status, b"", fields, length + excess)
+        if self.behavior == ServerBehavior.CUT:
             body = body[: length // 2]
         await exchange.send(body, 30.0)
-        if self.manner in (CUT, SHORT):
+        # The behavior may have changed while the body was sent.
+        if self.behavior in (ServerBehavior.CUT, ServerBehavior.SHORT):
             await exchange.connection.drain(0, 5.0)
             exchange.abort()
         else:
--- a/tests/consensus/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -11,6 +11,7 @@
 from ryelock.consensus.quorum_lease import QuorumLease
 from ryelock.events import SERVER_EJECTED
 from ryelock.testing.scenario import Scenario
+from ryelock.testing.stand_ins.servers import ServerBehavior
 
 
 def change(scenario: Scenario, name: str, through: str) -> int:
@@ -146,7 +147,7 @@
         scenario.set_up()
         scenario.start_callers(12, 5.0, 0)
         server = scenario.servers["pages0-1"]
-        server.manner = "failing"
+        server.behavior = ServerBehavior.FAILING
         scenario.world.run(8)
         peer = scenario.servers["pages2-1"]
 
@@ -161,7 +162,7 @@
             [number for name in scenario.edges for number, _ in scenario.node(name).log.records],
         )
         self.assertLess(lately(server.address) * 3, lately(peer.address))
-        server.manner = "whole"
+        server.behavior = ServerBehavior.SOUND
         scenario.world.run(25)
         self.assertGreater(lately(server.address), 0)
         self.assertEqual([], scenario.findings().violations)
--- a/tests/control_plane/test_finals.py
+++ b/tests/control_plane/test_finals.py
@@ -84,7 +84,7 @@
                 ),
                 10,
             )
-        told = [one for one in scenario.notes if one.at >= since]
+        told = [one for one in scenario.notes if one.sent_at >= since]
         self.assertEqual({(503, "not-run")}, {(one.status, one.outcome) for one in told})
         self.assertTrue(all(one.retry_after and one.seconds < 0.5 for one in told))
         status, _ = scenario.ask_now("POST", "/changes", {"id": "x", "base": 1, "put": {}})
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -24,7 +24,12 @@
 from ryelock.explain import format_explanation
 from ryelock.testing.hosting_platform.clients import CACHEABLE
 from ryelock.testing.simulated import SimNode, World
-from ryelock.testing.stand_ins.servers import Objects, PlatformStandIn, ServerStandIn
+from ryelock.testing.stand_ins.servers import (
+    Objects,
+    PlatformStandIn,
+    ServerBehavior,
+    ServerStandIn,
+)
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
@@ -252,11 +257,11 @@
         body = b"body" if method == "POST" else b""
         found[name] = client.call(front, method, target, body, head)
         world.run(0.3)
-    deployed.control_api_server.manner = "failing"
+    deployed.control_api_server.behavior = ServerBehavior.FAILING
     found["a failing server"] = client.call(front, "GET", "/none/1")
-    deployed.control_api_server.manner = "lost"
+    deployed.control_api_server.behavior = ServerBehavior.LOST
     found["a lost answer to a post"] = client.call(front, "POST", "/orders/3", b"body")
-    deployed.control_api_server.manner = "deaf"
+    deployed.control_api_server.behavior = ServerBehavior.DEAF
     found["a deaf server"] = client.call(front, "GET", "/none/2")
     accounts: Message = {}
     for name, answer in found.items():
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -9,7 +9,7 @@
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.events import ROLE_FENCED
 from ryelock.health.evaluation import TargetVerdict
-from ryelock.testing.checks import Down, Findings, Probed, check_downs
+from ryelock.testing.checks import Findings, ProbeRecord, ZoneDown, check_downs
 from ryelock.testing.scenario import CONFIGURATION, Scenario
 
 Plain = dict[str, Any]
@@ -401,9 +401,9 @@
             self.assertFalse(node.handler.router.is_probe(said))
 
     def test_the_checker_finds_planted_downs(self) -> None:
-        def rows(count: int, machines: int) -> list[Probed]:
+        def rows(count: int, machines: int) -> list[ProbeRecord]:
             return [
-                Probed(
+                ProbeRecord(
                     10.0 + number,
                     "e",
                     "w",
@@ -415,7 +415,7 @@
                 for number in range(count)
             ]
 
-        def named(probed: list[Probed], at: float) -> list[Plain]:
+        def named(probed: list[ProbeRecord], at: float) -> list[Plain]:
             return [
                 {
                     "prober": row.prober,
@@ -426,11 +426,11 @@
                 for row in probed
             ]
 
-        def broken(probed: list[Probed], evidence: list[Plain], at: float = 15.0) -> bool:
+        def broken(probed: list[ProbeRecord], evidence: list[Plain], at: float = 15.0) -> bool:
             found = Findings()
             check_downs(
                 found,
-                [Down(at, "z", ["e"], [{"edge": "e", "watch": "w", "failed_rows": evidence}])],
+                [ZoneDown(at, "z", ["e"], [{"edge": "e", "watch": "w", "failed_rows": evidence}])],
                 probed,
                 late=2.5,
             )
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -27,7 +27,7 @@
 from ryelock.settings import read_settings
 from ryelock.testing.scenario import CONFIGURATION, Scenario
 from ryelock.testing.simulated import SimNode, World
-from ryelock.testing.stand_ins.servers import ServerStandIn
+from ryelock.testing.stand_ins.servers import ServerBehavior, ServerStandIn
 
 DIALECT = ProtocolProfile(
     identity=b"X-Order-Identity",
@@ -142,9 +142,9 @@
         told = [
             note
             for note in self.scenario.notes
-            if note.at >= since and note.target.startswith("/covers")
+            if note.sent_at >= since and note.target.startswith("/covers")
         ]
-        return sum(note.status == 200 and note.whole for note in told) / max(1, len(told))
+        return sum(note.status == 200 and note.complete for note in told) / max(1, len(told))
 
 
 class DerivedCase(testtools.TestCase):
@@ -286,7 +286,7 @@
 
     def test_a_crowd_at_the_servers_makes_no_zone_down(self) -> None:
         async def serve(server: ServerStandIn, exchange: HttpExchange) -> None:
-            if server.manner != "full":
+            if server.behavior != ServerBehavior.FAILING:
                 await plain_serve(server, exchange)
                 return
             identity = field(exchange.head.fields, b"x-order-identity") or b""
@@ -306,7 +306,7 @@
                 fleet.scenario.world.run(12)
                 self.assertEqual("healthy", fleet.zone_verdict("zone0"))
                 for server in fleet.scenario.servers.values():
-                    server.manner = "full"
+                    server.behavior = ServerBehavior.FAILING
                 fleet.scenario.world.run(20)
                 self.assertEqual(wanted, fleet.zone_verdict("zone0"))
 
--- a/tests/rpc/test_bad_input.py
+++ b/tests/rpc/test_bad_input.py
@@ -209,7 +209,9 @@
         scenario.platform.show("pages", "10.9.0.3:99", "zone0", 1)
         scenario.start_callers(12, 4.0, 0)
         scenario.world.run(10)
-        pages = [told for told in scenario.notes if told.target.startswith("/plain/") and told.end]
+        pages = [
+            told for told in scenario.notes if told.target.startswith("/plain/") and told.ending
+        ]
         self.assertGreater(len(pages), 20)
         self.assertGreater(sum(told.status == 200 for told in pages), 0.9 * len(pages))
         self.assertEqual([], scenario.findings().violations)
--- a/tests/support/simulated_runs.py
+++ b/tests/support/simulated_runs.py
@@ -2,6 +2,7 @@
 
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.stand_ins.callers import Caller
+from ryelock.testing.stand_ins.servers import ServerBehavior
 
 PROBING: dict[str, object] = {
     "derive_watches": True,
@@ -44,10 +45,10 @@
         world.task(scenario.operators, scenario.add_route(f"gen-{number}", 1 + number), 30)
     world.run(2.0)
     for server in scenario.servers.values():
-        server.manner = "failing"
+        server.behavior = ServerBehavior.FAILING
     world.run(6.0)
     for server in scenario.servers.values():
-        server.manner = "whole"
+        server.behavior = ServerBehavior.SOUND
     world.run(6.0)
     lost = next(name for name in scenario.cores if name != scenario.leader())
     scenario.lose_disk(lost)
