--- a/packages/edge/ryelock/edge/membership_view.py
+++ b/packages/edge/ryelock/edge/membership_view.py
@@ -25,7 +25,7 @@
         gone = [Session.from_wire(wire) for wire in update.gone]
         self.gone = {session.name: session for session in gone}
         self.control_addresses = [
-            session.wire for session in self.members.values() if session.role == CONTROL_ROLE
+            session.rpc_address for session in self.members.values() if session.role == CONTROL_ROLE
         ]
 
     def apply_sessions(self, update: MembershipUpdate) -> None:
--- a/packages/testing/ryelock/testing/scale/pieces.py
+++ b/packages/testing/ryelock/testing/scale/pieces.py
@@ -42,11 +42,11 @@
         role="edge",
         zone=zone_name(number, zones),
         machine=name,
-        wire=address,
-        control=address,
-        order=address,
+        rpc_address=address,
+        control_address=address,
+        request_address=address,
         incarnation=f"{number:012x}",
-        mark=f"{number:016x}",
+        probe_secret=f"{number:016x}",
         probes=True,
         ready=True,
     )
@@ -197,11 +197,11 @@
     """One purge of one path at an edge that holds so many copies, none of which it meets."""
     store = CacheStore(1)
     for number in range(copies):
-        store.responses["route-0", "", f"/route-0/{number}"] = Variants()
+        store.variants["route-0", "", f"/route-0/{number}"] = Variants()
 
     def purge() -> None:
-        number = store.purged + 1
-        store.take_purges([Purge(number, PurgeKind.PATH, "", "/elsewhere")], number)
+        number = store.last_purge + 1
+        store.apply_purges([Purge(number, PurgeKind.PATH, "", "/elsewhere")], number)
 
     return {f"edge: ms of a purge at {copies} copies": 1e3 * seconds_of(purge)}
 
