--- a/packages/testing/ryelock/testing/checks.py
+++ b/packages/testing/ryelock/testing/checks.py
@@ -13,8 +13,8 @@
 RATE_WINDOW_SECONDS = 5.0
 RATE_OVERSHOOT = 1.10
 RETRY_WINDOW_SECONDS = 10.0
-RETRY_RATIO = 0.2
-RETRY_SLACK = 12
+RETRY_SHARE_MOST = 0.2
+RETRY_RESERVE = 12
 
 
 class Findings:
@@ -124,7 +124,7 @@
                 start += 1
             found.look("repeats")
             count = end - start + 1
-            if retries > RETRY_RATIO * count + RETRY_SLACK:
+            if retries > RETRY_SHARE_MOST * count + RETRY_RESERVE:
                 found.broken("repeats", f"{service}: {retries} repeats among {count} in 10 s")
                 break
 
