--- a/tests/project/test_checked.py
+++ b/tests/project/test_checked.py
@@ -43,6 +43,15 @@
 GOOD = {"services": {"pages": {"rate": 5}}, "routes": {"a": {"path": "/a", "service": "pages"}}}
 
 
+def names_of_tests() -> set[str]:
+    """The name of every test method and test function."""
+    return {
+        name
+        for file in (ROOT / "tests").rglob("*.py")
+        for name in re.findall(r"def (test_\w+)", file.read_text())
+    }
+
+
 def change(base: int = 0, **parts: object) -> dict[str, object]:
     return {"id": "x", "base": base, **parts}
 
@@ -322,11 +331,7 @@
 
     def test_the_brief_names_what_exists(self) -> None:
         page = (ROOT / "docs" / "brief.md").read_text()
-        tests = {
-            name
-            for file in (ROOT / "tests").rglob("*.py")
-            for name in re.findall(r"def (test_\w+)", file.read_text())
-        }
+        tests = names_of_tests()
         named = re.findall(r"`([^`]+)`", page.partition("\n## ")[2])
         self.assertGreater(len(named), 100)
         for name in named:
@@ -344,6 +349,23 @@
             ):
                 self.assertTrue(name in IMPORT_ORDER or (ROOT / name).exists(), name)
 
+    def test_the_page_of_platform_rules_names_what_exists(self) -> None:
+        """Each row names a test, a file of tests or a case that exists, or says "not covered"."""
+        page = (ROOT / "docs" / "platform-rules.md").read_text()
+        tests = names_of_tests()
+        files = {file.name for file in (ROOT / "tests").rglob("test_*.py")}
+        rows = re.findall(r"^\| (?!line)[^-].*\| (.*) \|$", page, re.MULTILINE)
+        self.assertGreater(len(rows), 50)
+        for row in rows:
+            named = re.findall(r"`([^`]+)`", row)
+            proofs = [name for name in named if name.startswith(("test_", "case "))]
+            said = any(text in row for text in ("*not covered*", "the same two", "measures change"))
+            self.assertTrue(proofs or said or row == "none needed", row)
+            for name in proofs:
+                kind, _, case = name.partition(" ")
+                known = CASES.keys() if kind == "case" else files if name[-3:] == ".py" else tests
+                self.assertIn(case or name, known)
+
 
 class ScheduleTests(testtools.TestCase):
     def test_the_same_seed_gives_the_same_trace(self) -> None:
