--- a/packages/testing/ryelock/testing/mass_loss_cases.py
+++ b/packages/testing/ryelock/testing/cases/mass_losses.py
@@ -9,15 +9,15 @@
 from random import Random
 
 from ryelock.runtime import TaskCoroutine
-from ryelock.testing.checks import Findings, Purged
-from ryelock.testing.control_cases import OK, RESEND_SECONDS, newest_version
-from ryelock.testing.finals import voters
-from ryelock.testing.loss_cases import (
+from ryelock.testing.cases.control import OK, RESEND_SECONDS, newest_version
+from ryelock.testing.cases.losses import (
     CATCH_UP_SECONDS,
     LOSS_SETTINGS,
     pick_victim,
     take_change,
 )
+from ryelock.testing.checks import Findings, Purged
+from ryelock.testing.finals import voters
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.schedules import RETURN_SECONDS, end_of_day
 
--- a/packages/testing/ryelock/testing/hollow.py
+++ b/packages/testing/ryelock/testing/hollow.py
@@ -17,7 +17,7 @@
 from ryelock.runtime import Network, Scheduler
 from ryelock.runtime.reactor import Reactor
 from ryelock.testing.hollow_node import DEMAND, CountedLog, Counts, HollowHost, HollowNode
-from ryelock.testing.reactors import run_to_end
+from ryelock.testing.processes.reactors import run_to_end
 
 ROWS_SECONDS = 0.5
 
@@ -119,7 +119,7 @@
         """Start the nodes anew that were dropped last."""
         for name, zone in self.dropped:
             self.nodes.append(HollowNode(self.host, name, zone))
-            self.nodes[-1].member.start()
+            self.nodes[-1].renewal.start()
         self.dropped = []
 
     def start(self, pause: float) -> None:
@@ -135,7 +135,7 @@
         """Start the nodes one after another, a pause of seconds apart."""
         due = self.scheduler.now()
         for node in nodes:
-            node.member.start()
+            node.renewal.start()
             due += pause
             await self.scheduler.sleep(max(0.0, due - self.scheduler.now()))
 
@@ -152,11 +152,11 @@
         """Planned restarts: so many nodes say goodbye and come back as new incarnations."""
         for place in range(min(count, len(self.nodes))):
             before = self.nodes[place]
-            await before.member.say_goodbye()
+            await before.renewal.leave()
             before.end()
             fresh = HollowNode(self.host, before.session.name, before.session.zone)
             self.nodes[place] = fresh
-            fresh.member.start()
+            fresh.renewal.start()
         reply({})
 
     async def tend(self) -> None:
@@ -195,7 +195,7 @@
             "rows": counts.rows,
             "members": len(first.member.members) if first else 0,
             "members_bytes": len(
-                cbor2.dumps([session.plain() for session in first.member.members.values()])
+                cbor2.dumps([session.to_wire() for session in first.member.members.values()])
             )
             if first
             else 0,
--- a/packages/testing/ryelock/testing/model/cluster.py
+++ b/packages/testing/ryelock/testing/model/cluster.py
@@ -5,11 +5,11 @@
 
 from expression import Error, Ok, Result
 
-from ryelock.rpc import RpcError
+from ryelock.rpc import NoResponseError
 from ryelock.runtime import Queue, Scheduler
 from ryelock.testing.model.adapter import (
-    LEAVE,
     PROMISE_SECONDS,
+    RELEASE_REQUEST,
     UNREADABLE,
     Change,
     DiskLog,
@@ -97,7 +97,7 @@
 
     async def call(
         self, address: str, message: Message, timeout: float
-    ) -> Result[Message, RpcError]:
+    ) -> Result[Message, NoResponseError]:
         """Ask another process; an error where no answer came in time."""
         self.sequence += 1
         number = self.sequence
@@ -109,7 +109,7 @@
         finally:
             self.pending_calls.pop(number, None)
         if answer is None:
-            return Error(RpcError(f"no answer from {address}", True))
+            return Error(NoResponseError(address, True))
         return Ok(answer)
 
 
@@ -283,7 +283,7 @@
                 return
 
             def reply(answer: Message) -> None:
-                if message.get("kind") == LEAVE and answer.get("may_end") is True:
+                if message.get("kind") == RELEASE_REQUEST and answer.get("may_end") is True:
                     self.read_disks()
                     self.history.check_left(str(message["disk"]))
                 self.history.answered(message, answer)
--- a/packages/testing/ryelock/testing/pieces.py
+++ b/packages/testing/ryelock/testing/scale/pieces.py
@@ -14,13 +14,14 @@
 import cbor2
 
 from ryelock.cache.store import CacheStore, Variants
+from ryelock.control_plane.edge_leases import Lease
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
 from ryelock.events import RecordingLog
 from ryelock.journal import MachineFolder
-from ryelock.membership import Membership, Server, Session, session_of
+from ryelock.membership import Membership, Server, Session
 from ryelock.rate_limit.quota_allocator import Given
-from ryelock.replicated_state import Purge, ReplicatedState, encode_command
+from ryelock.replicated_state import Purge, PurgeKind, ReplicatedState, encode_command
 from ryelock.runtime.reactor import Reactor
 from ryelock.settings import read_settings
 from ryelock.testing.scale import Figures, Size, measure_judging, zone_name
@@ -41,11 +42,11 @@
         role="edge",
         zone=zone_name(number, zones),
         machine=name,
-        wire=address,
-        control=address,
-        order=address,
+        rpc_address=address,
+        control_address=address,
+        request_address=address,
         incarnation=f"{number:012x}",
-        mark=f"{number:016x}",
+        probe_secret=f"{number:016x}",
         probes=True,
         ready=True,
     )
@@ -115,14 +116,16 @@
     """Measure the pieces of a renewal, with a share and a lease given to every session."""
     renewals, now = node.renewals, node.scheduler.now()
     sessions = list(node.membership.sessions.values())
-    renewals.note_members()
-    look = seconds_of(lambda: [renewals.note_members() for _ in range(LOOKS)]) / LOOKS
+    renewals.membership_changes.refresh()
+    look = seconds_of(lambda: [renewals.membership_changes.refresh() for _ in range(LOOKS)]) / LOOKS
     give_shares(node, sessions)
     rates = dict.fromkeys(SERVICE_NAMES, 1.0)
-    shares = seconds_of(lambda: renewals.shares(sessions[0], renewals.edges(), rates, {}, now))
+    shares = seconds_of(
+        lambda: renewals.quota.allocate(sessions[0].name, renewals.edges(), rates, {}, now)
+    )
     for session in sessions:
-        renewals.terms.give((session.name, "run"), 1, now + TERM_SECONDS, now)
-    behind = seconds_of(lambda: renewals.terms.behind(2, now))
+        renewals.leases.table.grant((session.name, "run"), Lease(1, now + TERM_SECONDS), now)
+    behind = seconds_of(lambda: renewals.leases.table.lagging_edges(2, now))
     return {
         "leader: µs of one look for news of members": 1e6 * look,
         "leader: µs of one edge's shares, 2 services": 1e6 * shares,
@@ -132,7 +135,7 @@
 
 def give_shares(node: ControlNode, sessions: list[Session]) -> None:
     """Let every session demand and hold a share of each service."""
-    divider, ends = node.renewals.divider, node.scheduler.now() + SHARE_SECONDS
+    divider, ends = node.renewals.quota.allocator, node.scheduler.now() + SHARE_SECONDS
     for session in sessions:
         divider.report(session.name, dict.fromkeys(SERVICE_NAMES, 10.0))
         for service in SERVICE_NAMES:
@@ -150,7 +153,7 @@
     hear = seconds_of(lambda: other.hear(cbor2.loads(said)))
     told = cbor2.dumps(members_told(membership))
     tell = seconds_of(lambda: cbor2.dumps(members_told(membership)))
-    take = seconds_of(lambda: [session_of(plain) for plain in cbor2.loads(told)])
+    take = seconds_of(lambda: [Session.from_wire(plain) for plain in cbor2.loads(told)])
     return {
         "leader: KB of sessions to a follower, each beat": len(said) / 1e3,
         "leader: ms to write them": 1e3 * say,
@@ -163,7 +166,7 @@
 
 def members_told(membership: Membership) -> list[dict[str, object]]:
     """Return all members as a renewal tells them."""
-    return [session.plain() for session in membership.members().values()]
+    return [session.to_wire() for session in membership.members().values()]
 
 
 def measure_configuration(servers: int, routes: int) -> Figures:
@@ -178,7 +181,7 @@
             zone_name(number, 4),
             "1",
             False,
-        ).plain()
+        ).to_wire()
         for number in range(servers)
     ]
     return {
@@ -194,11 +197,11 @@
     """One purge of one path at an edge that holds so many copies, none of which it meets."""
     store = CacheStore(1)
     for number in range(copies):
-        store.responses["route-0", "", f"/route-0/{number}"] = Variants()
+        store.variants["route-0", "", f"/route-0/{number}"] = Variants()
 
     def purge() -> None:
-        number = store.purged + 1
-        store.take_purges([Purge(number, "path", "", "/elsewhere")], number)
+        number = store.last_purge + 1
+        store.apply_purges([Purge(number, PurgeKind.PATH, "", "/elsewhere")], number)
 
     return {f"edge: ms of a purge at {copies} copies": 1e3 * seconds_of(purge)}
 
--- a/tests/control_plane/test_control_cases.py
+++ b/tests/control_plane/test_control_cases.py
@@ -8,12 +8,13 @@
 import testtools
 
 from ryelock.consensus import Consensus
-from ryelock.control_plane import renewals
-from ryelock.control_plane.leading import OperatorRequests
+from ryelock.consensus.leadership import Leadership
+from ryelock.control_plane.operator_requests import OperatorRequests
+from ryelock.control_plane.renewal_messages import UnconfirmedRenewalResponse
 from ryelock.journal import FolderError
 from ryelock.replicated_state import ReplicatedState, outcomes
 from ryelock.replicated_state.outcomes import Outcomes
-from ryelock.testing.control_cases import CONTROL_CASES, ISOLATIONS, route_change
+from ryelock.testing.cases.control import CONTROL_CASES, ISOLATIONS, route_change
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.simulated import SimFolder
 
@@ -30,10 +31,10 @@
 def never_deposed() -> list[Patch]:
     """A leader that believes in its majority for ever."""
 
-    def held_since(consensus: Consensus) -> float:
-        return consensus.scheduler.now()
+    def majority_contact_at(leadership: Leadership) -> float:
+        return leadership.state.now()
 
-    return [mock.patch.object(Consensus, "majority_contact_at", held_since)]
+    return [mock.patch.object(Leadership, "majority_contact_at", majority_contact_at)]
 
 
 def refusals_without_confirmation() -> list[Patch]:
@@ -84,7 +85,7 @@
 
 def no_version_check() -> list[Patch]:
     """A change is taken whatever version it builds on."""
-    plain = ReplicatedState.change
+    plain = ReplicatedState.apply_change
 
     def change(replicated_state: ReplicatedState, word: Any) -> Any:
         asked = dict(word["change"])
@@ -92,7 +93,7 @@
         asked["version"] = replicated_state.version + 1
         return plain(replicated_state, {**word, "change": asked})
 
-    return [mock.patch.object(ReplicatedState, "change", change)]
+    return [mock.patch.object(ReplicatedState, "apply_change", change)]
 
 
 def no_memory() -> list[Patch]:
@@ -101,12 +102,12 @@
 
 
 def small_memory() -> list[Patch]:
-    return [mock.patch.object(outcomes, "REMEMBERED_MOST", 20)]
+    return [mock.patch.object(outcomes, "MAX_OUTCOMES_PER_KIND", 20)]
 
 
 def nothing_stands() -> list[Patch]:
     """The outcome of the standing change is forgotten like any other."""
-    return [*small_memory(), mock.patch.object(Outcomes, "stand", lambda *_: None)]
+    return [*small_memory(), mock.patch.object(Outcomes, "pin", lambda *_: None)]
 
 
 class RaceTests(CaseTests):
@@ -133,7 +134,7 @@
 
 class UnconfirmedRenewalTests(testtools.TestCase):
     def test_it_carries_no_state(self) -> None:
-        answer = renewals.unconfirmed_renewal({"register": 7}, 0.9)
+        answer = UnconfirmedRenewalResponse(0.9, 7).to_wire()
         self.assertEqual({"ok": True, "age": 0.9, "term": False, "words": [], "index": 7}, answer)
 
 
--- a/tests/control_plane/test_mass_losses.py
+++ b/tests/control_plane/test_mass_losses.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ryelock.testing.mass_loss_cases import closing_disk_loss, mass_failure
+from ryelock.testing.cases.mass_losses import closing_disk_loss, mass_failure
 
 SEEDS = range(3, 15)
 """Seeds 1 and 2 are played with every case's in tests/project/test_rules.py."""
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -22,16 +22,16 @@
 from ryelock import control_api
 from ryelock.edge.process import TrafficNode
 from ryelock.explain import format_explanation
-from ryelock.testing.platform_clients import CACHEABLE
+from ryelock.testing.hosting_platform.clients import CACHEABLE
 from ryelock.testing.simulated import SimNode, World
-from ryelock.testing.standins import Objects, PlatformStandIn, ServerStandIn
+from ryelock.testing.stand_ins.servers import Objects, PlatformStandIn, ServerStandIn
 
 # What this file knows of the product's names: a rename inside changes this section only.
 
 
 def control_paths() -> dict[tuple[str, str], str]:
     """Return the control API's table of paths."""
-    return control_api.PATHS
+    return {path: action.value for path, action in control_api.PATHS.items()}
 
 
 def control_statuses() -> dict[str, int]:
@@ -52,8 +52,8 @@
 
 def start_control_api(site: Deployment, node: SimNode, lines: dict[str, str]) -> None:
     """Start the platform's control role on a machine without a disk."""
-    told = settings.Told(lines)
-    process_settings = settings.env_of("core", told)
+    told = settings.NodeSettings(lines)
+    process_settings = settings.product_settings("core", told)
 
     def build() -> TrafficNode:
         control_api = TrafficNode(
--- a/tests/project/test_checked.py
+++ b/tests/project/test_checked.py
@@ -16,7 +16,7 @@
     ReplicatedState,
     encode_command,
     merge_change,
-    plan_of,
+    plan_change,
 )
 from ryelock.rpc import FrameDecoder, FrameError, encode_frame
 from ryelock.settings import Settings, SettingsError, declared_settings, read_settings
@@ -110,7 +110,7 @@
                 remove={"watches": ["w"]},
             ),
         )
-        paths = {fault["path"] for fault in found.error}
+        paths = {fault.path for fault in found.error.faults}
         self.assertEqual({"put.roads", "remove.watches.w"}, paths)
         found = merge_change(
             Configuration(),
@@ -123,7 +123,7 @@
         )
         self.assertEqual(
             {"services.t.speed", "services.t.rate", "routes.q.path"},
-            {fault["path"] for fault in found.error},
+            {fault.path for fault in found.error.faults},
         )
         found = merge_change(
             Configuration(),
@@ -146,7 +146,7 @@
                 "watches.w.route",
                 "watches.w.object",
             },
-            {fault["path"] for fault in found.error},
+            {fault.path for fault in found.error.faults},
         )
 
     def test_the_same_id_gets_the_first_outcome(self) -> None:
@@ -176,7 +176,7 @@
             {"op": "add", "path": "/routes/b", "value": {"path": "/b", "service": "pages"}},
         ]
         after = merge_change(current, change(patch=patch)).ok
-        plan = plan_of(current, after)
+        plan = plan_change(current, after)
         self.assertEqual(
             {"added": [], "removed": [], "changed": {"pages": {"rate": [5.0, 9.0]}}},
             plan["services"],
@@ -327,7 +327,7 @@
         page = (ROOT / "docs" / "settings.md").read_text()
         for key, setting in declared_settings(Settings).items():
             self.assertIn(f"| `{key}` |", page)
-            self.assertIn(setting.note, page)
+            self.assertIn(setting.description, page)
 
     def test_the_brief_names_what_exists(self) -> None:
         page = (ROOT / "docs" / "brief.md").read_text()
