--- a/packages/testing/ryelock/testing/cases/mass_losses.py
+++ b/packages/testing/ryelock/testing/cases/mass_losses.py
@@ -16,7 +16,7 @@
     pick_victim,
     take_change,
 )
-from ryelock.testing.checks import Findings, Purged
+from ryelock.testing.checks import Findings, PurgeRecord
 from ryelock.testing.finals import voters
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.schedules import RETURN_SECONDS, end_of_day
@@ -107,7 +107,7 @@
             name = request.__name__
             found.broken("acknowledged in time", f"{name} {number}: {ACKNOWLEDGE_SECONDS:g} s")
         elif request is purge:
-            purged = Purged(target, scenario.objects["pages"].revision(target))
+            purged = PurgeRecord(target, scenario.objects["pages"].revision(target))
             purged.told = scenario.world.time
             scenario.purges.append(purged)
 
