--- a/packages/testing/ryelock/testing/cases/mass_losses.py
+++ b/packages/testing/ryelock/testing/cases/mass_losses.py
@@ -108,7 +108,7 @@
             found.broken("acknowledged in time", f"{name} {number}: {ACKNOWLEDGE_SECONDS:g} s")
         elif request is purge:
             purged = PurgeRecord(target, scenario.objects["pages"].revision(target))
-            purged.told = scenario.world.time
+            purged.acknowledged_at = scenario.world.time
             scenario.purges.append(purged)
 
 
