--- a/packages/control_plane/ryelock/control_plane/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -12,8 +12,13 @@
 
 from ryelock.events import SERVER_LIST_REJECTED, SERVER_LIST_UNAVAILABLE, Log
 from ryelock.http import fetch
-from ryelock.membership import Server, ServerList, decode_server_list
-from ryelock.membership.servers import ServerListError, servers_from_wire
+from ryelock.membership import (
+    Server,
+    ServerList,
+    ServerListError,
+    decode_server_list,
+    servers_from_wire,
+)
 from ryelock.runtime import Network, Scheduler, TaskCoroutine
 from ryelock.settings import Settings
 
@@ -60,7 +65,7 @@
         """Read over and over; by duty where there is one, and where its holder tells nothing."""
         while True:
             held = self.listing
-            silent = held is None or self.scheduler.now() - held.since > MISSED_SECONDS
+            silent = held is None or self.scheduler.now() - held.requested_at > MISSED_SECONDS
             if self.on_duty() or silent:
                 await self.read()
             await self.scheduler.sleep(self.settings.listing_seconds)
@@ -95,7 +100,7 @@
                 self.log.write(SERVER_LIST_REJECTED, fault=str(listed.error))
             return
         self.missed = False
-        self.take(ServerList(self.source, 0, listed.ok, 0.0, asked, self.scheduler.now()))
+        self.take(ServerList(self.source, 0, listed.ok, asked, self.scheduler.now()))
 
     def take(self, fresh: ServerList) -> None:
         """Follow a reading, this node's own or another's, if it is certainly the later one."""
@@ -117,7 +122,11 @@
 
     def believed(self, now: float) -> ServerList | None:
         held = self.listing
-        return held if held is not None and now - held.since <= self.settings.listing_term else None
+        return (
+            held
+            if held is not None and now - held.requested_at <= self.settings.listing_term
+            else None
+        )
 
     # Between control nodes.
 
@@ -127,7 +136,11 @@
         held = self.believed(now)
         if held is None:
             return None
-        found: Plain = {"digest": self.digest, "age": now - held.since, "fresh": now - held.seen}
+        found: Plain = {
+            "digest": self.digest,
+            "age": now - held.requested_at,
+            "fresh": now - held.answered_at,
+        }
         if self.heard != self.digest:
             found["servers"] = [server.to_wire() for server in held.servers]
         return found
@@ -148,7 +161,7 @@
             found = self.listing.servers
         else:
             return
-        self.take(ServerList(self.source, 0, found, 0.0, since - age, self.scheduler.now() - fresh))
+        self.take(ServerList(self.source, 0, found, since - age, self.scheduler.now() - fresh))
 
     # To edges.
 
@@ -160,8 +173,8 @@
         found: Plain = {
             "source": self.source,
             "version": held.version,
-            "age": now - held.since,
-            "fresh": now - held.seen,
+            "age": now - held.requested_at,
+            "fresh": now - held.answered_at,
         }
         if vector.get(self.source) != held.version:
             found["servers"] = [server.to_wire() for server in held.servers]
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -303,7 +303,7 @@
     def say(self) -> Message:
         """To other control nodes: sessions, and the platform's servers as read here."""
         return {
-            **self.membership.say(),
+            **self.membership.to_wire(),
             "listing": self.platform.say(),
             "clock": self.scheduler.now(),
         }
@@ -312,7 +312,7 @@
         try:
             self.heard_clock = [disk, said.get("clock")]
             self.platform.hear(said.get("listing"), since)
-            self.membership.hear(said)
+            self.membership.merge(said)
         except ValueError:
             return
 
--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -11,8 +11,7 @@
 
 from ryelock.edge.promises import QuorumLeaseVote, are_enough, decode_vote
 from ryelock.events import LEASE_ACQUIRED, LEASE_EXPIRED, LEASE_GRANTED_BY_QUORUM, Log
-from ryelock.membership import ServerList, Session
-from ryelock.membership.servers import servers_from_wire
+from ryelock.membership import ServerList, Session, servers_from_wire
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message, RpcClients
 from ryelock.runtime import Queue, Scheduler, Task
@@ -347,14 +346,14 @@
             None,
         )
         if "servers" in plain:
-            fresh = ServerList(source, version, servers_from_wire(plain["servers"]), 0.0)
+            servers = servers_from_wire(plain["servers"])
+            fresh = ServerList(source, version, servers, since, seen)
         if fresh is None:
             return
-        fresh.since, fresh.seen = max(fresh.since, since), max(fresh.seen, seen)
-        fresh.until = max(fresh.until, since + self.listing_term)
+        fresh.confirm(since, seen, self.listing_term)
         if fresh is held:
             return
-        if held is None or held.source == source or now >= held.until or fresh.follows(held):
+        if held is None or held.source == source or now >= held.valid_until or fresh.follows(held):
             self.listing, self.pending = fresh, None
             self.listing_news(fresh)
         else:
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -126,7 +126,9 @@
 
     def live(self, now: float) -> bool:
         """Whether the listing is still believed; with no end where edges serve after a lapse."""
-        return self.listing is not None and (self.settings.serve_lapsed or now < self.listing.until)
+        return self.listing is not None and (
+            self.settings.serve_lapsed or now < self.listing.valid_until
+        )
 
     def is_live(self, state: ServerState, service: str, now: float) -> bool:
         """Whether an order of a service may go to a server at this very moment."""
--- a/packages/membership/ryelock/membership/__init__.py
+++ b/packages/membership/ryelock/membership/__init__.py
@@ -1,10 +1,29 @@
-"""Who is there: sessions of nodes and listings of servers, soft and under terms, never logged.
+"""Who is there: sessions of nodes and lists of servers, kept in memory and never in the log.
 
-sessions.py keeps the sessions that stand with this control node and those that others told;
-servers.py reads the platform's listing and holds one by its source's version and its age.
+`session` is what one node reports of itself, `membership` all sessions that a control node knows;
+`servers` reads the platform's list of servers and holds one with its version and age.
 """
 
-from ryelock.membership.servers import Server, ServerList, decode_server_list
-from ryelock.membership.sessions import Membership, Session
+from ryelock.membership.errors import (
+    MalformedServerError,
+    MalformedSessionError,
+    MembershipError,
+    ServerListError,
+)
+from ryelock.membership.membership import Membership
+from ryelock.membership.servers import Server, ServerList, decode_server_list, servers_from_wire
+from ryelock.membership.session import Role, Session
 
-__all__ = ["Membership", "Server", "ServerList", "Session", "decode_server_list"]
+__all__ = [
+    "MalformedServerError",
+    "MalformedSessionError",
+    "Membership",
+    "MembershipError",
+    "Role",
+    "Server",
+    "ServerList",
+    "ServerListError",
+    "Session",
+    "decode_server_list",
+    "servers_from_wire",
+]
--- a/packages/membership/ryelock/membership/servers.py
+++ b/packages/membership/ryelock/membership/servers.py
@@ -1,7 +1,7 @@
-"""The platform's listing of servers, as docs/platform.md has it, under a term.
+"""The platform's list of servers, as docs/platform.md has it, believed for a limited time.
 
-A listing is believed for a while from before it was asked for. A server is told by service,
-address and incarnation: when any of the three changes it is another server, and links and
+A list is believed for a while from before it was asked for. A server is told by service,
+address and incarnation: when any of the three changes it is another server, and connections and
 counters of the old one are not used for it.
 """
 
@@ -12,24 +12,25 @@
 import cbor2
 from expression import Error, Ok, Result
 
+from ryelock.membership.errors import MalformedServerError, ServerListError
 from ryelock.settings import parse_address
 
-SERVERS_MOST = 10_000
-NEVER = -1e18
+MAX_SERVERS = 10_000
+DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One life of one upstream server.
+    """One incarnation of one upstream server.
 
     Attributes:
         service: name of the service it belongs to.
         address: host:port where it takes requests.
         zone: zone it stands in.
-        incarnation: tells this life from others at the same address.
+        incarnation: tells this run from others at the same address.
         leaving: whether it takes no new requests.
         slots: requests it works on at once, 0 where unknown.
-        cold: whether it is still warming up.
+        cold: whether it is still warming up (slow start).
     """
 
     service: str
@@ -42,7 +43,7 @@
 
     @property
     def identity(self) -> tuple[str, str, str]:
-        """Service, address and incarnation: what tells one life of a server from another."""
+        """Service, address and incarnation: what tells one run of a server from another."""
         return self.service, self.address, self.incarnation
 
     def to_wire(self) -> list[object]:
@@ -60,53 +61,58 @@
 
 @dataclass(slots=True, eq=False)
 class ServerList:
-    """One source's servers at one version, when they were read, and up to when they are believed.
+    """One source's servers at one version, when they were read, and until when they are believed.
 
-    The platform was asked not before `since` and had answered at the latest at `seen`. Of two
-    readings that overlap nobody can say which is the later one. All times are monotonic seconds.
+    Of two readings that overlap nobody can say which is the later one. All times are monotonic, in
+    seconds.
+
+    Attributes:
+        source: the control node that read it.
+        version: version of that node's list.
+        servers: the servers.
+        requested_at: the platform was not asked before this time.
+        answered_at: the platform had answered at the latest at this time.
+        valid_until: when an edge stops believing it; control nodes leave it 0.
     """
 
     source: str
     version: int
     servers: list[Server]
-    until: float
-    since: float = NEVER
-    seen: float = NEVER
+    requested_at: float
+    answered_at: float
+    valid_until: float = 0.0
 
     def follows(self, other: "ServerList") -> bool:
         """Whether this was certainly read after the other."""
-        return self.since >= other.seen
-
-    def digest(self) -> bytes:
-        """Return 16 bytes that tell whether two listings name the same servers."""
-        plain = cbor2.dumps([server.to_wire() for server in self.servers])
-        return hashlib.sha256(plain).digest()[:16]
-
+        return self.requested_at >= other.answered_at
 
-class ServerListError(Exception):
-    """The platform's answer is no listing, or (`missed`) there was none."""
+    def confirm(self, requested_at: float, answered_at: float, validity_seconds: float) -> None:
+        """Take another reading that gave the same list; an older one changes nothing."""
+        self.requested_at = max(self.requested_at, requested_at)
+        self.answered_at = max(self.answered_at, answered_at)
+        self.valid_until = max(self.valid_until, requested_at + validity_seconds)
 
-    def __init__(self, reason: str, missed: bool = False) -> None:
-        """Create the error; `missed` says that the platform gave no answer."""
-        super().__init__(reason)
-        self.missed = missed
+    def digest(self) -> bytes:
+        """Return DIGEST_BYTES that tell whether two lists name the same servers."""
+        data = cbor2.dumps([server.to_wire() for server in self.servers])
+        return hashlib.sha256(data).digest()[:DIGEST_BYTES]
 
 
 def decode_server_list(body: bytes) -> Result[list[Server], ServerListError]:
     """Return the servers in an answer of the platform; the whole is rejected for any fault."""
     try:
-        plain = json.loads(body)
+        data = json.loads(body)
     except ValueError:
         return Error(ServerListError("not JSON"))
-    listed = plain.get("servers") if isinstance(plain, dict) else None
-    if not isinstance(listed, list) or len(listed) > SERVERS_MOST:
+    items = data.get("servers") if isinstance(data, dict) else None
+    if not isinstance(items, list) or len(items) > MAX_SERVERS:
         return Error(ServerListError("no list of servers"))
     servers: list[Server] = []
     addresses: set[str] = set()
-    for position, item in enumerate(listed):
+    for position, item in enumerate(items):
         try:
-            server = listed_server(item)
-        except ValueError as error:
+            server = decode_server(item)
+        except MalformedServerError as error:
             return Error(ServerListError(f"servers[{position}]: {error}"))
         if server.address in addresses:
             return Error(ServerListError(f"servers[{position}]: {server.address} is listed twice"))
@@ -115,44 +121,54 @@
     return Ok(servers)
 
 
-def listed_server(item: object) -> Server:
-    """Return one server of the platform's list; raises ValueError with the faulty field."""
+def decode_server(item: object) -> Server:
+    """Return one server of the platform's list.
+
+    Raises:
+        MalformedServerError: a field is malformed; the text names it.
+    """
     if not isinstance(item, dict):
-        raise ValueError("not an object")
+        raise MalformedServerError("not an object")
     texts = [item.get(key) for key in ("service", "address", "zone")]
     incarnation = item.get("incarnation")
     leaving = item.get("leaving", False)
     if not all(isinstance(value, str) and value for value in texts):
-        raise ValueError("service, address or zone")
+        raise MalformedServerError("service, address or zone")
     if not isinstance(incarnation, str | int) or isinstance(incarnation, bool):
-        raise ValueError("incarnation")
+        raise MalformedServerError("incarnation")
     if not isinstance(leaving, bool):
-        raise ValueError("leaving")
+        raise MalformedServerError("leaving")
     service, address, zone = (str(value) for value in texts)
     try:
         parse_address(address)
     except ValueError as error:
-        raise ValueError(f"address {error}") from None
+        raise MalformedServerError(f"address {error}") from None
     return Server(service, address, zone, str(incarnation), leaving)
 
 
-def servers_from_wire(plain: object) -> list[Server]:
-    """Servers as they came over the wire; raises ValueError."""
-    if not isinstance(plain, list):
-        raise ValueError("not servers")
-    found: list[Server] = []
-    for item in plain:
-        match item:
-            case [
-                str(service),
-                str(address),
-                str(zone),
-                str(incarnation),
-                bool(leaving),
-                int(slots),
-                bool(cold),
-            ]:
-                found.append(Server(service, address, zone, incarnation, leaving, slots, cold))
-            case _:
-                raise ValueError("not a server")
-    return found
+def servers_from_wire(data: object) -> list[Server]:
+    """Return servers from the lists that `Server.to_wire` gives.
+
+    Raises:
+        MalformedServerError: it is no list, or an item is malformed.
+    """
+    if not isinstance(data, list):
+        raise MalformedServerError("not a list")
+    return [server_from_wire(item) for item in data]
+
+
+def server_from_wire(data: object) -> Server:
+    """Return a server from the list that `Server.to_wire` gives; raises MalformedServerError."""
+    match data:
+        case [
+            str(service),
+            str(address),
+            str(zone),
+            str(incarnation),
+            bool(leaving),
+            int(slots),
+            bool(cold),
+        ]:
+            return Server(service, address, zone, incarnation, leaving, slots, cold)
+        case _:
+            raise MalformedServerError("not a server")
--- a/packages/testing/ryelock/testing/pieces.py
+++ b/packages/testing/ryelock/testing/pieces.py
@@ -144,10 +144,10 @@
 def measure_membership(node: ControlNode) -> Figures:
     """Measure what is written and read of sessions between control nodes and to one node."""
     membership = node.membership
-    said = cbor2.dumps(membership.say())
-    say = seconds_of(lambda: cbor2.dumps(membership.say()))
+    said = cbor2.dumps(membership.to_wire())
+    say = seconds_of(lambda: cbor2.dumps(membership.to_wire()))
     other = Membership(node.scheduler, "core-1/1", 3.0, 600.0)
-    hear = seconds_of(lambda: other.hear(cbor2.loads(said)))
+    hear = seconds_of(lambda: other.merge(cbor2.loads(said)))
     told = cbor2.dumps(members_told(membership))
     tell = seconds_of(lambda: cbor2.dumps(members_told(membership)))
     take = seconds_of(lambda: [Session.from_wire(plain) for plain in cbor2.loads(told)])
--- a/tests/control_plane/test_finals.py
+++ b/tests/control_plane/test_finals.py
@@ -97,7 +97,7 @@
 
     def test_a_late_reading_brings_no_server_back(self) -> None:
         def listing(since: float, seen: float, version: int = 0) -> ServerList:
-            return ServerList("a", version, [], 9.0, since, seen)
+            return ServerList("a", version, [], since, seen, 9.0)
 
         self.assertTrue(listing(2.0, 2.1).follows(listing(1.0, 1.9)))
         self.assertFalse(listing(1.8, 2.1).follows(listing(1.0, 1.9)))
--- a/tests/golden/test_golden_lists.py
+++ b/tests/golden/test_golden_lists.py
@@ -24,7 +24,7 @@
 from ryelock.control_plane.metrics import ControlMetrics
 from ryelock.edge.metrics import EdgeMetrics
 from ryelock.http import ProtocolProfile
-from ryelock.membership import sessions
+from ryelock.membership import session
 from ryelock.metrics import Metrics
 from ryelock.replicated_state import change as configuration_change
 from ryelock.replicated_state import configuration as register_configuration
@@ -137,7 +137,7 @@
     return {
         "control API": [[*place, kind] for place, kind in control_api.PATHS.items()],
         "statuses": control_api.STATUSES,
-        "roles": sessions.ROLES,
+        "roles": session.ROLES,
         "dating": register_configuration.DATINGS,
         "parts": register_configuration.SECTIONS,
         "fields of a change": configuration_change.CHANGE_FIELDS,
--- a/tests/membership/test_listing_news.py
+++ b/tests/membership/test_server_list_updates.py
@@ -1,15 +1,15 @@
-"""What the platform's list changes reaches edges at once, not with the end of a held renewal."""
+"""A change of the platform's list reaches edges at once, not with the end of a held renewal."""
 
 import testtools
 
 from ryelock.testing.scenario import Scenario
 
 HOLD_SECONDS = 1.0
-NEWS_SECONDS = 0.3
+UPDATE_SECONDS = 0.3
 
 
-class ListingNewsTests(testtools.TestCase):
-    def news_seconds(self, seed: int) -> float:
+class ServerListUpdateTests(testtools.TestCase):
+    def update_seconds(self, seed: int) -> float:
         """Seconds from the leader's knowing that a server leaves to the last edge's knowing it."""
         scenario = Scenario(seed, probers=0, settings={"hold_seconds": HOLD_SECONDS})
         scenario.world.spikes = 0.0
@@ -22,22 +22,22 @@
         version = before.version
         scenario.platform.show(server.service, server.address, scenario.zones[0], 1, True)
 
-        def told() -> bool:
+        def leader_knows() -> bool:
             listing = leader.platform.listing
             return listing is not None and listing.version > version
 
-        def known() -> bool:
+        def edges_know() -> bool:
             listings = [scenario.node(edge).traffic.member.listing for edge in scenario.edges]
             return all(
                 listing is not None and any(one.leaving for one in listing.servers)
                 for listing in listings
             )
 
-        self.assertTrue(scenario.world.run_until(told, 3))
+        self.assertTrue(scenario.world.run_until(leader_knows, 3))
         since = scenario.world.time
-        self.assertTrue(scenario.world.run_until(known, 3))
+        self.assertTrue(scenario.world.run_until(edges_know, 3))
         return scenario.world.time - since
 
     def test_a_leaving_server_is_known_at_every_edge_soon(self) -> None:
-        seconds = [self.news_seconds(seed) for seed in range(6)]
-        self.assertLess(max(seconds), NEWS_SECONDS, seconds)
+        seconds = [self.update_seconds(seed) for seed in range(6)]
+        self.assertLess(max(seconds), UPDATE_SECONDS, seconds)
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -635,7 +635,9 @@
                     Server("pages", address, zone, "1", False)
                     for address, zone in zip(names, zones, strict=False)
                 ],
-                1e9,
+                requested_at=0.0,
+                answered_at=0.0,
+                valid_until=1e9,
             )
         )
         found = set()
