--- a/packages/control_plane/ryelock/control_plane/metrics.py
+++ b/packages/control_plane/ryelock/control_plane/metrics.py
@@ -43,7 +43,7 @@
         now = self.renewals.scheduler.now()
         return {
             (name,): sum(given.largest(now) for given in shares.values())
-            for name, shares in self.renewals.divider.given.items()
+            for name, shares in self.renewals.divider.outstanding.items()
         }
 
     def demands(self) -> dict[Labels, float]:
--- a/packages/control_plane/ryelock/control_plane/renewals.py
+++ b/packages/control_plane/ryelock/control_plane/renewals.py
@@ -12,7 +12,7 @@
 from ryelock.control_plane.platform import PlatformReader
 from ryelock.events import SESSION_ENDED, SESSION_STARTED, Log
 from ryelock.membership import Membership, Session
-from ryelock.rate_limit import QuotaAllocator, is_narrow
+from ryelock.rate_limit import QuotaAllocator, QuotaRequest, is_narrow
 from ryelock.replicated_state import MAX_DERIVED_WATCHES, ReplicatedState, vector_from_wire
 from ryelock.rpc import Message, Reply
 from ryelock.runtime import Queue, Scheduler
@@ -228,9 +228,11 @@
         for caller in failed:
             self.failed_version += 1
             self.failed.append((self.failed_version, session.name, caller))
-        self.divider.report(session.name, demand)
+        self.divider.report_demand(session.name, demand)
         for name in self.replicated_state.configuration.services:
-            self.divider.want(name, session.name, wanted.get(name, 0), self.scheduler.now())
+            self.divider.report_queued(
+                name, session.name, wanted.get(name, 0), self.scheduler.now()
+            )
         until = self.scheduler.now() + min(HOLD_MOST, max(0.0, hold))
         box: Queue[bool] = Queue(self.scheduler)
         self.waiting[id(box)] = box
@@ -274,7 +276,7 @@
         services, edges = self.replicated_state.configuration.services, len(self.edges())
         return min(
             (
-                self.divider.soon(name, services[name].rate, now)
+                self.divider.seconds_until_grant(name, services[name].rate, now)
                 for name in wanted
                 if name in services
                 and services[name].limited
@@ -388,23 +390,19 @@
         for name, service in self.replicated_state.configuration.services.items():
             if not service.limited:
                 continue
-            held = holding.get(name, 0.0)
+            request = QuotaRequest(
+                service=name,
+                rate=service.rate,
+                burst_seconds=service.burst_seconds,
+                edge=session.name,
+                current_share=holding.get(name, 0.0),
+                queued=wanted.get(name, 0),
+            )
             if is_narrow(service.rate, service.burst_seconds, len(edges)):
-                grants[name] = self.divider.grant(
-                    name, service.rate, session.name, wanted.get(name, 0), held, now, fresh
-                )
+                grants[name] = self.divider.grant(request, now, fresh).to_wire()
             else:
                 shares[name] = self.divider.share(
-                    name,
-                    service.rate,
-                    service.burst_seconds,
-                    session.name,
-                    edges,
-                    held,
-                    now,
-                    ends,
-                    fresh,
-                    self.settings.serve_lapsed,
+                    request, edges, now, ends, fresh, self.settings.serve_lapsed
                 )
         return shares, grants
 
@@ -412,14 +410,14 @@
         name, incarnation = str(message.get("name")), str(message.get("incarnation"))
         left = self.membership.leave(name, incarnation)
         if left:
-            self.divider.release(name)
+            self.divider.release_edge(name)
             self.terms.given.pop((name, incarnation), None)
             self.note_members()
         reply({"ok": left})
 
     def lapse(self) -> None:
         for session in self.membership.expire():
-            self.divider.forget(session.name)
+            self.divider.remove_edge(session.name)
             self.log.write(SESSION_ENDED, member=session.name, zone=session.zone, role=session.role)
         self.note_members()
 
--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -38,7 +38,7 @@
         )
         caller = caller_of(exchange, request)
         request.repeat = request.repeat or self.failed.repeats(caller, self.scheduler.now())
-        if request.repeat and gate.budget.room < 1.0:
+        if request.repeat and gate.budget.tokens < 1.0:
             request.allowance = "over the budget of repeats"
             return Failure(
                 FailureKind.RETRY_BUDGET,
@@ -64,7 +64,9 @@
             queue_timeout = min(queue_timeout, route.target_seconds * QUEUE_TIMEOUT_PART)
         wait = await gate.acquire(request.route_name, route.share, queue_timeout, request.probe)
         if wait is not None:
-            bare = gate.bucket.holding(self.scheduler.now()) <= 0 and not gate.bucket.counted
+            bare = (
+                gate.bucket.current_share(self.scheduler.now()) <= 0 and not gate.bucket.uses_grants
+            )
             request.allowance = NO_SHARE if bare else "declined: over the service's rate or queue"
             return Failure(
                 FailureKind.NO_SHARE if bare else FailureKind.OVER_RATE,
@@ -125,9 +127,9 @@
             return gate is not None
         if not request.repeat:
             if self.dialect.own or not (request.probe or request.peer):
-                gate.budget.first()
+                gate.budget.record_request()
             return True
-        if not gate.budget.repeat():
+        if not gate.budget.try_retry():
             request.allowance = "over the budget of repeats"
             return False
         self.failed.sent(caller_of(exchange, request))
--- a/packages/edge/ryelock/edge/foresee.py
+++ b/packages/edge/ryelock/edge/foresee.py
@@ -41,9 +41,9 @@
             "allowance": {}
             if gate is None
             else {
-                "share": round(gate.bucket.holding(now), 3),
+                "share": round(gate.bucket.current_share(now), 3),
                 "flight": gate.in_flight,
                 "waiting": gate.waiting,
-                "repeats_left": round(gate.budget.room, 2),
+                "repeats_left": round(gate.budget.tokens, 2),
             },
         }
--- a/packages/edge/ryelock/edge/gate.py
+++ b/packages/edge/ryelock/edge/gate.py
@@ -65,7 +65,7 @@
 
     def resize(self, service: Service, edges: int) -> None:
         self.service = service
-        self.bucket.burst = service.burst_seconds
+        self.bucket.burst_seconds = service.burst_seconds
         self.bucket.limited = service.limited
         self.budget.resize(
             service.repeat_share,
@@ -151,7 +151,7 @@
     async def again(self, queue_timeout: float) -> bool:
         """Room for one redispatch, by the budget of repeats and, perhaps soon, by rate."""
         until = self.scheduler.now() + min(queue_timeout, self.queue_timeout())
-        if not self.budget.repeat():
+        if not self.budget.try_retry():
             return False
         self.asking += 1
         try:
--- a/packages/edge/ryelock/edge/metrics.py
+++ b/packages/edge/ryelock/edge/metrics.py
@@ -32,7 +32,7 @@
         self.add_gauge("demand", "Requests a second that lately came.", lambda gate: gate.demand)
         self.add_gauge("in_flight", "Requests let through.", lambda gate: gate.in_flight)
         self.add_gauge("waiting", "Requests that wait for room.", lambda gate: gate.waiting)
-        self.add_gauge("retries_left", "Retries that may be sent.", lambda gate: gate.budget.room)
+        self.add_gauge("retries_left", "Retries that may be sent.", lambda gate: gate.budget.tokens)
 
     def add_gauge(self, name: str, note: str, read: Callable[[AdmissionQueue], float]) -> None:
         """Add a gauge that is read from the gate of each service."""
@@ -44,9 +44,9 @@
 
     def share_of(self, gate: AdmissionQueue) -> float:
         """Return a gate's share of its service's rate, 0 where there is none."""
-        return gate.bucket.holding(self.scheduler.now())
+        return gate.bucket.current_share(self.scheduler.now())
 
     def room_of(self, gate: AdmissionQueue) -> float:
         """Return how many requests a gate's bucket would let through at this moment."""
         gate.bucket.fill(self.scheduler.now())
-        return gate.bucket.room
+        return gate.bucket.tokens
--- a/packages/edge/ryelock/edge/owner.py
+++ b/packages/edge/ryelock/edge/owner.py
@@ -188,7 +188,7 @@
         another one then is a retry.
         """
         gate = self.handler.gates.get(self.request.service)
-        return gate is not None and gate.budget.room >= self.peers.asked[self.owner.name]
+        return gate is not None and gate.budget.tokens >= self.peers.asked[self.owner.name]
 
     async def look_up(self) -> Reply | None:
         """The owner's copy. Whatever comes of it, no server was sent anything."""
@@ -264,7 +264,7 @@
         """Whether no server may be sent the order from here, so that only the owner is left."""
         gate = self.handler.gates.get(self.request.service)
         return not self.connection.closed and (
-            self.request.servers_left <= 1 or gate is None or gate.budget.room < 1.0
+            self.request.servers_left <= 1 or gate is None or gate.budget.tokens < 1.0
         )
 
     def read_reply(self, head: ResponseHead, body: bytes, whole: bool) -> Reply:
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -16,8 +16,7 @@
 from ryelock.http import HttpServer, Limits, ProtocolProfile
 from ryelock.membership import ServerList, Session
 from ryelock.metrics import Metrics, export_metrics
-from ryelock.rate_limit import is_narrow, reserve
-from ryelock.rate_limit.quota_allocator import GRANT_SECONDS
+from ryelock.rate_limit import GRANT_LIFETIME_SECONDS, is_narrow, leaderless_share
 from ryelock.replicated_state import CallerLimits, ReplicatedState
 from ryelock.rpc import Message, Reply, RpcClients, RpcServer
 from ryelock.runtime import Network, Scheduler, Task
@@ -247,7 +246,7 @@
         if self.handler is None:
             return {}
         now = self.scheduler.now()
-        return {name: gate.bucket.holding(now) for name, gate in self.handler.gates.items()}
+        return {name: gate.bucket.current_share(now) for name, gate in self.handler.gates.items()}
 
     def promised_shares(self) -> dict[str, float]:
         """What this edge may spend while there is no leader: what it held, or the reserve."""
@@ -257,8 +256,8 @@
         held = self.holding()
         for name, gate in self.handler.gates.items():
             service = gate.service
-            if gate.bucket.counted or is_narrow(service.rate, service.burst_seconds, edges):
-                held[name] = reserve(service.rate, service.burst_seconds, edges)
+            if gate.bucket.uses_grants or is_narrow(service.rate, service.burst_seconds, edges):
+                held[name] = leaderless_share(service.rate, service.burst_seconds, edges)
         return held
 
     def wanted(self) -> dict[str, int]:
@@ -273,7 +272,7 @@
         for name, (granted, expected, found) in grants.items():
             gate = self.handler.gates.get(name)
             if gate is not None:
-                gate.bucket.grant(granted, expected, found, asked + GRANT_SECONDS)
+                gate.bucket.add_grants(granted, expected, found, asked + GRANT_LIFETIME_SECONDS)
                 if gate.waiting:
                     gate.news.put(True)
 
@@ -292,7 +291,7 @@
         for name, share in shares.items():
             gate = self.handler.gates.get(name)
             if gate is not None:
-                gate.bucket.give(share, until, now)
+                gate.bucket.assign_share(share, until, now)
         for gate in self.handler.gates.values():
             gate.resize(gate.service, edges)
 
--- a/packages/rate_limit/ryelock/rate_limit/__init__.py
+++ b/packages/rate_limit/ryelock/rate_limit/__init__.py
@@ -1,11 +1,25 @@
-"""How much a service may be sent: shares of its rate, budgets of repeats, bounded queues.
+"""A rate for a service, spent by many edges.
 
-divide.py is the leader's side: it divides a rate by demand and never has more given out than
-the rate, since a share counts until it was given back or its term ended. bucket.py is the
-edge's side: it spends a share.
+The leader divides the rate (`quota_allocator`, with the arithmetic in `rates`), or grants whole
+requests of a narrow service one by one (`shared_bucket`). A share counts as spent until it was
+given back or has expired. An edge spends its share through a `token_bucket`, and retries through a
+`retry_budget`.
 """
 
-from ryelock.rate_limit.quota_allocator import QuotaAllocator, is_narrow, reserve
-from ryelock.rate_limit.token_bucket import RetryBudget, TokenBucket
+from ryelock.rate_limit.quota_allocator import OutstandingShares, QuotaAllocator, QuotaRequest
+from ryelock.rate_limit.rates import GRANT_LIFETIME_SECONDS, is_narrow, leaderless_share
+from ryelock.rate_limit.retry_budget import RetryBudget
+from ryelock.rate_limit.shared_bucket import Grant
+from ryelock.rate_limit.token_bucket import TokenBucket
 
-__all__ = ["QuotaAllocator", "RetryBudget", "TokenBucket", "is_narrow", "reserve"]
+__all__ = [
+    "GRANT_LIFETIME_SECONDS",
+    "Grant",
+    "OutstandingShares",
+    "QuotaAllocator",
+    "QuotaRequest",
+    "RetryBudget",
+    "TokenBucket",
+    "is_narrow",
+    "leaderless_share",
+]
--- a/packages/rate_limit/ryelock/rate_limit/quota_allocator.py
+++ b/packages/rate_limit/ryelock/rate_limit/quota_allocator.py
@@ -1,247 +1,219 @@
-"""The leader's side of a rate: shares by demand, never more given out than there is.
+"""The leader's side of rate limits: quota shares by demand, never more than the rate in total.
 
-For each service, what an edge may still be spending is the largest share it was given and
-has not given back, until that share's term ended. A new share fits into what is left beside
-the other edges' shares. The rate is lowered a little for the orders that full buckets may
-send at once, so that any 5 s stay within a tenth above it.
+For each service, what an edge may still be spending is the largest share that it was given and has
+not given back, until that share expires. A new share fits into what is left beside the other
+edges' shares. The rate is lowered a little for the requests that full buckets may send at once; see
+`rates`.
 
-Where that leaves too little, since a bucket of each of many edges holds at least one order, the
-service is narrow: the leader keeps one well for it and grants whole orders from it to edges
-that have orders waiting, each grant good for a moment only.
+Where that leaves too little, since a bucket of each of many edges holds at least one token, the
+service is narrow: the leader keeps one shared bucket for it and grants whole requests from it to
+edges that have requests queued, each grant good for a moment only.
 """
 
-import math
-from typing import NamedTuple
+from dataclasses import dataclass
 
-WINDOW = 5.0
-OVER = 0.08
-LEAST_DEMAND = 0.5
-SPARE = 0.3
-NARROW = 0.9
-GRANT_SECONDS = 0.3
-GRANT_LATE = 0.1
-WELL_SECONDS = 0.15
-RATE_OVER = 1.1
-WANTING_SECONDS = 0.5
+from ryelock.rate_limit.rates import refill_rate, usable_rate
+from ryelock.rate_limit.shared_bucket import Grant, SharedTokenBucket
 
+MIN_DEMAND = 0.5
+"""An edge's demand counts for at least so much, in requests per second."""
+SPARE_FRACTION = 0.3
+"""Part of the rate that a new leader may add for all edges together; see `QuotaAllocator.share`."""
 
-class SharedTokenBucket:
-    """Whole orders of one narrow service that may be granted."""
 
-    __slots__ = ("at", "room", "wanting")
+@dataclass(frozen=True, slots=True)
+class QuotaRequest:
+    """What an edge asks of one service's rate.
 
-    def __init__(self, now: float) -> None:
-        """Create an empty well; `now` is monotonic time in seconds."""
-        self.at = now
-        self.room = 0.0
-        self.wanting: dict[str, float] = {}
-
-    def fill(self, rate: float, taken: float, now: float) -> None:
-        """Add what came up to now, less what shares given earlier still take of the rate."""
-        steady = max(0.0, steady_rate(rate) - taken)
-        self.room = min(most_room(rate), self.room + steady * max(0.0, now - self.at))
-        self.at = now
-
-    def others_wanting(self, edge: str, now: float) -> int:
-        """Count the other edges that lately had requests waiting."""
-        return sum(name != edge and now - at < WANTING_SECONDS for name, at in self.wanting.items())
-
-
-def most_room(rate: float) -> float:
-    """Return how many requests a well of this rate may save up."""
-    return max(1.0, WELL_SECONDS * rate)
-
-
-def steady_rate(rate: float) -> float:
-    """What a well may fill by, so that no 5 s hold more whole orders than a tenth over the rate.
-
-    A full well can be granted at once, and a grant be used up to its end and arrive late.
-    """
-    most = max(1, math.floor(WINDOW * RATE_OVER * rate))
-    within = (most + 1 - 0.02 - most_room(rate)) / (WINDOW + GRANT_SECONDS + GRANT_LATE)
-    return min(rate, within)
-
-
-def is_narrow(rate: float, burst: float, edges: int) -> bool:
-    """Tell whether too little of a rate is left to give each of so many edges a share."""
-    return usable(rate, burst, edges) < NARROW * rate
-
-
-def usable(rate: float, burst: float, edges: int) -> float:
-    """The rate that may be given out as shares to so many edges, each with a bucket of its own.
-
-    A bucket holds burst seconds of its share, and at least one order.
+    Attributes:
+        service: name of the service.
+        rate: the service's rate, in requests per second.
+        burst_seconds: seconds of its share that an edge's bucket may save up.
+        edge: name of the edge.
+        current_share: the share that the edge reports to spend now, in requests per second.
+        queued: requests that the edge has queued.
     """
-    holds = burst * rate + edges
-    return max(0.0, min(rate, (WINDOW * (1 + OVER) * rate - holds) / WINDOW))
-
-
-def reserve(rate: float, burst: float, edges: int) -> float:
-    """An edge's share of a narrow service while there is no leader to grant orders.
 
-    Less than otherwise, for what the last leader may have granted just before.
-    """
-    return max(0.0, usable(rate, burst, edges) - 0.2 * rate) / max(1, edges)
+    service: str
+    rate: float
+    burst_seconds: float
+    edge: str
+    current_share: float
+    queued: int = 0
 
 
-class Grant(NamedTuple):
-    """Whole requests granted to an edge of a narrow service.
+@dataclass(frozen=True, slots=True)
+class IssuedShare:
+    """A share of a service's rate that an edge was given.
 
     Attributes:
-        granted: requests that may be sent now.
-        expected: requests a second that the edge may expect.
-        found: requests that it may find granted at once when it asks again.
+        rate: requests per second.
+        expires_at: monotonic time in seconds.
     """
 
-    granted: int
-    expected: float
-    found: float
+    rate: float
+    expires_at: float
 
 
-class Given:
-    """Shares an edge may be spending: each with the moment it ends."""
+class OutstandingShares:
+    """All shares of one service that one edge may be spending."""
 
     __slots__ = ("shares",)
 
     def __init__(self) -> None:
         """Create a record without shares."""
-        self.shares: list[tuple[float, float]] = []
+        self.shares: list[IssuedShare] = []
+
+    def add(self, rate: float, expires_at: float) -> None:
+        """Note a share that the edge was given."""
+        self.shares.append(IssuedShare(rate, expires_at))
+
+    def replace(self, rate: float, expires_at: float) -> None:
+        """Forget all shares for the one that the edge reports to spend."""
+        self.shares = [IssuedShare(rate, expires_at)]
+
+    def last_expiry(self, default: float) -> float:
+        """Return when the last share expires; the default where there is none."""
+        return max((share.expires_at for share in self.shares), default=default)
 
     def largest(self, now: float) -> float:
         """Return the largest share that has not expired, in requests per second."""
-        self.shares = [(share, ends) for share, ends in self.shares if ends > now]
-        return max((share for share, _ in self.shares), default=0.0)
+        self.shares = [share for share in self.shares if share.expires_at > now]
+        return max((share.rate for share in self.shares), default=0.0)
 
 
 class QuotaAllocator:
-    """Shares of every service's rate, for every edge; grants of the narrow ones."""
+    """Shares of every service's rate, for every edge; grants of the narrow services.
+
+    All times are monotonic, in seconds; all rates are in requests per second.
+
+    Attributes:
+        outstanding: shares that edges may be spending, by service and edge.
+        demands: demand that edges report, by service and edge.
+        shared_buckets: the buckets of narrow services, by service.
+    """
 
-    __slots__ = ("demands", "given", "shared_buckets")
+    __slots__ = ("demands", "outstanding", "shared_buckets")
 
     def __init__(self) -> None:
-        """Create a divider that knows no edge and no service."""
-        self.given: dict[str, dict[str, Given]] = {}
+        """Create an allocator that knows no edge and no service."""
+        self.outstanding: dict[str, dict[str, OutstandingShares]] = {}
         self.demands: dict[str, dict[str, float]] = {}
         self.shared_buckets: dict[str, SharedTokenBucket] = {}
 
-    def report(self, edge: str, demand: dict[str, float]) -> None:
-        """Note an edge's demand, in requests per second by service."""
+    def report_demand(self, edge: str, demand: dict[str, float]) -> None:
+        """Note an edge's demand by service."""
         for service, amount in demand.items():
             self.demands.setdefault(service, {})[edge] = amount
 
-    def forget(self, edge: str) -> None:
-        """The edge is no member: its demand counts no more; its shares run out by themselves."""
+    def report_queued(self, service: str, edge: str, queued: int, now: float) -> None:
+        """Note how many requests an edge has queued for a narrow service."""
+        self.shared_bucket(service, now).report_queued(edge, queued, now)
+
+    def remove_edge(self, edge: str) -> None:
+        """Drop the demand of an edge that is no member; its shares expire by themselves."""
         for demands in self.demands.values():
             demands.pop(edge, None)
-        for well in self.shared_buckets.values():
-            well.wanting.pop(edge, None)
+        for bucket in self.shared_buckets.values():
+            bucket.queued_at.pop(edge, None)
 
-    def release(self, edge: str) -> None:
-        """The edge gave everything back: it said goodbye after its last dispatch."""
-        self.forget(edge)
-        for shares in self.given.values():
+    def release_edge(self, edge: str) -> None:
+        """Drop an edge and its shares: it shut down gracefully after its last request."""
+        self.remove_edge(edge)
+        for shares in self.outstanding.values():
             shares.pop(edge, None)
 
-    def want(self, service: str, edge: str, wanted: int, now: float) -> None:
-        """So many orders wait at an edge for a narrow service."""
-        well = self.shared_buckets.setdefault(service, SharedTokenBucket(now))
-        if wanted:
-            well.wanting[edge] = now
-        else:
-            well.wanting.pop(edge, None)
-
-    def grant(
-        self,
-        service: str,
-        rate: float,
-        edge: str,
-        wanted: int,
-        holding: float,
-        now: float,
-        fresh: bool,
-    ) -> Grant:
+    def grant(self, request: QuotaRequest, now: float, is_settled: bool) -> Grant:
         """Return what is granted to an edge now and what it may expect.
 
-        Nothing before a new leader knows what others hold.
+        Args:
+            request: what the edge asks.
+            now: monotonic time.
+            is_settled: whether a whole lease has passed under this leader, so that it knows what
+                others hold; nothing is granted before.
         """
-        shares = self.given.setdefault(service, {})
-        mine = shares.setdefault(edge, Given())
-        last = max((until for _, until in mine.shares), default=now)
-        mine.shares = [(holding, last)] if holding else []
-        well = self.shared_buckets.setdefault(service, SharedTokenBucket(now))
-        if not fresh:
-            well.at, well.room = now, 0.0
-        well.fill(rate, sum(given.largest(now) for given in shares.values()), now)
-        granted = min(wanted, int(well.room))
-        well.room -= granted
-        part = 1 + well.others_wanting(edge, now)
-        return Grant(granted, steady_rate(rate) / part, int(well.room) / part)
-
-    def soon(self, service: str, rate: float, now: float) -> float:
-        """Seconds until a narrow service's well has an order to grant."""
-        well = self.shared_buckets.get(service)
-        if well is None:
-            return 0.0
-        missing = 1.0 - well.room - steady_rate(rate) * (now - well.at)
-        return max(0.0, missing / steady_rate(rate))
+        shares = self.outstanding.setdefault(request.service, {})
+        own = shares.setdefault(request.edge, OutstandingShares())
+        if request.current_share:
+            own.replace(request.current_share, own.last_expiry(now))
+        else:
+            own.shares = []
+        bucket = self.shared_bucket(request.service, now)
+        if not is_settled:
+            bucket.reset(now)
+        bucket.fill(request.rate, sum(other.largest(now) for other in shares.values()), now)
+        granted = bucket.take(request.queued)
+        edges = 1 + bucket.other_waiting_edges(request.edge, now)
+        return Grant(granted, refill_rate(request.rate) / edges, int(bucket.tokens) / edges)
+
+    def seconds_until_grant(self, service: str, rate: float, now: float) -> float:
+        """Return the seconds until a narrow service has a request to grant."""
+        bucket = self.shared_buckets.get(service)
+        return 0.0 if bucket is None else bucket.seconds_until_token(rate, now)
+
+    def shared_bucket(self, service: str, now: float) -> SharedTokenBucket:
+        """Return the shared bucket of a service; a new one is empty."""
+        return self.shared_buckets.setdefault(service, SharedTokenBucket(now))
 
     def share(
         self,
-        service: str,
-        rate: float,
-        burst: float,
-        edge: str,
+        request: QuotaRequest,
         edges: list[str],
-        holding: float,
         now: float,
-        ends: float,
-        fresh: bool,
-        spare: bool = False,
+        expires_at: float,
+        is_settled: bool,
+        with_spare: bool = False,
     ) -> float:
-        """The share of an edge until `ends`; `holding` is what it says it spends now.
+        """Return the share that an edge may spend until `expires_at`.
 
         While the rate is more than all demand, each edge gets its demand and an equal part of
-        the rest, so that chance in the arrivals finds room; above it, parts go by demand.
-
-        The caller passes asks of one edge in the order in which the edge sent them, and no
-        old one: what an edge says it holds is taken as given back above that.
-
-        Until a new leader has seen a whole term pass it is not fresh to it what others
-        hold: an edge then keeps what it holds and gets no more, or with `spare` a little that
-        fits beside all that others may hold, for that short time.
+        the rest, so that random bursts of arrivals find room; above it, parts go by demand.
+
+        The caller passes the requests of one edge in the order in which the edge sent them, and
+        no old one: shares above what an edge reports to spend are taken as given back.
+
+        Args:
+            request: what the edge asks.
+            edges: names of all edges.
+            now: monotonic time.
+            expires_at: monotonic time at which the share expires.
+            is_settled: whether a whole lease has passed under this leader, so that it knows what
+                others hold. Before that an edge keeps what it holds and gets no more.
+            with_spare: before that, add a little that fits beside all that others may hold, for
+                that short time.
         """
-        shares = self.given.setdefault(service, {})
-        mine = shares.setdefault(edge, Given())
-        if not fresh:
-            if spare:
-                holding = max(holding, SPARE * rate / max(1, len(edges)))
-            mine.shares.append((holding, ends))
-            return holding
-        last = max((until for _, until in mine.shares), default=ends)
-        mine.shares = [(holding, max(last, now))]
-        others = sum(given.largest(now) for name, given in shares.items() if name != edge)
-        most = usable(rate, burst, len(edges))
-        wanted = self.wanted_share(service, edge, edges, most)
-        given = max(0.0, min(wanted, most - others))
-        mine.shares.append((given, ends))
-        forget_ended(shares, {edge, *edges}, now)
+        shares = self.outstanding.setdefault(request.service, {})
+        own = shares.setdefault(request.edge, OutstandingShares())
+        if not is_settled:
+            kept = request.current_share
+            if with_spare:
+                kept = max(kept, SPARE_FRACTION * request.rate / max(1, len(edges)))
+            own.add(kept, expires_at)
+            return kept
+        own.replace(request.current_share, max(own.last_expiry(expires_at), now))
+        others = sum(other.largest(now) for name, other in shares.items() if name != request.edge)
+        usable = usable_rate(request.rate, request.burst_seconds, len(edges))
+        wanted = self.wanted_share(request.service, request.edge, edges, usable)
+        given = max(0.0, min(wanted, usable - others))
+        own.add(given, expires_at)
+        drop_expired(shares, {request.edge, *edges}, now)
         return given
 
-    def wanted_share(self, service: str, edge: str, edges: list[str], most: float) -> float:
-        """Return an edge's part of the rate `most`, by the demand of all edges."""
+    def wanted_share(self, service: str, edge: str, edges: list[str], usable: float) -> float:
+        """Return an edge's part of the usable rate, by the demand of all edges."""
         demands = self.demands.get(service, {})
-        weights = {name: max(LEAST_DEMAND, demands.get(name, 0.0)) for name in edges}
+        weights = {name: max(MIN_DEMAND, demands.get(name, 0.0)) for name in edges}
         total = sum(weights.values()) or 1.0
-        mine = weights.get(edge, LEAST_DEMAND)
-        if total < most:
-            return mine + (most - total) / max(1, len(edges))
-        return most * mine / total
+        own = weights.get(edge, MIN_DEMAND)
+        if total < usable:
+            return own + (usable - total) / max(1, len(edges))
+        return usable * own / total
 
 
-def forget_ended(shares: dict[str, Given], present: set[str], now: float) -> None:
-    """Drop the records of edges that are gone and whose shares have all ended."""
-    ended = [
-        name for name, given in shares.items() if name not in present and not given.largest(now)
+def drop_expired(shares: dict[str, OutstandingShares], present: set[str], now: float) -> None:
+    """Drop the records of edges that are gone and whose shares have all expired."""
+    expired = [
+        name for name, issued in shares.items() if name not in present and not issued.largest(now)
     ]
-    for name in ended:
+    for name in expired:
         del shares[name]
--- a/packages/rate_limit/ryelock/rate_limit/token_bucket.py
+++ b/packages/rate_limit/ryelock/rate_limit/token_bucket.py
@@ -1,138 +1,123 @@
-"""The edge's side of a rate: a bucket that fills by its share, and a budget of repeats.
+"""The edge's side of rate limits: a token bucket that fills by the edge's quota share.
 
 A bucket starts empty, so that an edge that starts again brings no fresh burst. For a narrow
-service it holds no share but grants of whole orders, each with an end. Repeats earn
-their room from first orders, a little less than the share they may take, so that rounding
-stays on the safe side in any window.
+service it has no share but grants of whole requests, each of which expires.
 """
 
+INFINITE = float("inf")
+
 
 class TokenBucket:
-    """Orders that may be sent to one service by one edge; all, where it is not limited."""
+    """Requests that one edge may send to one service; all, where the service is not limited.
+
+    Attributes:
+        limited: whether the service has a rate.
+        filled_at: monotonic time up to which it is filled, in seconds.
+        burst_seconds: seconds of its share that the bucket may save up.
+        share: requests per second that may be sent.
+        share_expires_at: monotonic time at which the share expires, in seconds.
+        tokens: requests that may be sent at once.
+        uses_grants: whether the service is narrow, so that grants count and no share does.
+        grants: monotonic times at which the granted requests expire, oldest first.
+        expected_rate: granted requests per second that may be expected.
+        expected_tokens: requests that may be expected to be granted at once.
+    """
 
     __slots__ = (
-        "at",
-        "burst",
-        "counted",
-        "ends",
-        "expected",
-        "found",
+        "burst_seconds",
+        "expected_rate",
+        "expected_tokens",
+        "filled_at",
         "grants",
         "limited",
-        "room",
         "share",
+        "share_expires_at",
+        "tokens",
+        "uses_grants",
     )
 
-    def __init__(self, now: float, burst: float, limited: bool = True) -> None:
-        """Create an empty bucket that holds no share yet.
+    def __init__(self, now: float, burst_seconds: float, limited: bool = True) -> None:
+        """Create an empty bucket that has no share yet.
 
         Args:
             now: monotonic time in seconds.
-            burst: seconds of its share that the bucket may save up.
+            burst_seconds: seconds of its share that the bucket may save up.
             limited: False for a service without a rate, for which every request is allowed.
         """
         self.limited = limited
-        self.at = now
-        self.burst = burst
+        self.filled_at = now
+        self.burst_seconds = burst_seconds
         self.share = 0.0
-        self.ends = now
-        self.room = 0.0
-        self.counted = False
+        self.share_expires_at = now
+        self.tokens = 0.0
+        self.uses_grants = False
         self.grants: list[float] = []
-        self.expected = 0.0
-        self.found = 0.0
+        self.expected_rate = 0.0
+        self.expected_tokens = 0.0
 
     def fill(self, now: float) -> None:
-        """Add what came up to now; nothing comes after the share's term."""
-        until = min(now, self.ends)
-        if until > self.at:
-            self.room += self.share * (until - self.at)
-        self.at = max(self.at, now)
-        self.room = min(self.room, max(1.0, self.burst * self.share))
-
-    def give(self, share: float, ends: float, now: float) -> None:
-        """Replace the share: requests per second that may be sent until `ends`."""
+        """Add what came up to now; nothing comes after the share expired."""
+        until = min(now, self.share_expires_at)
+        if until > self.filled_at:
+            self.tokens += self.share * (until - self.filled_at)
+        self.filled_at = max(self.filled_at, now)
+        self.tokens = min(self.tokens, self.capacity())
+
+    def capacity(self) -> float:
+        """Return the most tokens that the bucket may save up: one at least."""
+        return max(1.0, self.burst_seconds * self.share)
+
+    def assign_share(self, share: float, expires_at: float, now: float) -> None:
+        """Replace the share: requests per second that may be sent until `expires_at`."""
         self.fill(now)
-        if self.counted:
-            self.counted, self.grants, self.room = False, [], 0.0
+        if self.uses_grants:
+            self.uses_grants, self.grants, self.tokens = False, [], 0.0
         self.share = share
-        self.ends = ends
-        self.room = min(self.room, max(1.0, self.burst * share))
-
-    def grant(self, granted: int, expected: float, found: float, until: float) -> None:
-        """So many whole orders may be sent until a moment; no share is held any more."""
-        if not self.counted:
-            self.counted, self.room, self.share = True, 0.0, 0.0
-        self.grants += [until] * granted
-        self.expected = expected
-        self.found = found
-
-    def granted(self, now: float) -> int:
-        """Count the granted requests that may still be sent, dropping expired grants."""
-        self.grants = [until for until in self.grants if until > now]
+        self.share_expires_at = expires_at
+        self.tokens = min(self.tokens, self.capacity())
+
+    def add_grants(
+        self, granted: int, expected_rate: float, expected_tokens: float, expires_at: float
+    ) -> None:
+        """Add granted requests that may be sent until `expires_at`; there is no share any more."""
+        if not self.uses_grants:
+            self.uses_grants, self.tokens, self.share = True, 0.0, 0.0
+        self.grants += [expires_at] * granted
+        self.expected_rate = expected_rate
+        self.expected_tokens = expected_tokens
+
+    def count_grants(self, now: float) -> int:
+        """Drop expired grants and count the requests that may still be sent."""
+        self.grants = [expires_at for expires_at in self.grants if expires_at > now]
         return len(self.grants)
 
-    def holding(self, now: float) -> float:
+    def current_share(self, now: float) -> float:
         """Return the share in requests per second, 0 once it has expired."""
-        return self.share if now < self.ends else 0.0
+        return self.share if now < self.share_expires_at else 0.0
 
     def allow(self, now: float) -> bool:
-        """Take room for one order."""
+        """Take a token for one request; False where there is none."""
         if not self.limited:
             return True
-        if self.counted:
-            if not self.granted(now):
+        if self.uses_grants:
+            if not self.count_grants(now):
                 return False
             self.grants.pop(0)
             return True
         self.fill(now)
-        if now >= self.ends or self.room < 1.0:
+        if now >= self.share_expires_at or self.tokens < 1.0:
             return False
-        self.room -= 1.0
+        self.tokens -= 1.0
         return True
 
     def wait_for(self, now: float, ahead: int) -> float:
-        """Seconds until there is room for an order behind so many others."""
+        """Return the seconds until a request behind so many others may be sent; perhaps inf."""
         if not self.limited:
             return 0.0
-        if self.counted:
-            missing = ahead + 1 - self.granted(now) - self.found
-            return max(0.0, missing / self.expected) if self.expected > 0 else float("inf")
+        if self.uses_grants:
+            missing = ahead + 1 - self.count_grants(now) - self.expected_tokens
+            return max(0.0, missing / self.expected_rate) if self.expected_rate > 0 else INFINITE
         self.fill(now)
-        if self.share <= 0 or now >= self.ends:
-            return float("inf")
-        return max(0.0, (ahead + 1 - self.room) / self.share)
-
-
-class RetryBudget:
-    """Repeats that one edge may send to one service."""
-
-    __slots__ = ("allowance", "room", "share")
-
-    def __init__(self, share: float, allowance: float) -> None:
-        """Create a budget that has room for one retry at most.
-
-        Args:
-            share: retries earned by each first request, as a fraction.
-            allowance: most retries that may be saved up.
-        """
-        self.share = share * 0.9
-        self.allowance = allowance
-        self.room = min(1.0, allowance)
-
-    def resize(self, share: float, allowance: float) -> None:
-        """Take a new share and allowance; room above the new allowance is lost."""
-        self.share = share * 0.9
-        self.allowance = allowance
-        self.room = min(self.room, max(allowance, 0.0))
-
-    def first(self) -> None:
-        """A first order was sent: it earns room for a part of a repeat."""
-        self.room = min(self.allowance, self.room + self.share)
-
-    def repeat(self) -> bool:
-        """Take room for one repeat."""
-        if self.room < 1.0:
-            return False
-        self.room -= 1.0
-        return True
+        if self.share <= 0 or now >= self.share_expires_at:
+            return INFINITE
+        return max(0.0, (ahead + 1 - self.tokens) / self.share)
--- a/packages/testing/ryelock/testing/answer_cases.py
+++ b/packages/testing/ryelock/testing/answer_cases.py
@@ -306,7 +306,7 @@
     fleet.forget()
     fleet.world.run(10.0)
     for number in (0, 2):
-        fleet.handler(number).gates[SERVICE].budget.room = 0.0
+        fleet.handler(number).gates[SERVICE].budget.tokens = 0.0
     fleet.world.freeze(fleet.edges[1], True)
     lost: list[str] = []
     for number in range(SILENT_REQUESTS):
--- a/packages/testing/ryelock/testing/pieces.py
+++ b/packages/testing/ryelock/testing/pieces.py
@@ -19,7 +19,7 @@
 from ryelock.events import RecordingLog
 from ryelock.journal import MachineFolder
 from ryelock.membership import Membership, Server, Session
-from ryelock.rate_limit.quota_allocator import Given
+from ryelock.rate_limit import OutstandingShares
 from ryelock.replicated_state import Purge, PurgeKind, ReplicatedState, encode_command
 from ryelock.runtime.reactor import Reactor
 from ryelock.settings import read_settings
@@ -134,11 +134,11 @@
     """Let every session demand and hold a share of each service."""
     divider, ends = node.renewals.divider, node.scheduler.now() + SHARE_SECONDS
     for session in sessions:
-        divider.report(session.name, dict.fromkeys(SERVICE_NAMES, 10.0))
+        divider.report_demand(session.name, dict.fromkeys(SERVICE_NAMES, 10.0))
         for service in SERVICE_NAMES:
-            held = Given()
-            held.shares = [(1.0, ends)]
-            divider.given.setdefault(service, {})[session.name] = held
+            held = OutstandingShares()
+            held.add(1.0, ends)
+            divider.outstanding.setdefault(service, {})[session.name] = held
 
 
 def measure_membership(node: ControlNode) -> Figures:
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -458,7 +458,7 @@
                 state.failures, state.full_until, state.aside_for = 0, 0.0, 0.0
                 state.aside_until, state.trying, state.latency = 0.0, False, 0.0
             budget = handler.gates[SERVICE].budget
-            budget.room = budget.allowance
+            budget.tokens = budget.allowance
         for server in self.servers:
             server.mute.clear()
             server.slow.clear()
--- a/tests/edge/test_lapse.py
+++ b/tests/edge/test_lapse.py
@@ -14,7 +14,7 @@
 
 from ryelock.consensus import Consensus
 from ryelock.http import fetch
-from ryelock.rate_limit import QuotaAllocator
+from ryelock.rate_limit import QuotaAllocator, QuotaRequest
 from ryelock.testing.scenario import Scenario
 
 
@@ -161,20 +161,22 @@
 class SpareShareTests(testtools.TestCase):
     def test_a_spare_share_fits_beside_what_others_hold(self) -> None:
         """100 a second, held by one edge; nine that hold nothing, for 0.6 s, within 5 s x 1.1."""
-        divider = QuotaAllocator()
+        allocator = QuotaAllocator()
         edges = [f"edge{number}" for number in range(10)]
-        divider.share("s", 100.0, 0.2, "edge0", edges, 100.0, 0.0, 1.5, False, True)
+        holder = QuotaRequest("s", 100.0, 0.2, "edge0", current_share=100.0)
+        allocator.share(holder, edges, 0.0, 1.5, False, True)
         spare = sum(
-            divider.share("s", 100.0, 0.2, name, edges, 0.0, 0.0, 1.5, False, True)
+            allocator.share(
+                QuotaRequest("s", 100.0, 0.2, name, current_share=0.0), edges, 0.0, 1.5, False, True
+            )
             for name in edges[1:]
         )
         self.assertGreater(spare, 0.0)
         self.assertLessEqual(100.0 * 5 + spare * 0.6, 100.0 * 5 * 1.1)
 
     def test_without_it_an_edge_that_holds_nothing_gets_nothing(self) -> None:
-        self.assertEqual(
-            0.0, QuotaAllocator().share("s", 100.0, 0.2, "a", ["a"], 0.0, 0.0, 1.5, False)
-        )
+        request = QuotaRequest("s", 100.0, 0.2, "a", current_share=0.0)
+        self.assertEqual(0.0, QuotaAllocator().share(request, ["a"], 0.0, 1.5, False))
 
 
 class StopTests(testtools.TestCase):
--- a/tests/edge/test_owner_asks.py
+++ b/tests/edge/test_owner_asks.py
@@ -40,13 +40,13 @@
 def repeats_left(deployment: Deployment, edge: str) -> float:
     way = deployment.node(edge).traffic.handler
     assert way is not None
-    return way.gates["pages"].budget.room
+    return way.gates["pages"].budget.tokens
 
 
 def spend_all_repeats(deployment: Deployment, edge: str) -> None:
     way = deployment.node(edge).traffic.handler
     assert way is not None
-    way.gates["pages"].budget.room = 0.0
+    way.gates["pages"].budget.tokens = 0.0
 
 
 def get(deployment: Deployment, target: str, edge: str, **more: Any) -> Note:
--- a/tests/platform/test_platform_takeouts.py
+++ b/tests/platform/test_platform_takeouts.py
@@ -134,7 +134,7 @@
         any_503,
     ),
     "purges": (purged, CacheStore, "take_purges", lambda _self, _purges, _number: None),
-    "budgets": (failing, RetryBudget, "repeat", lambda _self: True),
+    "budgets": (failing, RetryBudget, "try_retry", lambda _self: True),
     "rates": (limited, TokenBucket, "allow", lambda _self, _now: True),
 }
 
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -18,7 +18,7 @@
 from ryelock.edge.servers import Servers
 from ryelock.http.reader import Body, IncompleteMessageError
 from ryelock.http.server import HttpServer
-from ryelock.rate_limit import QuotaAllocator, RetryBudget
+from ryelock.rate_limit import Grant, QuotaAllocator, RetryBudget
 from ryelock.replicated_state import ReplicatedState
 from ryelock.testing.cases import CASES
 from ryelock.testing.simulated import SimFolder
@@ -60,14 +60,17 @@
 
 def whole_rate_to_each() -> list[Patch]:
     return [
-        mock.patch.object(QuotaAllocator, "share", lambda _divider, _service, rate, *_rest: rate)
+        mock.patch.object(QuotaAllocator, "share", lambda _allocator, request, *_rest: request.rate)
     ]
 
 
 def boundless_repeats() -> list[Patch]:
     return [
-        mock.patch.object(RetryBudget, "repeat", always(True)),
-        mock.patch("ryelock.rate_limit.quota_allocator.usable", lambda rate, _burst, _edges: rate),
+        mock.patch.object(RetryBudget, "try_retry", always(True)),
+        *(
+            mock.patch(f"ryelock.rate_limit.{module}.usable_rate", lambda rate, *_rest: rate)
+            for module in ("rates", "quota_allocator")
+        ),
     ]
 
 
@@ -172,7 +175,7 @@
         mock.patch.object(
             QuotaAllocator,
             "grant",
-            lambda _divider, _service, rate, _edge, wanted, *_rest: (wanted, rate, 1.0),
+            lambda _allocator, request, *_rest: Grant(request.queued, request.rate, 1.0),
         )
     ]
 
@@ -192,7 +195,7 @@
     plain = RequestHandler.enter
 
     async def enter(way: RequestHandler, exchange: Any, request: Any, route: Any, key: Any) -> Any:
-        way.gates[request.service].budget.first()
+        way.gates[request.service].budget.record_request()
         return await plain(way, exchange, request, route, key)
 
     return [mock.patch.object(RequestHandler, "enter", enter)]
--- a/tests/rate_limit/test_rate_sharing.py
+++ b/tests/rate_limit/test_rate_sharing.py
@@ -116,7 +116,7 @@
             for name in deployment.edges:
                 edge = deployment.node(name).inner
                 assert isinstance(edge, TrafficNode) and edge.handler is not None
-                edge.handler.gates["pages"].budget.room = 20.0
+                edge.handler.gates["pages"].budget.tokens = 20.0
             shared = deque([Manner.HANGING])
             for life in deployment.of_service("pages"):
                 life.manners = shared
