--- a/packages/control_plane/ryelock/control_plane/identity.py
+++ b/packages/control_plane/ryelock/control_plane/identity.py
@@ -8,7 +8,14 @@
 from expression import Error, Ok, Result
 
 from ryelock.events import JOURNAL_DAMAGED, Log
-from ryelock.journal import Folder, FolderError, Journal, JournalError, open_journal
+from ryelock.journal import (
+    Folder,
+    FolderError,
+    Journal,
+    JournalError,
+    JournalUnavailableError,
+    open_journal,
+)
 
 IDENTITY = "identity"
 ASIDE = "damaged-"
@@ -40,7 +47,7 @@
         folder.write_whole(IDENTITY, json.dumps({"disk": disk}).encode())
         return Ok((disk, found.ok))
     except FolderError as error:
-        return Error(JournalError(str(error), False))
+        return Error(JournalUnavailableError(str(error)))
 
 
 def read_identity(folder: Folder) -> str:
--- a/packages/journal/ryelock/journal/folder.py
+++ b/packages/journal/ryelock/journal/folder.py
@@ -1,12 +1,15 @@
 """The one data folder, as the journal needs it; the simulator has another that loses things."""
 
 import os
-from contextlib import suppress
+from collections.abc import Iterator
+from contextlib import contextmanager, suppress
 from pathlib import Path
 from typing import Protocol
 
 PARTIAL_SUFFIX = ".new"
-"""Ends the name of a file that is not whole yet; it counts for nothing."""
+"""Ends the name of a file that is not complete yet; it counts for nothing."""
+WRITE_TEST_NAME = "probe-of-writing"
+"""File that is written and deleted when the folder is opened."""
 
 
 class FolderError(Exception):
@@ -14,52 +17,76 @@
 
 
 class Folder(Protocol):
-    def names(self) -> list[str]: ...
-    def read(self, name: str) -> bytes: ...
-    def append(self, name: str, data: bytes) -> None: ...
-    def sync(self, name: str) -> None: ...
-    def truncate(self, name: str, size: int) -> None: ...
+    """Files by name, and when they are durable; every method raises FolderError on a fault."""
+
+    def names(self) -> list[str]:
+        """Return the names of all files, in order."""
+        ...
+
+    def read(self, name: str) -> bytes:
+        """Return a file's bytes."""
+        ...
+
+    def append(self, name: str, data: bytes) -> None:
+        """Append to a file, which is created where there is none; it is not synced."""
+        ...
+
+    def sync(self, name: str) -> None:
+        """Make durable what a file has."""
+        ...
+
+    def truncate(self, name: str, size: int) -> None:
+        """Cut a file to so many bytes; it is not synced."""
+        ...
+
     def write_whole(self, name: str, data: bytes) -> None:
-        """A file that is there whole, synced, or not at all."""
+        """Write a file at once: after a loss of power it is there complete or not at all."""
         ...
 
     def sync_names(self) -> None:
-        """Make lasting which names there are, also those that an earlier process gave."""
+        """Make durable which names there are, also those that an earlier process gave."""
         ...
 
-    def rename(self, name: str, other: str) -> None: ...
-    def delete(self, name: str) -> None: ...
+    def rename(self, name: str, other: str) -> None:
+        """Give a file another name, in place of one that has it, and make that durable."""
+        ...
+
+    def delete(self, name: str) -> None:
+        """Delete a file; the name may come back after a loss of power."""
+        ...
 
 
 class MachineFolder:
-    """A real folder; appended files stay open until they are deleted or another is appended."""
+    """A real folder; the file appended to last stays open."""
 
     __slots__ = ("open_file", "open_name", "path")
 
     def __init__(self, path: str) -> None:
+        """Open a folder, creating it where there is none.
+
+        Raises:
+            FolderError: it cannot be created or written to.
+        """
         self.path = Path(path)
         self.open_name = ""
         self.open_file = -1
-        try:
+        with faults_named(f"data folder {path}"):
             self.path.mkdir(parents=True, exist_ok=True)
-            self.write_whole("probe-of-writing", b"")
-            self.delete("probe-of-writing")
-        except OSError as error:
-            raise FolderError(f"data folder {path}: {error.strerror}") from error
+            self.write_whole(WRITE_TEST_NAME, b"")
+            self.delete(WRITE_TEST_NAME)
 
     def names(self) -> list[str]:
-        try:
+        """Return the names of all files, in order."""
+        with faults_named(str(self.path)):
             return sorted(os.listdir(self.path))
-        except OSError as error:
-            raise FolderError(f"{self.path}: {error.strerror}") from error
 
     def read(self, name: str) -> bytes:
-        try:
+        """Return a file's bytes."""
+        with faults_named(name):
             return (self.path / name).read_bytes()
-        except OSError as error:
-            raise FolderError(f"{name}: {error.strerror}") from error
 
     def file_for(self, name: str) -> int:
+        """Return the descriptor of a file that is open for appending; raises OSError."""
         if self.open_name != name:
             if self.open_file >= 0:
                 os.close(self.open_file)
@@ -68,67 +95,76 @@
         return self.open_file
 
     def close_file(self, name: str) -> None:
-        """Forget the open file of that name, which is about to be another or none."""
+        """Close the file of a name that is about to be another file's or nobody's."""
         if self.open_name == name:
             file, self.open_file, self.open_name = self.open_file, -1, ""
             os.close(file)
 
     def append(self, name: str, data: bytes) -> None:
-        try:
+        """Append to a file, which is created where there is none; it is not synced."""
+        with faults_named(name):
             file = self.file_for(name)
             view = memoryview(data)
             while view:
                 view = view[os.write(file, view) :]
-        except OSError as error:
-            raise FolderError(f"{name}: {error.strerror}") from error
 
     def sync(self, name: str) -> None:
-        try:
+        """Make durable what a file has."""
+        with faults_named(name):
             os.fsync(self.file_for(name))
-        except OSError as error:
-            raise FolderError(f"{name}: {error.strerror}") from error
 
     def truncate(self, name: str, size: int) -> None:
-        try:
+        """Cut a file to so many bytes; it is not synced."""
+        with faults_named(name):
             os.ftruncate(self.file_for(name), size)
-        except OSError as error:
-            raise FolderError(f"{name}: {error.strerror}") from error
 
     def write_whole(self, name: str, data: bytes) -> None:
-        beside = self.path / f"{name}{PARTIAL_SUFFIX}"
-        try:
-            self.close_file(name)
-            with open(beside, "wb") as file:
-                file.write(data)
-                file.flush()
-                os.fsync(file.fileno())
-            os.replace(beside, self.path / name)
-            self.sync_names()
-        except OSError as error:
-            with suppress(OSError):
-                beside.unlink(missing_ok=True)
-            raise FolderError(f"{name}: {error.strerror}") from error
+        """Write a file at once: after a loss of power it is there complete or not at all."""
+        partial = self.path / f"{name}{PARTIAL_SUFFIX}"
+        with faults_named(name):
+            try:
+                self.close_file(name)
+                self.write_synced(partial, data)
+                os.replace(partial, self.path / name)
+                self.sync_names()
+            except OSError:
+                with suppress(OSError):
+                    partial.unlink(missing_ok=True)
+                raise
+
+    def write_synced(self, path: Path, data: bytes) -> None:
+        """Write a file and sync it; raises OSError."""
+        with open(path, "wb") as file:
+            file.write(data)
+            file.flush()
+            os.fsync(file.fileno())
 
     def sync_names(self) -> None:
-        try:
+        """Make durable which names there are, also those that an earlier process gave."""
+        with faults_named(str(self.path)):
             folder = os.open(self.path, os.O_RDONLY)
             try:
                 os.fsync(folder)
             finally:
                 os.close(folder)
-        except OSError as error:
-            raise FolderError(f"{self.path}: {error.strerror}") from error
 
     def rename(self, name: str, other: str) -> None:
-        try:
+        """Give a file another name, in place of one that has it, and make that durable."""
+        with faults_named(name):
             os.replace(self.path / name, self.path / other)
             self.sync_names()
-        except OSError as error:
-            raise FolderError(f"{name}: {error.strerror}") from error
 
     def delete(self, name: str) -> None:
-        try:
+        """Delete a file; the name may come back after a loss of power."""
+        with faults_named(name):
             self.close_file(name)
             os.unlink(self.path / name)
-        except OSError as error:
-            raise FolderError(f"{name}: {error.strerror}") from error
+
+
+@contextmanager
+def faults_named(subject: str) -> Iterator[None]:
+    """Raise a fault of the operating system as FolderError, with what it happened to."""
+    try:
+        yield
+    except OSError as error:
+        raise FolderError(f"{subject}: {error.strerror}") from error
--- a/packages/journal/ryelock/journal/frames.py
+++ b/packages/journal/ryelock/journal/frames.py
@@ -1,77 +1,92 @@
-"""The frames of a segment: what one write appends, recognised as whole or not at all.
+"""The frames of a segment: what one write appends, recognised as complete or not at all.
 
-A frame is ten bytes of header - mark, size of the body, CRC-32 of the body, big-endian - and the
-body. Two versions are read:
+A frame is ten bytes of header - two magic bytes, size of the body, CRC-32 of the body, big-endian -
+and the body. Two versions are read:
 
-- version 1 (`SINGLE_MARK`): the body is one record;
-- version 2 (`BATCH_MARK`): the body is all records of one write, each behind four bytes of its
+- version 1 (`SINGLE_MAGIC`): the body is one record;
+- version 2 (`BATCH_MAGIC`): the body is all records of one write, each behind four bytes of its
   length. Only this version is written: a write of several records that was torn in the middle has
   no later part that looks sound by itself.
 """
 
 import struct
 import zlib
+from dataclasses import dataclass
 
-SINGLE_MARK = b"\xa5\x52"
-BATCH_MARK = b"\xa5\x53"
-MARK_START = b"\xa5"
+SINGLE_MAGIC = b"\xa5\x52"
+BATCH_MAGIC = b"\xa5\x53"
+MAGIC_START = b"\xa5"
 HEADER = struct.Struct(">2sII")
 LENGTH = struct.Struct(">I")
-FRAME_MOST = 134_217_728
+MAX_BODY_BYTES = 134_217_728
+
+
+@dataclass(frozen=True, slots=True)
+class DecodedRecords:
+    """The records of one sound frame, or of several in a row.
+
+    Attributes:
+        records: the records, in order.
+        end: offset of the first byte after the last frame.
+    """
+
+    records: list[bytes]
+    end: int
 
 
 def pack_batch(records: list[bytes]) -> bytes:
-    """One frame of version 2 with all records of one write."""
+    """Return one frame of version 2 with all records of one write."""
     body = b"".join(LENGTH.pack(len(record)) + record for record in records)
-    return HEADER.pack(BATCH_MARK, len(body), zlib.crc32(body)) + body
+    return HEADER.pack(BATCH_MAGIC, len(body), zlib.crc32(body)) + body
 
 
 def split_batch(body: bytes) -> list[bytes] | None:
-    """The records of a body of version 2, or None where the lengths do not fill it."""
+    """Return the records of a body of version 2; None where the lengths do not fill it."""
     records: list[bytes] = []
-    place = 0
-    while place < len(body):
-        if place + LENGTH.size > len(body):
+    offset = 0
+    while offset < len(body):
+        if offset + LENGTH.size > len(body):
             return None
-        (size,) = LENGTH.unpack_from(body, place)
-        place += LENGTH.size
-        if place + size > len(body):
+        (size,) = LENGTH.unpack_from(body, offset)
+        offset += LENGTH.size
+        if offset + size > len(body):
             return None
-        records.append(body[place : place + size])
-        place += size
+        records.append(body[offset : offset + size])
+        offset += size
     return records
 
 
-def frame_at(data: bytes, place: int) -> tuple[list[bytes], int] | None:
-    """The records of the sound frame that starts at a place and where it ends, or None."""
-    if place + HEADER.size > len(data):
+def frame_at(data: bytes, offset: int) -> DecodedRecords | None:
+    """Return the records of the sound frame that starts at an offset; None where none does."""
+    start = offset + HEADER.size
+    if start > len(data):
         return None
-    mark, size, checksum = HEADER.unpack_from(data, place)
-    start = place + HEADER.size
-    if mark not in (SINGLE_MARK, BATCH_MARK) or size > FRAME_MOST or start + size > len(data):
+    magic, size, checksum = HEADER.unpack_from(data, offset)
+    end = start + size
+    if magic not in (SINGLE_MAGIC, BATCH_MAGIC) or size > MAX_BODY_BYTES or end > len(data):
         return None
-    body = data[start : start + size]
+    body = data[start:end]
     if zlib.crc32(body) != checksum:
         return None
-    records = [body] if mark == SINGLE_MARK else split_batch(body)
-    return None if records is None else (records, start + size)
+    records = [body] if magic == SINGLE_MAGIC else split_batch(body)
+    return None if records is None else DecodedRecords(records, end)
 
 
-def read_frames(data: bytes) -> tuple[list[bytes], int]:
-    """The records of all sound frames from the start, and where those frames end."""
+def read_frames(data: bytes) -> DecodedRecords:
+    """Return the records of all sound frames from the start on, up to the first that is not."""
     records: list[bytes] = []
-    place = 0
-    while (found := frame_at(data, place)) is not None:
-        batch, place = found
-        records += batch
-    return records, place
+    end = 0
+    while (frame := frame_at(data, end)) is not None:
+        records += frame.records
+        end = frame.end
+    return DecodedRecords(records, end)
 
 
-def sound_behind(data: bytes, place: int) -> bool:
-    """Whether any sound frame starts behind a place."""
-    found = data.find(MARK_START, place + 1)
+def has_frame_after(data: bytes, offset: int) -> bool:
+    """Tell whether any sound frame starts after an offset: what is before it is no torn tail."""
+    found = data.find(MAGIC_START, offset + 1)
     while found >= 0:
         if frame_at(data, found) is not None:
             return True
-        found = data.find(MARK_START, found + 1)
+        found = data.find(MAGIC_START, found + 1)
     return False
--- /dev/null
+++ b/packages/journal/ryelock/journal/opening.py
@@ -0,0 +1,93 @@
+"""Opening a journal: the newest snapshot and all later segments are read back and checked."""
+
+from expression import Error, Ok, Result
+
+from ryelock.events import JOURNAL_TAIL_TRUNCATED, Log
+from ryelock.journal.errors import DamagedJournalError, JournalError, JournalUnavailableError
+from ryelock.journal.files import (
+    SEGMENT_KIND,
+    SNAPSHOT_KIND,
+    file_numbers,
+    segment_name,
+    snapshot_name,
+)
+from ryelock.journal.folder import PARTIAL_SUFFIX, Folder, FolderError
+from ryelock.journal.frames import has_frame_after, read_frames
+from ryelock.journal.journal import Journal
+
+
+def open_journal(folder: Folder, log: Log, segment_bytes: int) -> Result[Journal, JournalError]:
+    """Open the journal of a folder, which may be empty.
+
+    `snapshot` and `records` of the journal hold what was read until the owner has taken them.
+
+    Args:
+        folder: the folder of the journal alone.
+        log: the event log.
+        segment_bytes: size from which on a segment gets no more frames.
+
+    Returns:
+        The journal; a DamagedJournalError where what is stored cannot be trusted; or a
+        JournalUnavailableError where the folder cannot be read or written for now.
+    """
+    journal = Journal(folder, log, segment_bytes)
+    try:
+        read_back(journal)
+    except FolderError as error:
+        return Error(JournalUnavailableError(str(error)))
+    except JournalError as error:
+        return Error(error)
+    return Ok(journal)
+
+
+def read_back(journal: Journal) -> None:
+    """Read all files of the folder into a new journal; raises JournalError or FolderError."""
+    folder = journal.folder
+    names = folder.names()
+    for name in names:
+        if name.endswith(PARTIAL_SUFFIX):
+            folder.delete(name)
+    snapshots = file_numbers(names, SNAPSHOT_KIND)
+    first = snapshots[-1] if snapshots else 0
+    if snapshots:
+        read_snapshot(journal, snapshot_name(first))
+    segments = [number for number in file_numbers(names, SEGMENT_KIND) if number >= first]
+    if snapshots and not segments:
+        raise DamagedJournalError("the first segment is missing")
+    if segments != list(range(first, first + len(segments))):
+        raise DamagedJournalError("a segment is missing")
+    for number in segments:
+        read_segment(journal, number, is_last=number == segments[-1])
+    if not segments:
+        folder.write_whole(segment_name(0), b"")
+    journal.written = len(journal.records)
+
+
+def read_snapshot(journal: Journal, name: str) -> None:
+    """Read a snapshot and the records behind it; raises DamagedJournalError or FolderError."""
+    data = journal.folder.read(name)
+    decoded = read_frames(data)
+    if not decoded.records or decoded.end < len(data):
+        raise DamagedJournalError(f"{name} is damaged")
+    journal.snapshot, *journal.records = decoded.records
+    journal.snapshot_bytes = len(data)
+
+
+def read_segment(journal: Journal, number: int, is_last: bool) -> None:
+    """Read a segment and cut a torn tail of the last; raises DamagedJournalError or FolderError."""
+    name = segment_name(number)
+    data = journal.folder.read(name)
+    decoded = read_frames(data)
+    end = decoded.end
+    if end < len(data):
+        if not is_last or has_frame_after(data, end):
+            raise DamagedJournalError(f"{name} is damaged at byte {end}")
+        journal.folder.truncate(name, end)
+        journal.log.write(JOURNAL_TAIL_TRUNCATED, segment=name, at=end, lost=len(data) - end)
+    # A process that was killed may have written this without syncing it: before it is replayed, and
+    # so acknowledged by this process, it has to be on disk.
+    journal.folder.sync(name)
+    journal.records += decoded.records
+    journal.segment = number
+    journal.size = end
+    journal.replay_bytes += end
--- a/tests/journal/test_journal_faults.py
+++ b/tests/journal/test_journal_faults.py
@@ -2,7 +2,7 @@
 
 `ModelFolder` is a disk that keeps apart what the process sees and what would outlive a loss of
 power: data by `sync`, names of renamed and removed files by a sync of the folder. Each step is a
-numbered point. The test plays a script of writes and images once for each fault at each point
+numbered point. The test plays a script of writes and snapshots once for each fault at each point
 (and each crash at a later point), then opens what each possible loss of power leaves.
 
 The reference: what opening gives is exactly what was acknowledged, followed by nothing or by one
@@ -197,7 +197,7 @@
             self.unsure = []
 
     def write_snapshot(self, journal: Journal) -> None:
-        """The image has all acknowledged records but the last two, which are carried over."""
+        """The snapshot has all acknowledged records but the last two, which are carried over."""
         snapshot, kept = self.acknowledged[:-2], self.acknowledged[-2:]
         if journal.write_snapshot(cbor2.dumps(snapshot), kept).is_ok():
             self.unsure = []
--- a/tests/journal/test_records.py
+++ b/tests/journal/test_records.py
@@ -79,7 +79,7 @@
         self.assertTrue(again.is_error())
         self.assertTrue(again.error.damaged)
 
-    def test_image_replaces_what_it_stands_for(self) -> None:
+    def test_a_snapshot_replaces_what_it_stands_for(self) -> None:
         journal = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
         for number in range(400):
             journal.write([b"record %d" % number + b"x" * 50])
--- a/tests/support/consensus_takeouts.py
+++ b/tests/support/consensus_takeouts.py
@@ -198,7 +198,7 @@
     """What a failed write left is not cut before the next one."""
 
     def repair(journal: Journal) -> None:
-        journal.broken = False
+        journal.needs_repair = False
 
     return mock.patch.object(Journal, "repair", repair)
 
