--- a/packages/control_plane/ryelock/control_plane/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -13,8 +13,13 @@
 from ryelock.control_plane.errors import MalformedServerListUpdateError
 from ryelock.events import SERVER_LIST_REJECTED, SERVER_LIST_UNAVAILABLE, Log
 from ryelock.http import fetch
-from ryelock.membership import Server, ServerList, decode_server_list
-from ryelock.membership.servers import ServerListError, servers_from_wire
+from ryelock.membership import (
+    Server,
+    ServerList,
+    ServerListError,
+    decode_server_list,
+    servers_from_wire,
+)
 from ryelock.rpc import Message
 from ryelock.runtime import Network, Scheduler, TaskCoroutine
 from ryelock.settings import Settings
@@ -91,7 +96,9 @@
         """
         while True:
             listing = self.listing
-            is_stale = listing is None or self.scheduler.now() - listing.since > STALE_SECONDS
+            is_stale = (
+                listing is None or self.scheduler.now() - listing.requested_at > STALE_SECONDS
+            )
             if self.should_read() or is_stale:
                 await self.read()
             await self.scheduler.sleep(self.settings.listing_seconds)
@@ -121,7 +128,7 @@
         listed = await self.read_listing()
         if listed.is_ok():
             self.unavailable = False
-            reading = ServerList(self.source, 0, listed.ok, 0.0, asked_at, self.scheduler.now())
+            reading = ServerList(self.source, 0, listed.ok, asked_at, self.scheduler.now())
             self.take(reading)
         elif listed.error.missed:
             self.log_unavailable(str(listed.error))
@@ -149,7 +156,7 @@
     def current_list(self, now: float) -> ServerList | None:
         """Return the newest reading; None where it is too old to be relied on."""
         listing = self.listing
-        if listing is None or now - listing.since > self.settings.listing_term:
+        if listing is None or now - listing.requested_at > self.settings.listing_term:
             return None
         return listing
 
@@ -166,8 +173,8 @@
             return None
         update: Message = {
             "digest": self.digest,
-            "age": now - listing.since,
-            "fresh": now - listing.seen,
+            "age": now - listing.requested_at,
+            "fresh": now - listing.answered_at,
         }
         if self.peer_digest != self.digest:
             update["servers"] = [server.to_wire() for server in listing.servers]
@@ -199,8 +206,8 @@
             known = self.listing.servers
         else:
             return
-        seen = self.scheduler.now() - fresh
-        self.take(ServerList(self.source, 0, known, 0.0, sent_at - age, seen))
+        answered_at = self.scheduler.now() - fresh
+        self.take(ServerList(self.source, 0, known, sent_at - age, answered_at))
 
     # To edges and probers.
 
@@ -212,8 +219,8 @@
         update: Message = {
             "source": self.source,
             "version": listing.version,
-            "age": now - listing.since,
-            "fresh": now - listing.seen,
+            "age": now - listing.requested_at,
+            "fresh": now - listing.answered_at,
         }
         if versions.get(self.source) != listing.version:
             update["servers"] = [server.to_wire() for server in listing.servers]
--- a/packages/edge/ryelock/edge/metrics.py
+++ b/packages/edge/ryelock/edge/metrics.py
@@ -47,7 +47,9 @@
         self.add_gauge("demand", "Requests a second that lately came.", lambda queue: queue.demand)
         self.add_gauge("in_flight", "Requests let through.", lambda queue: queue.in_flight)
         self.add_gauge("waiting", "Requests that wait for room.", lambda queue: queue.waiting)
-        self.add_gauge("retries_left", "Retries that may be sent.", lambda queue: queue.budget.room)
+        self.add_gauge(
+            "retries_left", "Retries that may be sent.", lambda queue: queue.budget.tokens
+        )
 
     def add_gauge(self, name: str, note: str, read: Callable[[AdmissionQueue], float]) -> None:
         """Add a gauge that is read from the admission queue of each service."""
@@ -59,9 +61,9 @@
 
     def share_of(self, queue: AdmissionQueue) -> float:
         """Return the quota share of a service in requests a second, 0 where none is held."""
-        return queue.bucket.holding(self.scheduler.now())
+        return queue.bucket.current_share(self.scheduler.now())
 
     def tokens_of(self, queue: AdmissionQueue) -> float:
         """Return how many requests the token bucket would let through at this moment."""
         queue.bucket.fill(self.scheduler.now())
-        return queue.bucket.room
+        return queue.bucket.tokens
--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -253,7 +253,7 @@
         queue = self.context.admission_queues.get(self.request.service)
         return (
             queue is not None
-            and queue.budget.room >= self.peers.requests_in_flight[self.owner.name]
+            and queue.budget.tokens >= self.peers.requests_in_flight[self.owner.name]
         )
 
     async def look_up(self) -> OwnerReply | None:
@@ -348,7 +348,7 @@
         """Whether no server may be sent the request from here, so that only the owner is left."""
         queue = self.context.admission_queues.get(self.request.service)
         return not self.connection.closed and (
-            self.request.attempts_left <= 1 or queue is None or queue.budget.room < 1.0
+            self.request.attempts_left <= 1 or queue is None or queue.budget.tokens < 1.0
         )
 
     def read_reply(self, head: ResponseHead, body: bytes, complete: bool) -> OwnerReply:
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -209,7 +209,7 @@
     def list_is_valid(self, now: float) -> bool:
         """Return whether the list is believed; without end where edges serve without a lease."""
         return self.server_list is not None and (
-            self.settings.serve_lapsed or now < self.server_list.until
+            self.settings.serve_lapsed or now < self.server_list.valid_until
         )
 
     def is_live(self, state: ServerState, service: str, now: float) -> bool:
