--- a/packages/control_api/ryelock/control_api/server.py
+++ b/packages/control_api/ryelock/control_api/server.py
@@ -121,14 +121,8 @@
         self.local_leader = local_leader
         self.health_state = health_state
         self.explain = explain
-        self.listener = HttpServer(
-            scheduler,
-            network,
-            log,
-            address,
-            Limits(body_bytes=MAX_BODY_BYTES, request_seconds=REQUEST_TIMEOUT_SECONDS),
-            self.serve,
-        )
+        limits = Limits(body_bytes=MAX_BODY_BYTES, request_seconds=REQUEST_TIMEOUT_SECONDS)
+        self.listener = HttpServer(scheduler, network, log, address, limits, self.serve)
 
     async def serve(self, exchange: HttpExchange) -> None:
         """Serve one HTTP request; one whose body is cut off or too slow gets no response."""
@@ -179,7 +173,7 @@
             leader = self.leader()
             if leader == LOCAL_LEADER and self.local_leader is not None:
                 return await self.local_leader(message)
-            answer = await self.try_nodes(leader, message, until)
+            answer = await self.call_nodes(leader, message, until)
             if answer is not None:
                 return answer
             if self.scheduler.now() >= until:
@@ -189,7 +183,7 @@
                 }
             await self.scheduler.sleep(FORWARD_PAUSE_SECONDS)
 
-    async def try_nodes(self, leader: str, message: Message, until: float) -> Message | None:
+    async def call_nodes(self, leader: str, message: Message, until: float) -> Message | None:
         """Ask the leader, then each other control node to pass the message on, up to a time.
 
         Returns None where the message certainly reached no leader.
--- a/packages/control_plane/ryelock/control_plane/lease_renewal.py
+++ b/packages/control_plane/ryelock/control_plane/lease_renewal.py
@@ -12,11 +12,10 @@
 from ryelock.control_plane.failed_callers import FailedCallers
 from ryelock.control_plane.membership_changes import MembershipChanges
 from ryelock.control_plane.platform import PlatformReader
-from ryelock.control_plane.quota_shares import QuotaShares
+from ryelock.control_plane.quota_shares import EdgeQuota, QuotaShares
 from ryelock.control_plane.renewal_messages import (
     STATE_SOURCE,
     CachedObject,
-    EdgeAllowance,
     NotLeaderResponse,
     RejectedRenewalResponse,
     RenewalRequest,
@@ -191,20 +190,18 @@
         return RenewalResponse(
             majority_age_seconds=age,
             update=self.configuration_updates.update_since(request.applied_index),
-            allowance=self.grant_lease(request, now) if request.session.role == "edge" else None,
+            quota=self.grant_lease(request, now) if request.session.role == "edge" else None,
             server_list=self.platform.update_for_node(request.versions, now),
             failed_callers=self.failed_callers.update_for(request.session.name, request.versions),
             members=self.members_for(request.versions),
         ).to_wire()
 
-    def grant_lease(self, request: RenewalRequest, now: float) -> EdgeAllowance:
+    def grant_lease(self, request: RenewalRequest, now: float) -> EdgeQuota:
         """Record a lease for an edge and return what the edge may spend under it."""
         self.leases.grant(request.node, now)
-        edges = self.edges()
-        quota = self.quota.allocate(
-            request.session.name, edges, request.holding, request.waiting, now
+        return self.quota.allocate(
+            request.session.name, self.edges(), request.holding, request.waiting, now
         )
-        return EdgeAllowance(quota, len(edges))
 
     def members_for(self, versions: dict[str, int]) -> Message | None:
         """Return the members for a node; None where it has the present version."""
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -4,7 +4,6 @@
 from random import Random
 
 from ryelock.consensus import Consensus, ConsensusSettings
-from ryelock.consensus.status import member_status
 from ryelock.control_api import ControlApi
 from ryelock.control_plane.aggregator import Aggregator
 from ryelock.control_plane.departure import MAX_DEPARTURE_SECONDS, ConsensusDeparture
@@ -16,6 +15,7 @@
 from ryelock.control_plane.metrics import ControlMetrics
 from ryelock.control_plane.operator_requests import OperatorRequests
 from ryelock.control_plane.platform import PlatformReader
+from ryelock.control_plane.readiness import NodeReadiness
 from ryelock.control_plane.rpc_handlers import RpcHandlers
 from ryelock.control_plane.singleton_roles import (
     AGGREGATOR_ROLE,
@@ -58,6 +58,7 @@
         "network",
         "operator_requests",
         "platform",
+        "readiness",
         "renewals",
         "replicated_state",
         "role_assigner",
@@ -66,7 +67,6 @@
         "session",
         "settings",
         "soft_state",
-        "stopping",
         "tasks",
         "voters",
     )
@@ -96,20 +96,15 @@
         self.scheduler = scheduler
         self.network = network
         self.log = log
-        self.stopping = False
         self.tasks: list[Task] = []
         self.clients = RpcClients(scheduler, network, log)
         self.replicated_state = ReplicatedState()
         incarnation = f"{random.getrandbits(48):012x}"
         source = f"{settings.name}/{incarnation}"
-        self.membership = Membership(
-            scheduler,
-            source,
-            max(MIN_SESSION_SECONDS, 2 * settings.term_seconds),
-            settings.gone_seconds,
-        )
+        self.membership = self.build_membership(source)
         self.listener = RpcServer(scheduler, network, log, settings.wire_address, self.on_message)
         self.consensus = self.build_consensus(disk, journal, random)
+        self.readiness = NodeReadiness(settings, self.consensus, self.replicated_state)
         self.voters = VoterManager(scheduler, self.consensus, self.membership)
         self.platform = PlatformReader(
             settings, scheduler, network, log, f"servers@{source}", self.reads_server_list
@@ -126,6 +121,11 @@
 
     # Composition.
 
+    def build_membership(self, source: str) -> Membership:
+        """Return a membership without sessions, told to peers under a name of this run."""
+        session_seconds = max(MIN_SESSION_SECONDS, 2 * self.settings.term_seconds)
+        return Membership(self.scheduler, source, session_seconds, self.settings.gone_seconds)
+
     def build_consensus(self, disk: str, journal: Journal, random: Random) -> Consensus:
         """Return this node's member of the consensus group."""
         settings = self.settings
@@ -210,7 +210,7 @@
             self.leader,
             self.other_control_nodes,
             self.operator_requests.serve,
-            self.fitness,
+            self.readiness.report,
             None,
         )
 
@@ -274,7 +274,7 @@
     async def stop(self) -> None:
         """Hand over roles and the voter's place, answer what is open, then end."""
         until = self.scheduler.now() + min(self.settings.stop_seconds, MAX_DEPARTURE_SECONDS)
-        self.stopping = True
+        self.readiness.stopping = True
         self.log.write(STOPPING)
         self.session.ready = False
         await self.role_assigner.hand_over(self.settings.name)
@@ -298,7 +298,7 @@
     async def maintain_sessions(self) -> None:
         """Renew this node's own session, and end those that were not renewed."""
         while True:
-            self.session.ready = not self.stopping
+            self.session.ready = not self.readiness.stopping
             self.session.applied = self.consensus.applied_index
             self.membership.renew(replace(self.session))
             self.renewals.expire_sessions()
@@ -329,27 +329,7 @@
             if address != self.session.rpc_address
         ]
 
-    def not_ready_reason(self) -> str:
-        """Return why the node is not ready; empty when it is."""
-        if self.stopping:
-            return "stopping"
-        return "" if self.consensus.knows_leader() else "no leader is known"
-
-    def fitness(self) -> Message:
-        """Return the node's state for operators and the platform's readiness checks."""
-        reason = self.not_ready_reason()
-        return {
-            "name": self.settings.name,
-            "role": "core",
-            "zone": self.settings.zone,
-            "ready": not reason,
-            "reason": reason,
-            "version": self.replicated_state.version,
-            "index": self.consensus.applied_index,
-            "epoch": self.consensus.term,
-            "leads": self.consensus.role == "leader",
-            "voter": self.consensus.disk in self.consensus.voters,
-            "leader": self.consensus.leader_address,
-            "disk": self.consensus.disk,
-            **member_status(self.consensus).to_wire(),
-        }
+    @property
+    def ready(self) -> bool:
+        """Whether the node should get operators' requests."""
+        return self.readiness.ready
--- a/packages/control_plane/ryelock/control_plane/quota_shares.py
+++ b/packages/control_plane/ryelock/control_plane/quota_shares.py
@@ -5,7 +5,9 @@
 
 from ryelock.control_plane.edge_leases import EdgeLeases
 from ryelock.rate_limit import QuotaAllocator, is_narrow
-from ryelock.replicated_state import ReplicatedState
+from ryelock.rate_limit.quota_allocator import Grant
+from ryelock.replicated_state import ReplicatedState, Service
+from ryelock.rpc import Message
 from ryelock.settings import Settings
 
 
@@ -16,10 +18,20 @@
     Attributes:
         shares: requests per second, by service.
         grants: whole requests of services whose rate is too low to be shared, by service.
+        edge_count: number of edges that divide the rates.
     """
 
     shares: dict[str, float]
-    grants: dict[str, object]
+    grants: dict[str, Grant]
+    edge_count: int
+
+    def to_wire(self) -> Message:
+        """Return the fields of a renewal's response."""
+        return {
+            "shares": self.shares,
+            "grants": self.grants,
+            "edges": max(1, self.edge_count),
+        }
 
 
 class QuotaShares:
@@ -72,32 +84,48 @@
             waiting: requests in the edge's queues by service.
             now: monotonic time in seconds.
         """
-        takeover_is_complete = self.leases.takeover_is_complete(now)
-        expires_at = now + self.leases.lease_seconds
         shares: dict[str, float] = {}
-        grants: dict[str, object] = {}
+        grants: dict[str, Grant] = {}
         for name, service in self.replicated_state.configuration.services.items():
             if not service.limited:
                 continue
             held = holding.get(name, 0.0)
             if is_narrow(service.rate, service.burst_seconds, len(edges)):
-                grants[name] = self.allocator.grant(
-                    name, service.rate, edge, waiting.get(name, 0), held, now, takeover_is_complete
-                )
-                continue
-            shares[name] = self.allocator.share(
-                name,
-                service.rate,
-                service.burst_seconds,
-                edge,
-                edges,
-                held,
-                now,
-                expires_at,
-                takeover_is_complete,
-                self.settings.serve_lapsed,
-            )
-        return EdgeQuota(shares, grants)
+                grants[name] = self.grant(name, service, edge, waiting.get(name, 0), held, now)
+            else:
+                shares[name] = self.share(name, service, edge, edges, held, now)
+        return EdgeQuota(shares, grants, len(edges))
+
+    def grant(
+        self, name: str, service: Service, edge: str, waiting: int, held: float, now: float
+    ) -> Grant:
+        """Grant an edge whole requests of a service, some of those that wait in its queue."""
+        return self.allocator.grant(
+            name,
+            service.rate,
+            edge,
+            waiting,
+            held,
+            now,
+            self.leases.takeover_is_complete(now),
+        )
+
+    def share(
+        self, name: str, service: Service, edge: str, edges: list[str], held: float, now: float
+    ) -> float:
+        """Return an edge's share of a service's rate for one lease, in requests per second."""
+        return self.allocator.share(
+            name,
+            service.rate,
+            service.burst_seconds,
+            edge,
+            edges,
+            held,
+            now,
+            now + self.leases.lease_seconds,
+            self.leases.takeover_is_complete(now),
+            self.settings.serve_lapsed,
+        )
 
     def seconds_until_grant(self, waiting: dict[str, int], edge_count: int, now: float) -> float:
         """Return seconds until a service that an edge has waiting requests for can grant one.
--- a/packages/control_plane/ryelock/control_plane/renewal_messages.py
+++ b/packages/control_plane/ryelock/control_plane/renewal_messages.py
@@ -129,22 +129,6 @@
     return amounts
 
 
-@dataclass(frozen=True, slots=True)
-class EdgeAllowance:
-    """What only edges get: their quota, and the number of edges that are members."""
-
-    quota: EdgeQuota
-    edge_count: int
-
-    def to_wire(self) -> Message:
-        """Return the fields of a renewal's response."""
-        return {
-            "shares": self.quota.shares,
-            "grants": self.quota.grants,
-            "edges": max(1, self.edge_count),
-        }
-
-
 @dataclass(frozen=True, slots=True)
 class RenewalResponse:
     """A renewed session, with a lease, and whatever the node lacks.
@@ -153,7 +137,7 @@
         majority_age_seconds: age of the leader's last contact with a majority; the lease counts
             from then.
         update: the configuration.
-        allowance: the quota of an edge, None for other nodes.
+        quota: what an edge may spend, None for other nodes.
         server_list: the platform's servers, None where they are not known.
         failed_callers: callers who got failures from other edges.
         members: the membership, None where the node has the present version.
@@ -161,7 +145,7 @@
 
     majority_age_seconds: float
     update: ConfigurationUpdate
-    allowance: EdgeAllowance | None
+    quota: EdgeQuota | None
     server_list: Message | None
     failed_callers: Message
     members: Message | None
@@ -170,8 +154,8 @@
         """Return the response's form on the wire."""
         message: Message = {"ok": True, "age": self.majority_age_seconds, "term": True}
         message.update(self.update.to_wire())
-        if self.allowance is not None:
-            message.update(self.allowance.to_wire())
+        if self.quota is not None:
+            message.update(self.quota.to_wire())
         if self.server_list is not None:
             message["listing"] = self.server_list
         message["failed"] = self.failed_callers
--- a/packages/testing/ryelock/testing/cases/cluster_faults.py
+++ b/packages/testing/ryelock/testing/cases/cluster_faults.py
@@ -4,7 +4,6 @@
 outlive every fault.
 """
 
-from ryelock.edge.process import TrafficNode
 from ryelock.testing.cases.traffic import stubborn
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
@@ -195,6 +194,4 @@
 
 def is_ready(node: SimNode) -> bool:
     """Return whether the process that runs on a node should get new callers."""
-    if isinstance(node.inner, TrafficNode):
-        return node.inner.ready
-    return node.inner is not None and bool(node.inner.fitness()["ready"])
+    return node.inner is not None and node.inner.ready
--- a/tests/consensus/test_status.py
+++ b/tests/consensus/test_status.py
@@ -21,8 +21,8 @@
 
 
 class StatusTests(testtools.TestCase):
-    def fitness(self, scenario: Scenario, name: str) -> dict[str, Any]:
-        return scenario.node(name).core.fitness()
+    def report(self, scenario: Scenario, name: str) -> dict[str, Any]:
+        return scenario.node(name).core.readiness.report()
 
     def replicas(self, scenario: Scenario) -> dict[str, dict[str, Any]]:
         """The replicas by name of their node, as operators read them."""
@@ -36,24 +36,24 @@
         scenario = standing(3)
         leader = scenario.leader()
         name = next(core for core in scenario.cores if core != leader)
-        self.assertEqual("follower", self.fitness(scenario, name)["state"])
+        self.assertEqual("follower", self.report(scenario, name)["state"])
         for other in scenario.cores:
             if other != name:
                 scenario.world.cut(name, other)
         scenario.world.run(5)
-        state = self.fitness(scenario, name)
+        state = self.report(scenario, name)
         self.assertEqual("isolated", state["state"])
         self.assertTrue(4 < state["leader_heard_seconds"] < 6, state)
         self.assertEqual(1, told(scenario, name, LEADER_LOST.number))
         scenario.world.heal()
         scenario.world.run(2)
-        self.assertEqual("follower", self.fitness(scenario, name)["state"])
+        self.assertEqual("follower", self.report(scenario, name)["state"])
         self.assertEqual(1, told(scenario, name, LEADER_FOUND.number))
 
     def test_nobody_is_isolated_in_a_calm_start(self) -> None:
         scenario = standing(4)
         self.assertEqual([0] * 4, [told(scenario, name, 1407) for name in scenario.cores])
-        states = sorted(self.fitness(scenario, name)["state"] for name in scenario.cores)
+        states = sorted(self.report(scenario, name)["state"] for name in scenario.cores)
         self.assertEqual(["follower", "follower", "leader", "learner"], states)
         replicas = self.replicas(scenario)
         self.assertEqual(3, sum(replica["voter"] for replica in replicas.values()))
@@ -86,6 +86,6 @@
         node = scenario.node(name)
         node.scheduler.create_task(node.core.departure.leave(node.scheduler.now() + 3), name="stop")
         scenario.world.run(0.3)
-        self.assertEqual("leaving", self.fitness(scenario, name)["state"])
+        self.assertEqual("leaving", self.report(scenario, name)["state"])
         self.assertEqual("leaving", self.replicas(scenario)[name]["state"])
         self.assertEqual(1, told(scenario, name, VOTER_LEAVING.number))
