--- a/packages/control_plane/ryelock/control_plane/quota_shares.py
+++ b/packages/control_plane/ryelock/control_plane/quota_shares.py
@@ -4,8 +4,9 @@
 from dataclasses import dataclass
 
 from ryelock.control_plane.edge_leases import EdgeLeases
-from ryelock.rate_limit import QuotaAllocator, QuotaRequest, is_narrow
+from ryelock.rate_limit import Grant, QuotaAllocator, QuotaRequest, is_narrow
 from ryelock.replicated_state import ReplicatedState
+from ryelock.rpc import Message
 from ryelock.settings import Settings
 
 
@@ -16,10 +17,20 @@
     Attributes:
         shares: requests per second, by service.
         grants: whole requests of services whose rate is too low to be shared, by service.
+        edge_count: number of edges that divide the rates.
     """
 
     shares: dict[str, float]
-    grants: dict[str, object]
+    grants: dict[str, Grant]
+    edge_count: int
+
+    def to_wire(self) -> Message:
+        """Return the fields of a renewal's response."""
+        return {
+            "shares": self.shares,
+            "grants": {name: grant.to_wire() for name, grant in self.grants.items()},
+            "edges": max(1, self.edge_count),
+        }
 
 
 class QuotaShares:
@@ -72,10 +83,8 @@
             waiting: requests in the edge's queues by service.
             now: monotonic time in seconds.
         """
-        takeover_is_complete = self.leases.takeover_is_complete(now)
-        expires_at = now + self.leases.lease_seconds
         shares: dict[str, float] = {}
-        grants: dict[str, object] = {}
+        grants: dict[str, Grant] = {}
         for name, service in self.replicated_state.configuration.services.items():
             if not service.limited:
                 continue
@@ -88,13 +97,22 @@
                 queued=waiting.get(name, 0),
             )
             if is_narrow(service.rate, service.burst_seconds, len(edges)):
-                grant = self.allocator.grant(request, now, takeover_is_complete)
-                grants[name] = grant.to_wire()
-                continue
-            shares[name] = self.allocator.share(
-                request, edges, now, expires_at, takeover_is_complete, self.settings.serve_lapsed
-            )
-        return EdgeQuota(shares, grants)
+                takeover_is_complete = self.leases.takeover_is_complete(now)
+                grants[name] = self.allocator.grant(request, now, takeover_is_complete)
+            else:
+                shares[name] = self.share(request, edges, now)
+        return EdgeQuota(shares, grants, len(edges))
+
+    def share(self, request: QuotaRequest, edges: list[str], now: float) -> float:
+        """Return an edge's share of a service's rate for one lease, in requests per second."""
+        return self.allocator.share(
+            request,
+            edges,
+            now,
+            now + self.leases.lease_seconds,
+            self.leases.takeover_is_complete(now),
+            self.settings.serve_lapsed,
+        )
 
     def seconds_until_grant(self, waiting: dict[str, int], edge_count: int, now: float) -> float:
         """Return seconds until a service that an edge has waiting requests for can grant one.
