--- a/packages/edge/ryelock/edge/peers.py
+++ b/packages/edge/ryelock/edge/peers.py
@@ -124,7 +124,7 @@
         if zones != self.zones:
             self.zones = zones
             self.owners.clear()
-        addresses = {session.order for session in self.sessions.values()}
+        addresses = {session.request_address for session in self.sessions.values()}
         for address in [address for address in self.idle_connections if address not in addresses]:
             for idle in self.idle_connections.pop(address):
                 idle.connection.close()
@@ -134,7 +134,7 @@
         return bool(
             session.role == "edge"
             and self.regions.get(session.zone, session.zone) == self.region
-            and session.order
+            and session.request_address
             and (session.ready or name == self.name)
         )
 
--- a/packages/edge/ryelock/edge/served_objects.py
+++ b/packages/edge/ryelock/edge/served_objects.py
@@ -33,7 +33,7 @@
             or field(fields, b"cookie") is not None
         ):
             return
-        own_host = self.context.member.session.order.rpartition(":")[0]
+        own_host = self.context.member.session.request_address.rpartition(":")[0]
         host = "" if request.host == own_host else request.host
         self.latest[request.route_name] = (host, request.target)
 
--- a/packages/edge/ryelock/edge/targets.py
+++ b/packages/edge/ryelock/edge/targets.py
@@ -54,7 +54,7 @@
         return {
             name: session
             for name, session in sorted(sessions.items())
-            if session.role == EDGE_ROLE and session.order and name != self.settings.name
+            if session.role == EDGE_ROLE and session.request_address and name != self.settings.name
         }
 
     def zone_targets(
@@ -187,5 +187,5 @@
 ) -> ProbeTarget:
     """Return the target that an edge is for a watch; `outside` where it is only compared with."""
     return ProbeTarget(
-        edge.zone, edge.name, edge.order, watch_name, watch, outside, interval_seconds
+        edge.zone, edge.name, edge.request_address, watch_name, watch, outside, interval_seconds
     )
