--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -5,6 +5,7 @@
 from ryelock.edge.admission_queue import AdmissionQueue, retry_after
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.failures import Failure, FailureKind
+from ryelock.edge.idempotency_claims import ClaimStatus
 from ryelock.edge.request import AdmissionOutcome, Request
 from ryelock.edge.retry_detector import Caller
 from ryelock.edge.routing import Router
@@ -150,9 +151,9 @@
             request.identity,
             max(0.0, min(CLAIM_SECONDS, left)),
         )
-        if status == "claimed":
+        if status is ClaimStatus.CLAIMED:
             return None
-        if status == "known":
+        if status is ClaimStatus.KNOWN:
             return KEY_ALREADY_USED
         self.release_key(exchange, request, key)
         return KEY_NOT_CLAIMED
--- a/packages/edge/ryelock/edge/idempotency_claims.py
+++ b/packages/edge/ryelock/edge/idempotency_claims.py
@@ -1,5 +1,7 @@
 """Claims of idempotency keys at the control leader: at most one request runs under a key."""
 
+from enum import StrEnum
+
 from ryelock.edge.leader_discovery import LeaderDiscovery
 from ryelock.edge.session_messages import CLAIM, RELEASE, IdempotencyKeyRequest
 from ryelock.rpc import RpcClients
@@ -10,10 +12,22 @@
 CALL_TIMEOUT_MIN_SECONDS = 0.05
 RETRY_PAUSE_SECONDS = 0.05
 RELEASE_SECONDS = 30.0
-CLAIM_STATUSES = ("claimed", "known")
 RELEASE_STATUSES = ("released",)
 
 
+class ClaimStatus(StrEnum):
+    """What became of a claim; the values are those of the control leader's answer."""
+
+    CLAIMED = "claimed"
+    KNOWN = "known"
+    """Another request has the key."""
+    UNANSWERED = ""
+    """Nobody answered in time."""
+
+
+CLAIM_STATUSES = (ClaimStatus.CLAIMED.value, ClaimStatus.KNOWN.value)
+
+
 class IdempotencyClaims:
     """Claims and releases keys, through another control node where the leader is unknown."""
 
@@ -27,15 +41,13 @@
         self.rpc_clients = rpc_clients
         self.discovery = discovery
 
-    async def claim(self, key: bytes, request: str, timeout: float) -> str:
+    async def claim(self, key: bytes, request: str, timeout: float) -> ClaimStatus:
         """Claim a key for a request within `timeout` seconds.
 
-        Returns:
-            "claimed"; "known" where another request has the key; "" where nobody answered. A
-            request that claims again gets the same answer, so a lost answer does no harm.
+        A request that claims again gets the same answer, so a lost answer does no harm.
         """
         message = IdempotencyKeyRequest(CLAIM, key, request)
-        return await self.call(message, CLAIM_STATUSES, timeout)
+        return ClaimStatus(await self.call(message, CLAIM_STATUSES, timeout))
 
     async def release(self, key: bytes, request: str) -> None:
         """Release a key whose request certainly did not run; retried for RELEASE_SECONDS."""
--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ryelock.edge.edge_lease import EdgeLease
-from ryelock.edge.idempotency_claims import IdempotencyClaims
+from ryelock.edge.idempotency_claims import ClaimStatus, IdempotencyClaims
 from ryelock.edge.leader_discovery import LeaderDiscovery
 from ryelock.edge.membership_view import MembershipView
 from ryelock.edge.server_list_view import ServerListView
@@ -101,7 +101,7 @@
         """Members by name."""
         return self.membership.members
 
-    async def claim(self, key: bytes, request: str, timeout: float) -> str:
+    async def claim(self, key: bytes, request: str, timeout: float) -> ClaimStatus:
         """Claim an idempotency key; see `IdempotencyClaims.claim`."""
         return await self.claims.claim(key, request, timeout)
 
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -19,6 +19,7 @@
 from ryelock.consensus.transfer import IncomingSnapshot
 from ryelock.control_plane.voters import VoterManager
 from ryelock.edge.admission import AdmissionController
+from ryelock.edge.idempotency_claims import ClaimStatus
 from ryelock.edge.member import EdgeSession
 from ryelock.edge.request import RequestClass
 from ryelock.edge.retry_detector import RetryDetector
@@ -157,8 +158,10 @@
 
 
 def keys_known_to_nobody() -> list[Patch]:
-    async def claim(_member: EdgeSession, _key: bytes, _request: str, _seconds: float) -> str:
-        return "claimed"
+    async def claim(
+        _member: EdgeSession, _key: bytes, _request: str, _seconds: float
+    ) -> ClaimStatus:
+        return ClaimStatus.CLAIMED
 
     return [mock.patch.object(EdgeSession, "claim", claim)]
 
