--- a/tests/project/test_edge_modules.py
+++ b/tests/project/test_edge_modules.py
@@ -8,6 +8,7 @@
 EDGE = Path(__file__).parent.parent.parent / "packages" / "edge" / "ryelock" / "edge"
 PACKAGE = "ryelock.edge"
 REQUEST_PATH_ROOT = "handler"
+FUNCTION_LINES_MOST = 39
 
 
 def syntax_trees() -> dict[str, ast.Module]:
@@ -49,6 +50,14 @@
     return found
 
 
+def lines_without_docstring(function: ast.FunctionDef | ast.AsyncFunctionDef) -> int:
+    """The length of a function, for which its docstring does not count."""
+    assert function.end_lineno is not None
+    docstring = ast.get_docstring(function, clean=False)
+    lines = function.end_lineno - function.lineno + 1
+    return lines - (docstring.count("\n") + 1 if docstring is not None else 0)
+
+
 class EdgeModuleTests(unittest.TestCase):
     def test_modules_import_one_another_without_a_circle(self) -> None:
         graph = import_graph()
@@ -71,6 +80,17 @@
         inherited = {name: bases for name, bases in classes.items() if classes.keys() & set(bases)}
         self.assertEqual({}, inherited)
 
+    def test_functions_of_the_request_path_are_short(self) -> None:
+        trees = syntax_trees()
+        long = {
+            f"{name}.{node.name}": lines
+            for name in request_path(import_graph())
+            for node in ast.walk(trees[name])
+            if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
+            and (lines := lines_without_docstring(node)) > FUNCTION_LINES_MOST
+        }
+        self.assertEqual({}, long)
+
     def test_a_circle_would_be_found(self) -> None:
         tree = ast.parse(f"def later():\n    from {PACKAGE}.handler import RequestHandler\n")
         graph = import_graph()
