--- a/tests/edge/test_owner_asks.py
+++ b/tests/edge/test_owner_client.py
@@ -26,27 +26,27 @@
 
 def kept_by(deployment: Deployment, asking: str, owner: str, number: int = 0) -> str:
     """An object that one edge keeps, as another edge finds it; each number names another."""
-    way = deployment.node(asking).traffic.handler
-    assert way is not None and way.context.peers is not None
-    way.context.peers.update_members(way.context.member.members)
+    handler = deployment.node(asking).traffic.handler
+    assert handler is not None and handler.context.peers is not None
+    handler.context.peers.update_members(handler.context.member.members)
     found = [
         target
         for target in (f"/covers/{place}" for place in range(400))
-        if owner_of((HOST, target), way.context.peers.names) == owner
+        if owner_of((HOST, target), handler.context.peers.names) == owner
     ]
     return found[number]
 
 
 def repeats_left(deployment: Deployment, edge: str) -> float:
-    way = deployment.node(edge).traffic.handler
-    assert way is not None
-    return way.context.admission_queues["pages"].budget.room
+    handler = deployment.node(edge).traffic.handler
+    assert handler is not None
+    return handler.context.admission_queues["pages"].budget.room
 
 
 def spend_all_repeats(deployment: Deployment, edge: str) -> None:
-    way = deployment.node(edge).traffic.handler
-    assert way is not None
-    way.context.admission_queues["pages"].budget.room = 0.0
+    handler = deployment.node(edge).traffic.handler
+    assert handler is not None
+    handler.context.admission_queues["pages"].budget.room = 0.0
 
 
 def get(deployment: Deployment, target: str, edge: str, **more: Any) -> Note:
@@ -217,8 +217,8 @@
     def test_an_owner_that_reached_one_server_in_vain_leaves_the_others(self) -> None:
         deployment = one_zone(40, 3)
         asking, owner = deployment.edges[0], deployment.edges[1]
-        way = deployment.node(owner).traffic.handler
-        assert way is not None
+        handler = deployment.node(owner).traffic.handler
+        assert handler is not None
         spend_all_repeats(deployment, owner)
         lives = deployment.of_service("pages")
         for life in lives:
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -27,13 +27,13 @@
 
 def owned_by(scenario: Scenario, asking: str, owner: str) -> str:
     """An object that one edge keeps, as another edge finds it."""
-    way = scenario.node(asking).traffic.handler
-    assert way is not None and way.context.peers is not None
-    way.context.peers.update_members(way.context.member.members)
+    handler = scenario.node(asking).traffic.handler
+    assert handler is not None and handler.context.peers is not None
+    handler.context.peers.update_members(handler.context.member.members)
     return next(
         f"/covers/{number}"
         for number in range(300)
-        if owner_of((HOST, f"/covers/{number}"), way.context.peers.names) == owner
+        if owner_of((HOST, f"/covers/{number}"), handler.context.peers.names) == owner
     )
 
 
@@ -144,12 +144,12 @@
         """Whether an edge that knows a purge got the old object from an owner that does not."""
         scenario = shared(10 + seed, edges=2)
         scenario.world.spikes = 0.0
-        way = scenario.node(scenario.edges[0]).traffic.handler
-        assert way is not None
+        handler = scenario.node(scenario.edges[0]).traffic.handler
+        assert handler is not None
         target = owned_by(scenario, scenario.edges[0], scenario.edges[1])
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
-        way.context.store.variants.clear()
-        way.context.store.last_purge += 1
+        handler.context.store.variants.clear()
+        handler.context.store.last_purge += 1
         before = self.arrivals(scenario, target)
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
         return self.arrivals(scenario, target) == before
@@ -170,10 +170,10 @@
 class PeersTests(testtools.TestCase):
     def test_one_edge_alone_asks_nobody(self) -> None:
         scenario = shared(4, edges=1)
-        way = scenario.node(scenario.edges[0]).traffic.handler
-        assert way is not None and isinstance(way.context.peers, Peers)
-        way.context.peers.update_members(way.context.member.members)
-        self.assertIsNone(way.context.peers.owner(("", "/covers/1")))
+        handler = scenario.node(scenario.edges[0]).traffic.handler
+        assert handler is not None and isinstance(handler.context.peers, Peers)
+        handler.context.peers.update_members(handler.context.member.members)
+        self.assertIsNone(handler.context.peers.owner(("", "/covers/1")))
 
 
 class MembersTests(testtools.TestCase):
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -4,15 +4,12 @@
 
 import testtools
 
-from ryelock.cache import StoredResponse, answer_from, may_reuse, storable_response
 from ryelock.http import (
     FramingError,
     HttpExchange,
     HttpServer,
     Limits,
     Reader,
-    RequestHead,
-    ResponseHead,
     content_length,
     end_to_end,
     is_chunked,
@@ -20,7 +17,6 @@
     parse_response_head,
     read_response,
 )
-from ryelock.replicated_state import Route
 from ryelock.testing.simulated import World
 
 BAD_HEADS = (
@@ -205,93 +201,3 @@
                 return await found.ok.body.read_all(100, reader.scheduler.now() + 1)
 
             self.assertEqual(whole, self.world.task(self.client, work(), 5), repr(answer))
-
-
-CACHED = Route("/c", "pages", cached=True, lifetime_seconds=10.0)
-
-
-def request(*fields: tuple[bytes, bytes]) -> RequestHead:
-    return RequestHead(b"GET", b"/c/1", 1, [(b"Host", b"a"), *fields])
-
-
-def kept(
-    *fields: tuple[bytes, bytes], asked: RequestHead | None = None, status: int = 200
-) -> StoredResponse | None:
-    head = ResponseHead(status, b"OK", 1, list(fields))
-    return storable_response(
-        asked or request(), CACHED, head, list(fields), b"0123456789", 100.0, 100.5
-    )
-
-
-class CacheTests(testtools.TestCase):
-    def test_what_is_not_kept(self) -> None:
-        control = b"Cache-Control"
-        for fields in (
-            [(control, b"no-store")],
-            [(control, b"private")],
-            [(b"Vary", b"*")],
-            [(b"Set-Cookie", b"a=b")],
-            [(control, b"max-age=0")],
-            [(b"Expires", b"0")],
-        ):
-            self.assertIsNone(kept(*fields), repr(fields))
-        self.assertIsNone(kept(asked=request((b"Authorization", b"x"))))
-        self.assertIsNotNone(
-            kept((control, b"public, max-age=5"), asked=request((b"Authorization", b"x")))
-        )
-        self.assertIsNone(kept(asked=request((control, b"no-store"))))
-        self.assertIsNone(kept(status=500))
-        self.assertIsNone(kept(status=206))
-
-    def test_lifetime_is_the_lesser_of_server_and_route(self) -> None:
-        for fields, lasts in (
-            ([], 10),
-            ([(b"Cache-Control", b"max-age=4")], 4),
-            ([(b"Cache-Control", b"max-age=99, s-maxage=3")], 3),
-            ([(b"Cache-Control", b"max-age=99")], 10),
-            ([(b"Cache-Control", b"max-age=8"), (b"Age", b"5")], 3),
-            (
-                [
-                    (b"Date", b"Tue, 01 Dec 2026 00:00:00 GMT"),
-                    (b"Expires", b"Tue, 01 Dec 2026 00:00:06 GMT"),
-                ],
-                6,
-            ),
-        ):
-            copy = kept(*fields)
-            assert copy is not None
-            self.assertTrue(may_reuse(copy, CACHED, [], 100.0 + lasts - 0.1), repr(fields))
-            self.assertFalse(may_reuse(copy, CACHED, [], 100.0 + lasts + 0.1), repr(fields))
-
-    def test_cache_control_of_a_request_is_obeyed(self) -> None:
-        copy = kept((b"ETag", b'"1"'))
-        assert copy is not None
-        for asked, usable in (
-            (b"no-cache", False),
-            (b"max-age=0", False),
-            (b"max-age=5", True),
-            (b"min-fresh=20", False),
-            (b"max-stale=50", True),
-        ):
-            fields = [(b"Cache-Control", asked)]
-            self.assertEqual(usable, may_reuse(copy, CACHED, fields, 101.0), repr(asked))
-        self.assertFalse(may_reuse(copy, CACHED, [(b"Cache-Control", b"max-stale=50")], 120.0))
-
-    def test_ranges_and_conditions(self) -> None:
-        copy = kept((b"ETag", b'"1"'), (b"Date", b"Tue, 01 Dec 2026 00:00:00 GMT"))
-        assert copy is not None
-        for asked, status, body in (
-            ((b"Range", b"bytes=0-3"), 206, b"0123"),
-            ((b"Range", b"bytes=-2"), 206, b"89"),
-            ((b"Range", b"bytes=7-99"), 206, b"789"),
-            ((b"Range", b"bytes=20-"), 416, b""),
-            ((b"Range", b"bytes=3-1"), 200, b"0123456789"),
-            ((b"Range", b"lines=1-2"), 200, b"0123456789"),
-            ((b"If-None-Match", b'"0", W/"1"'), 304, b""),
-            ((b"If-None-Match", b'"2"'), 200, b"0123456789"),
-        ):
-            found = answer_from(copy, request(asked), 103.0)
-            self.assertEqual((status, body), (found[0], found[3]), repr(asked))
-        fields = dict(answer_from(copy, request(), 103.6)[2])
-        self.assertEqual(b"3", fields[b"Age"])
-        self.assertEqual(b"Tue, 01 Dec 2026 00:00:00 GMT", fields[b"Date"])
--- a/tests/platform/test_platform_listing.py
+++ b/tests/platform/test_platform_listing.py
@@ -168,11 +168,11 @@
     """A fleet that follows the list."""
 
     def servers_known(self, deployment: Deployment, edge: str) -> dict[str, bool]:
-        way = deployment.node(edge).traffic.handler
-        assert way is not None
+        handler = deployment.node(edge).traffic.handler
+        assert handler is not None
         return {
             state.server.incarnation: state.server.leaving
-            for states in way.context.servers.by_service.values()
+            for states in handler.context.servers.by_service.values()
             for state in states
         }
 
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -194,9 +194,9 @@
             ),
         )
         for name in fleet.scenario.edges:
-            way = fleet.scenario.node(name).traffic.handler
-            assert way is not None
-            self.assertEqual([], way.served_objects.report())
+            handler = fleet.scenario.node(name).traffic.handler
+            assert handler is not None
+            self.assertEqual([], handler.served_objects.report())
         self.assertTrue(all(row.error == "" for _, row in fleet.rows()))
         nameless = [ran.target for ran in fleet.scenario.history if not ran.identity]
         self.assertGreater(len(nameless), 2)
