--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -100,16 +100,11 @@
         delegate = SessionDelegate()
         metrics = Metrics()
         if role == EDGE_ROLE:
-            profile = dialect or ProtocolProfile()
-            self.handler = RequestHandler(
-                settings, scheduler, network, log, self.member, random, profile
-            )
+            self.handler = self.build_handler(random, dialect)
             delegate = self.build_request_path(self.handler)
             metrics = self.handler.context.metrics.all
         self.renewal = LeaseRenewal(scheduler, self.rpc_clients, log, self.member, delegate)
-        export_metrics(
-            scheduler, network, log, metrics, settings.metrics_address, settings.metrics_log_seconds
-        )
+        self.export(metrics)
         self.probe_targets = ProbeTargets(settings, self.replicated_state, self.member.membership)
         self.prober = self.build_prober(dialect) if self.session.probes else None
         self.probe_reporter = self.build_probe_reporter(self.prober)
@@ -148,6 +143,29 @@
             self.explain if self.role == EDGE_ROLE else None,
         )
 
+    def build_handler(self, random: Random, dialect: ProtocolProfile | None) -> RequestHandler:
+        """Return the request path of an edge."""
+        return RequestHandler(
+            self.settings,
+            self.scheduler,
+            self.network,
+            self.log,
+            self.member,
+            random,
+            dialect or ProtocolProfile(),
+        )
+
+    def export(self, metrics: Metrics) -> None:
+        """Answer metrics on their address, and write them to the log where that is set."""
+        export_metrics(
+            self.scheduler,
+            self.network,
+            self.log,
+            metrics,
+            self.settings.metrics_address,
+            self.settings.metrics_log_seconds,
+        )
+
     def build_request_path(self, handler: RequestHandler) -> SessionDelegate:
         """Open the request server of an edge; return what makes its request path follow."""
         settings = self.settings
