--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -13,6 +13,7 @@
 from collections.abc import Sequence
 from random import Random
 
+from ryelock.edge.idle_connections import IdleConnection, is_clean, take_idle
 from ryelock.events import SERVER_EJECTED, SERVER_READMITTED, Log
 from ryelock.http import Reader
 from ryelock.membership import Server, ServerList
@@ -98,7 +99,7 @@
         self.used_at = 0.0
         self.gone = False
         self.full_until = 0.0
-        self.idle_connections: list[tuple[Connection, Reader, float]] = []
+        self.idle_connections: list[IdleConnection] = []
 
     @property
     def in_flight(self) -> int:
@@ -406,19 +407,9 @@
         for state in self.by_service.get(service, ()):
             state.ejected_until = min(state.ejected_until, now)
 
-    def take_idle_connection(self, state: ServerState) -> tuple[Connection, Reader] | None:
-        """Return an idle connection that may be reused; close those that may not.
-
-        Bytes that came while it was idle answer no request, so such a connection is never reused.
-        """
-        now = self.scheduler.now()
-        while state.idle_connections:
-            connection, reader, until = state.idle_connections.pop()
-            if connection.closed or connection.received.items or reader.buffer or now > until:
-                connection.close()
-                continue
-            return connection, reader
-        return None
+    def take_idle_connection(self, state: ServerState) -> IdleConnection | None:
+        """Return an idle connection that may be reused, or None."""
+        return take_idle(state.idle_connections, self.scheduler.now())
 
     def keep_idle_connection(
         self, state: ServerState, connection: Connection, reader: Reader, idle: float | None = None
@@ -435,9 +426,7 @@
         if (
             state.gone
             or state.server.leaving
-            or connection.closed
-            or reader.buffer
-            or connection.received.items
+            or not is_clean(connection, reader)
             or len(state.idle_connections) >= IDLE_CONNECTIONS_MAX
         ):
             connection.close()
@@ -445,7 +434,8 @@
         idle_seconds = self.settings.link_idle_seconds
         if idle is not None:
             idle_seconds = min(idle_seconds, IDLE_TIME_PART * idle)
-        state.idle_connections.append((connection, reader, self.scheduler.now() + idle_seconds))
+        until = self.scheduler.now() + idle_seconds
+        state.idle_connections.append(IdleConnection(connection, reader, until))
 
 
 def as_candidate(state: ServerState) -> dict[str, object]:
--- a/packages/testing/ryelock/testing/cases/__init__.py
+++ b/packages/testing/ryelock/testing/cases/__init__.py
@@ -28,6 +28,7 @@
     crash_voters,
 )
 from ryelock.testing.cases.losses import LOSS_CASES
+from ryelock.testing.cases.mass_losses import MASS_LOSS_CASES
 from ryelock.testing.cases.traffic import (
     crowd,
     handed_address,
@@ -70,5 +71,6 @@
     "silent-server": silent_server,
     **CONTROL_CASES,
     **LOSS_CASES,
+    **MASS_LOSS_CASES,
 }
 """Every case by the name that the command line takes."""
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -125,9 +125,9 @@
 def idle_bytes_are_read() -> list[Patch]:
     def kept_link(_servers: Servers, state: Any) -> Any:
         while state.idle_connections:
-            connection, reader, _ = state.idle_connections.pop()
-            if not connection.closed:
-                return connection, reader
+            idle = state.idle_connections.pop()
+            if not idle.connection.closed:
+                return idle
         return None
 
     return [mock.patch.object(Servers, "take_idle_connection", kept_link)]
