--- a/packages/edge/ryelock/edge/attempts.py
+++ b/packages/edge/ryelock/edge/attempts.py
@@ -72,7 +72,7 @@
                 break
             self.drop_error_response()
             is_last = number + 1 >= limit or request.peer is not None
-            ended = await self.try_server(server, is_last)
+            ended = await self.attempt_at(server, is_last)
             if ended is not None:
                 return ended
         return Ok(self.error_response) if self.error_response is not None else Error(self.failure)
@@ -115,7 +115,7 @@
             self.error_response.connection.abort()
             self.error_response = None
 
-    async def try_server(self, server: ServerState, is_last: bool) -> Ended | None:
+    async def attempt_at(self, server: ServerState, is_last: bool) -> Ended | None:
         """Make one attempt; None where the next server is to be tried."""
         self.tried.add(server.server.identity)
         attempt = Attempt(server.server.address, server.server.zone)
@@ -137,7 +137,7 @@
     ) -> Ended | None:
         """A response ends the request, but for a failure that another server may make good."""
         failed = response.head.status >= 500
-        self.context.servers.fared(response.server, not failed, taken)
+        self.context.servers.record_result(response.server, not failed, taken)
         attempt.status = response.head.status
         idempotent = self.call.request.request_class is RequestClass.IDEMPOTENT
         if failed and idempotent and not is_last and not self.context.profile.own:
@@ -157,12 +157,12 @@
         if error.rejected:
             return self.on_rejected(error, server, attempt)
         if isinstance(error, AttemptCancelledError) and error.kind is FailureKind.RETRY_BUDGET:
-            server.trying = False
+            server.trial_in_flight = False
             return Error(OVER_RETRY_BUDGET)
-        if self.blames_server(error, server, taken):
-            self.context.servers.fared(server, False, taken)
+        if self.counts_against_server(error, server, taken):
+            self.context.servers.record_result(server, False, taken)
         else:
-            server.trying = False
+            server.trial_in_flight = False
         if error.sent and call.request.request_class is RequestClass.AT_MOST_ONCE:
             return Error(unknown_outcome(error))
         is_late = self.context.scheduler.now() >= call.until
@@ -175,7 +175,7 @@
     ) -> Ended | None:
         """A server did not run the request: another may be tried, unless it set a limit (429)."""
         attempt.rejected_status = error.rejected
-        self.context.servers.declined(server, error.rejected, FULL_SECONDS)
+        self.context.servers.record_rejection(server, error.rejected, FULL_SECONDS)
         self.failure = Failure(
             FailureKind.SERVER_REJECTED,
             503,
@@ -184,7 +184,7 @@
         )
         return Error(self.failure) if error.rejected == TOO_MANY_REQUESTS else None
 
-    def blames_server(self, error: ClientError, server: ServerState, taken: float) -> bool:
+    def counts_against_server(self, error: ClientError, server: ServerState, taken: float) -> bool:
         """Whether a failure tells of the server: not where the request had no time left for it.
 
         Nor where nothing was sent for reasons of the caller, the route or the listing.
--- a/packages/testing/ryelock/testing/cases/cluster_faults.py
+++ b/packages/testing/ryelock/testing/cases/cluster_faults.py
@@ -4,9 +4,11 @@
 outlive every fault.
 """
 
+from ryelock.edge.process import TrafficNode
 from ryelock.testing.cases.traffic import stubborn
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
+from ryelock.testing.simulated import SimNode
 
 
 def cut_edges(seed: int) -> Findings:
@@ -36,7 +38,7 @@
     found = Findings()
     for number in range(4):
         scenario.world.task(scenario.operators, scenario.add_route(f"gen-p-{number}", version), 30)
-        version = max(changed.version for changed in scenario.changes)
+        version = max(change.version for change in scenario.changes)
         for name in scenario.cores:
             scenario.world.kill(name, True)
         scenario.world.run(0.5 + number)
@@ -113,7 +115,7 @@
                 scenario.world.cut(one, other)
     cut_at = scenario.world.time
     scenario.world.run(10)
-    served = sum(told.status == 200 and told.at > cut_at + 5 for told in scenario.notes)
+    served = sum(record.status == 200 and record.sent_at > cut_at + 5 for record in scenario.notes)
     scenario.world.heal()
     scenario.mend_all()
     mended = scenario.world.time
@@ -140,7 +142,7 @@
         if not voters_are_replaced(scenario):
             found.broken("voters", "the lost voter was not replaced")
         scenario.world.task(scenario.operators, scenario.add_route(f"gen-d-{turn}", version), 30)
-        version = max(changed.version for changed in scenario.changes)
+        version = max(change.version for change in scenario.changes)
         lost = scenario.random.choice(scenario.cores)
         scenario.lose_disk(lost)
         scenario.world.run(1)
@@ -178,16 +180,21 @@
         scenario.world.run(0.3)
         scenario.start(name)
         scenario.world.run_until(
-            lambda node=node: bool(  # type: ignore[misc]
-                node.inner is not None and node.inner.fitness()["ready"]
-            ),
+            lambda node=node: is_ready(node),  # type: ignore[misc]
             20,
         )
     scenario.world.run(2)
     found = scenario.findings()
-    for told in scenario.notes:
-        if told.at >= began and told.end:
+    for record in scenario.notes:
+        if record.sent_at >= began and record.ending:
             found.look("rolling")
-            if told.end not in ("whole", "no link"):
-                found.broken("rolling", f"{told.identity} was cut: {told.end}")
+            if record.ending not in ("whole", "no link"):
+                found.broken("rolling", f"{record.identity} was cut: {record.ending}")
     return found
+
+
+def is_ready(node: SimNode) -> bool:
+    """Return whether the process that runs on a node should get new callers."""
+    if isinstance(node.inner, TrafficNode):
+        return node.inner.ready
+    return node.inner is not None and bool(node.inner.fitness()["ready"])
