--- a/packages/edge/ryelock/edge/preview.py
+++ b/packages/edge/ryelock/edge/preview.py
@@ -45,8 +45,8 @@
         state = self.context.servers.pick(request.service, set(), request.zone_verdicts, candidates)
         if state is None:
             return "no live server"
-        if state.trying:
-            state.trying = False
+        if state.trial_in_flight:
+            state.trial_in_flight = False
         return state.server.address
 
     def admission_state(self, service: str, now: float) -> dict[str, object]:
@@ -55,8 +55,8 @@
         if queue is None:
             return {}
         return {
-            "share": round(queue.bucket.holding(now), 3),
+            "share": round(queue.bucket.current_share(now), 3),
             "flight": queue.in_flight,
             "waiting": queue.waiting,
-            "repeats_left": round(queue.budget.room, 2),
+            "repeats_left": round(queue.budget.tokens, 2),
         }
--- a/tests/control_plane/test_finals.py
+++ b/tests/control_plane/test_finals.py
@@ -84,7 +84,7 @@
                 ),
                 10,
             )
-        told = [one for one in scenario.notes if one.at >= since]
+        told = [one for one in scenario.notes if one.sent_at >= since]
         self.assertEqual({(503, "not-run")}, {(one.status, one.outcome) for one in told})
         self.assertTrue(all(one.retry_after and one.seconds < 0.5 for one in told))
         status, _ = scenario.ask_now("POST", "/changes", {"id": "x", "base": 1, "put": {}})
@@ -99,7 +99,7 @@
 
     def test_a_late_reading_brings_no_server_back(self) -> None:
         def listing(since: float, seen: float, version: int = 0) -> ServerList:
-            return ServerList("a", version, [], 9.0, since, seen)
+            return ServerList("a", version, [], since, seen, 9.0)
 
         self.assertTrue(listing(2.0, 2.1).follows(listing(1.0, 1.9)))
         self.assertFalse(listing(1.8, 2.1).follows(listing(1.0, 1.9)))
