--- a/packages/control_plane/ryelock/control_plane/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -19,6 +19,7 @@
     find_gone_watches,
 )
 from ryelock.membership import Membership
+from ryelock.membership.sessions import EDGE
 from ryelock.replicated_state import ReplicatedState, derived_name
 from ryelock.rpc import Message
 from ryelock.runtime import Scheduler, TaskCoroutine
@@ -165,7 +166,7 @@
         zones: dict[str, list[str]] = {}
         edges = {**self.membership.lost(), **self.membership.members()}
         for name, session in edges.items():
-            if session.role == "edge":
+            if session.role == EDGE:
                 zones.setdefault(session.zone, []).append(name)
         weights, assumed = self.weights.weights(sorted(zones))
         evaluation = evaluate(zones, watches, weights, assumed, self.history, self.rules, now)
--- a/packages/control_plane/ryelock/control_plane/drain_policy.py
+++ b/packages/control_plane/ryelock/control_plane/drain_policy.py
@@ -2,6 +2,7 @@
 
 from ryelock.control_plane.health_decisions import zone_statuses
 from ryelock.membership import Membership
+from ryelock.membership.sessions import EDGE
 from ryelock.replicated_state import ReplicatedState
 
 ZONE_PREFIX = "zone:"
@@ -29,7 +30,7 @@
         drains = self.replicated_state.drains
         for name, session in sorted(self.membership.members().items()):
             is_drained = name in drains or f"{ZONE_PREFIX}{session.zone}" in drains
-            if session.role == "edge" and not is_drained:
+            if session.role == EDGE and not is_drained:
                 edges.setdefault(session.zone, []).append(name)
         return edges
 
@@ -44,7 +45,7 @@
                 return f"there is no zone {zone}"
         else:
             session = members.get(target)
-            if session is None or session.role != "edge":
+            if session is None or session.role != EDGE:
                 return f"there is no edge {target}"
             zone = session.zone
             if any(name != target for name in serving.get(zone, [])):
--- a/packages/control_plane/ryelock/control_plane/edge_leases.py
+++ b/packages/control_plane/ryelock/control_plane/edge_leases.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from ryelock.consensus import Consensus
+from ryelock.consensus import Consensus, Role
 from ryelock.runtime import Scheduler
 from ryelock.settings import Settings
 
@@ -131,7 +131,7 @@
         while self.scheduler.now() < started + self.takeover_seconds:
             now = self.scheduler.now()
             if (
-                self.consensus.role == "leader"
+                self.consensus.role == Role.LEADER
                 and self.consensus.term == term
                 and self.takeover_is_complete(now)
                 and not self.table.lagging_edges(index, now)
--- a/packages/control_plane/ryelock/control_plane/health_decisions.py
+++ b/packages/control_plane/ryelock/control_plane/health_decisions.py
@@ -1,6 +1,6 @@
 """Health decisions of the aggregator: how they reach the leader, and when they are committed."""
 
-from ryelock.consensus import Consensus
+from ryelock.consensus import Consensus, Role
 from ryelock.control_api import LOCAL_LEADER, OutcomeStatus
 from ryelock.control_plane.leader_location import leader_location
 from ryelock.control_plane.singleton_roles import AGGREGATOR_ROLE
@@ -62,7 +62,7 @@
 
     async def commit(self, message: Message) -> Message:
         """Commit a decision, if it is recent and its owner's fencing token still valid."""
-        if self.consensus.role != "leader":
+        if self.consensus.role != Role.LEADER:
             return {"status": OutcomeStatus.ELSEWHERE}
         if not self.is_recent(message):
             self.log.write(
--- a/packages/control_plane/ryelock/control_plane/lease_renewal.py
+++ b/packages/control_plane/ryelock/control_plane/lease_renewal.py
@@ -24,6 +24,7 @@
 )
 from ryelock.events import SESSION_ENDED, SESSION_STARTED, Log
 from ryelock.membership import Membership
+from ryelock.membership.sessions import EDGE
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message, Reply
 from ryelock.runtime import Queue, Scheduler
@@ -178,7 +179,7 @@
     def edges(self) -> list[str]:
         """Return the names of all edges with a session here, sorted."""
         return sorted(
-            name for name, session in self.membership.sessions.items() if session.role == "edge"
+            name for name, session in self.membership.sessions.items() if session.role == EDGE
         )
 
     def respond(self, request: RenewalRequest) -> Message:
@@ -190,7 +191,7 @@
         return RenewalResponse(
             majority_age_seconds=age,
             update=self.configuration_updates.update_since(request.applied_index),
-            quota=self.grant_lease(request, now) if request.session.role == "edge" else None,
+            quota=self.grant_lease(request, now) if request.session.role == EDGE else None,
             server_list=self.platform.update_for_node(request.versions, now),
             failed_callers=self.failed_callers.update_for(request.session.name, request.versions),
             members=self.members_for(request.versions),
--- a/packages/control_plane/ryelock/control_plane/metrics.py
+++ b/packages/control_plane/ryelock/control_plane/metrics.py
@@ -1,6 +1,6 @@
 """The metrics of a control node: whether it leads, and how it divides the rates."""
 
-from ryelock.consensus import Consensus
+from ryelock.consensus import Consensus, Role
 from ryelock.control_plane.lease_renewal import LeaseRenewals
 from ryelock.metrics import Labels, Metrics
 from ryelock.replicated_state import ReplicatedState
@@ -31,7 +31,7 @@
 
     def leads(self) -> dict[Labels, float]:
         """Return 1 where this node leads, else 0."""
-        return {(): float(self.consensus.role == "leader")}
+        return {(): float(self.consensus.role == Role.LEADER)}
 
     def rates(self) -> dict[Labels, float]:
         """Return the rate of each service that has one, in requests per second."""
--- a/packages/control_plane/ryelock/control_plane/operator_requests.py
+++ b/packages/control_plane/ryelock/control_plane/operator_requests.py
@@ -4,7 +4,7 @@
 NOT_TAKEN is certain; where the outcome is not, the answer says UNKNOWN.
 """
 
-from ryelock.consensus import Consensus
+from ryelock.consensus import Consensus, Role
 from ryelock.control_api import OperatorAction, OperatorRequest, OutcomeStatus
 from ryelock.control_plane.drain_policy import DrainPolicy
 from ryelock.control_plane.edge_leases import EdgeLeases
@@ -63,7 +63,7 @@
 
     async def serve(self, message: Message) -> Message:
         """Answer one operator's request; ELSEWHERE where this node does not lead."""
-        if self.consensus.role != "leader":
+        if self.consensus.role != Role.LEADER:
             return {"status": OutcomeStatus.ELSEWHERE}
         try:
             return await self.serve_request(OperatorRequest.from_wire(message))
--- a/packages/control_plane/ryelock/control_plane/readiness.py
+++ b/packages/control_plane/ryelock/control_plane/readiness.py
@@ -1,11 +1,14 @@
 """Whether a control node should get operators' requests, and its health report."""
 
-from ryelock.consensus import Consensus
+from ryelock.consensus import Consensus, Role
 from ryelock.consensus.status import member_status
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message
 from ryelock.settings import Settings
 
+CONTROL_NODE_ROLE = "core"
+"""The role of a control node in its session."""
+
 
 class NodeReadiness:
     """Readiness of a control node.
@@ -42,14 +45,14 @@
         reason = self.not_ready_reason
         return {
             "name": self.settings.name,
-            "role": "core",
+            "role": CONTROL_NODE_ROLE,
             "zone": self.settings.zone,
             "ready": not reason,
             "reason": reason,
             "version": self.replicated_state.version,
             "index": self.consensus.applied_index,
             "epoch": self.consensus.term,
-            "leads": self.consensus.role == "leader",
+            "leads": self.consensus.role == Role.LEADER,
             "voter": self.consensus.disk in self.consensus.voters,
             "leader": self.consensus.leader_address,
             "disk": self.consensus.disk,
--- a/packages/control_plane/ryelock/control_plane/singleton_roles.py
+++ b/packages/control_plane/ryelock/control_plane/singleton_roles.py
@@ -1,6 +1,7 @@
 """The singleton roles: jobs that one control node does for the whole network."""
 
-from ryelock.consensus import Consensus
+from ryelock.consensus import Consensus, Role
+from ryelock.control_plane.readiness import CONTROL_NODE_ROLE
 from ryelock.events import ROLE_ASSIGNED, Log
 from ryelock.membership import Membership
 from ryelock.replicated_state import ReplicatedState, encode_command
@@ -49,7 +50,7 @@
         control_nodes = {
             name: session
             for name, session in self.membership.members().items()
-            if session.role == "core"
+            if session.role == CONTROL_NODE_ROLE
         }
         leaving = [name for name, session in control_nodes.items() if not session.ready]
         for name in self.roles:
@@ -84,7 +85,7 @@
             if not owned or not any(role.successor for role in owned):
                 return
             for role in owned:
-                if self.consensus.role == "leader" and role.successor:
+                if self.consensus.role == Role.LEADER and role.successor:
                     await self.commit(
                         SingletonRole(role.name, role.successor, role.fencing_token + 1, "")
                     )
--- /dev/null
+++ b/tests/control_plane/test_edge_leases.py
@@ -0,0 +1,51 @@
+"""Which edges may still serve without a log entry."""
+
+import testtools
+
+from ryelock.control_plane.edge_leases import Lease, LeaseTable
+
+EDGE = ("edge-0", "run-1")
+RESTARTED_EDGE = ("edge-0", "run-2")
+
+
+class LeaseTableTests(testtools.TestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        self.table = LeaseTable()
+
+    def test_an_edge_with_a_lease_of_before_an_entry_is_lagging(self) -> None:
+        self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
+        self.assertEqual([EDGE], self.table.lagging_edges(5, now=9.0))
+        self.assertEqual([], self.table.lagging_edges(4, now=9.0))
+
+    def test_an_edge_is_not_lagging_once_its_lease_expired(self) -> None:
+        self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
+        self.assertEqual([], self.table.lagging_edges(5, now=10.0))
+
+    def test_an_edge_that_acknowledged_the_entry_is_not_lagging(self) -> None:
+        self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
+        self.table.acknowledge(EDGE, 5)
+        self.assertEqual([], self.table.lagging_edges(5, now=1.0))
+
+    def test_an_older_acknowledgement_that_arrives_late_takes_nothing_back(self) -> None:
+        self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
+        self.table.acknowledge(EDGE, 5)
+        self.table.acknowledge(EDGE, 3)
+        self.assertEqual([], self.table.lagging_edges(5, now=1.0))
+
+    def test_a_renewed_lease_does_not_end_an_older_one_of_a_lower_index(self) -> None:
+        """The response with the newer lease may be lost: the edge goes on under the older one."""
+        self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
+        self.table.grant(EDGE, Lease(index=6, expires_at=12.0), now=2.0)
+        self.assertEqual([EDGE], self.table.lagging_edges(5, now=9.0))
+        self.assertEqual([], self.table.lagging_edges(5, now=11.0))
+
+    def test_a_restarted_edge_holds_no_lease_of_its_earlier_run(self) -> None:
+        self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
+        self.table.acknowledge(RESTARTED_EDGE, 5)
+        self.assertEqual([EDGE], self.table.lagging_edges(5, now=1.0))
+
+    def test_a_revoked_lease_holds_nothing_up(self) -> None:
+        self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
+        self.table.revoke(EDGE)
+        self.assertEqual([], self.table.lagging_edges(5, now=1.0))
