--- a/packages/control_plane/ryelock/control_plane/quota_shares.py
+++ b/packages/control_plane/ryelock/control_plane/quota_shares.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from ryelock.control_plane.edge_leases import EdgeLeases
-from ryelock.rate_limit import QuotaAllocator, is_narrow
+from ryelock.rate_limit import QuotaAllocator, QuotaRequest, is_narrow
 from ryelock.replicated_state import ReplicatedState
 from ryelock.settings import Settings
 
@@ -51,9 +51,9 @@
             waiting: requests in the edge's queues by service.
             now: monotonic time in seconds.
         """
-        self.allocator.report(edge, demand)
+        self.allocator.report_demand(edge, demand)
         for service in self.replicated_state.configuration.services:
-            self.allocator.want(service, edge, waiting.get(service, 0), now)
+            self.allocator.report_queued(service, edge, waiting.get(service, 0), now)
 
     def allocate(
         self,
@@ -79,23 +79,20 @@
         for name, service in self.replicated_state.configuration.services.items():
             if not service.limited:
                 continue
-            held = holding.get(name, 0.0)
+            request = QuotaRequest(
+                service=name,
+                rate=service.rate,
+                burst_seconds=service.burst_seconds,
+                edge=edge,
+                current_share=holding.get(name, 0.0),
+                queued=waiting.get(name, 0),
+            )
             if is_narrow(service.rate, service.burst_seconds, len(edges)):
-                grants[name] = self.allocator.grant(
-                    name, service.rate, edge, waiting.get(name, 0), held, now, takeover_is_complete
-                )
+                grant = self.allocator.grant(request, now, takeover_is_complete)
+                grants[name] = grant.to_wire()
                 continue
             shares[name] = self.allocator.share(
-                name,
-                service.rate,
-                service.burst_seconds,
-                edge,
-                edges,
-                held,
-                now,
-                expires_at,
-                takeover_is_complete,
-                self.settings.serve_lapsed,
+                request, edges, now, expires_at, takeover_is_complete, self.settings.serve_lapsed
             )
         return EdgeQuota(shares, grants)
 
@@ -109,7 +106,7 @@
         services = self.replicated_state.configuration.services
         return min(
             (
-                self.allocator.soon(name, services[name].rate, now)
+                self.allocator.seconds_until_grant(name, services[name].rate, now)
                 for name in waiting
                 if self.is_granted_whole(name, edge_count)
             ),
@@ -140,8 +137,8 @@
 
     def forget(self, edge: str) -> None:
         """Drop the demand of an edge that is lost; its shares run out by themselves."""
-        self.allocator.forget(edge)
+        self.allocator.remove_edge(edge)
 
     def release(self, edge: str) -> None:
         """Take back the shares of an edge that has stopped serving."""
-        self.allocator.release(edge)
+        self.allocator.release_edge(edge)
--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -71,7 +71,7 @@
             return SERVICE_UNKNOWN
         if self.context.profile.own:
             request.is_retry = self.is_retry(exchange, request, key)
-            if request.is_retry and queue.budget.room < 1.0:
+            if request.is_retry and queue.budget.tokens < 1.0:
                 request.admission = AdmissionOutcome.OVER_RETRY_BUDGET
                 return OVER_RETRY_BUDGET
         wait = await queue.acquire(
@@ -118,7 +118,9 @@
     def reject_over_rate(self, request: Request, queue: AdmissionQueue, wait: float) -> Failure:
         """Return the failure of a request that got no slot; `wait` is the seconds until room."""
         bucket = queue.bucket
-        holds_no_share = bucket.holding(self.context.scheduler.now()) <= 0 and not bucket.counted
+        holds_no_share = (
+            bucket.current_share(self.context.scheduler.now()) <= 0 and not bucket.uses_grants
+        )
         request.admission = (
             AdmissionOutcome.NO_SHARE if holds_no_share else AdmissionOutcome.OVER_RATE
         )
@@ -176,9 +178,9 @@
             return queue is not None
         if not request.is_retry:
             if self.context.profile.own or not (request.is_probe or request.peer is not None):
-                queue.budget.first()
+                queue.budget.record_request()
             return True
-        if not queue.budget.repeat():
+        if not queue.budget.try_retry():
             request.admission = AdmissionOutcome.OVER_RETRY_BUDGET
             return False
         self.context.retry_detector.count_retry(caller_of(exchange, request))
--- a/packages/edge/ryelock/edge/admission_queue.py
+++ b/packages/edge/ryelock/edge/admission_queue.py
@@ -95,7 +95,7 @@
     def resize(self, service: Service, edges: int) -> None:
         """Follow the service's settings and the number of edges that share it."""
         self.service = service
-        self.bucket.burst = service.burst_seconds
+        self.bucket.burst_seconds = service.burst_seconds
         self.bucket.limited = service.limited
         self.budget.resize(
             service.repeat_share,
@@ -203,7 +203,7 @@
     async def admit_retry(self, queue_timeout: float) -> bool:
         """Wait for a retry of an admitted request: in the budget and, perhaps soon, by rate."""
         until = self.scheduler.now() + min(queue_timeout, self.queue_timeout())
-        if not self.budget.repeat():
+        if not self.budget.try_retry():
             return False
         self.retries_waiting += 1
         try:
--- a/packages/edge/ryelock/edge/quota_shares.py
+++ b/packages/edge/ryelock/edge/quota_shares.py
@@ -9,8 +9,7 @@
 
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.edge.member import EdgeSession
-from ryelock.rate_limit import is_narrow, reserve
-from ryelock.rate_limit.quota_allocator import GRANT_SECONDS, Grant
+from ryelock.rate_limit import GRANT_LIFETIME_SECONDS, Grant, is_narrow, leaderless_share
 from ryelock.runtime import Scheduler
 
 
@@ -37,7 +36,9 @@
     def held(self) -> dict[str, float]:
         """Return the shares held now, in requests a second by service."""
         now = self.scheduler.now()
-        return {name: queue.bucket.holding(now) for name, queue in self.admission_queues.items()}
+        return {
+            name: queue.bucket.current_share(now) for name, queue in self.admission_queues.items()
+        }
 
     def without_leader(self) -> dict[str, float]:
         """Return what may be spent while there is no leader: what is held, or the reserve.
@@ -48,8 +49,8 @@
         shares = self.held()
         for name, queue in self.admission_queues.items():
             service = queue.service
-            if queue.bucket.counted or is_narrow(service.rate, service.burst_seconds, edges):
-                shares[name] = reserve(service.rate, service.burst_seconds, edges)
+            if queue.bucket.uses_grants or is_narrow(service.rate, service.burst_seconds, edges):
+                shares[name] = leaderless_share(service.rate, service.burst_seconds, edges)
         return shares
 
     def wanted(self) -> dict[str, int]:
@@ -66,20 +67,19 @@
         for name, share in shares.items():
             queue = self.admission_queues.get(name)
             if queue is not None:
-                queue.bucket.give(share, expires_at, now)
+                queue.bucket.assign_share(share, expires_at, now)
         for queue in self.admission_queues.values():
             queue.resize(queue.service, edges)
 
     def add_grants(self, grants: dict[str, Grant], requested_at: float) -> None:
         """Add granted requests of narrow services.
 
-        They expire GRANT_SECONDS after they were requested, as the leader's account of them does.
+        They expire GRANT_LIFETIME_SECONDS after they were requested, as the leader's account of
+        them does.
         """
         for name, grant in grants.items():
             queue = self.admission_queues.get(name)
             if queue is None:
                 continue
-            queue.bucket.grant(
-                grant.granted, grant.expected, grant.found, requested_at + GRANT_SECONDS
-            )
+            queue.bucket.add_grants(grant, requested_at + GRANT_LIFETIME_SECONDS)
             queue.notify()
