--- a/packages/edge/ryelock/edge/relay.py
+++ b/packages/edge/ryelock/edge/relay.py
@@ -22,6 +22,8 @@
 BODILESS_STATUSES = (204, 304)
 """Statuses whose responses have no body (RFC 9110, 6.4.1)."""
 
+CutError = IncompleteMessageError | ReadTimeoutError | FramingError
+
 
 class ResponseRelay:
     """Sends responses to callers: each is complete, or ends by ending the connection."""
@@ -86,10 +88,10 @@
         exchange: HttpExchange,
         request: Request,
         upstream: UpstreamResponse,
-        error: Exception,
+        error: CutError,
     ) -> None:
         """A server's response ended early; that is the server's fault unless the caller left."""
-        request.reason = f"the server's answer was cut: {error!r}"
+        request.reason = f"the server's answer was cut: {describe_cut(error)}"
         request.outcome = Outcome.CUT
         if exchange.client_disconnected:
             return
@@ -185,3 +187,14 @@
         if name.strip() == b"timeout" and value.strip().isdigit():
             return float(value)
     return None
+
+
+def describe_cut(error: CutError) -> str:
+    """Return how explain names what cut a response; the names do not follow those of classes."""
+    match error:
+        case FramingError():
+            return f"FramingError({error.reason!r})"
+        case IncompleteMessageError():
+            return "IncompleteMessageError()"
+        case ReadTimeoutError():
+            return "ReadTimeoutError()"
--- a/tests/edge/test_upstream.py
+++ b/tests/edge/test_upstream.py
@@ -7,12 +7,17 @@
 from ryelock.edge.failures import AttemptCancelledError, ConnectFailedError, FailureKind
 from ryelock.edge.owner_client import is_final
 from ryelock.edge.peer_protocol import parse_count, parse_seconds
-from ryelock.edge.relay import keep_alive_seconds, length_to_send
+from ryelock.edge.relay import describe_cut, keep_alive_seconds, length_to_send
 from ryelock.edge.servers import ServerState
 from ryelock.edge.upstream_request import origin_form
 from ryelock.edge.upstream_response import UpstreamResponse
 from ryelock.http import Reader, Response, ResponseHead, ResponseTimeoutError
 from ryelock.http.body import Body
+from ryelock.http.errors import (
+    IncompleteMessageError,
+    MalformedMessageError,
+    ReadTimeoutError,
+)
 from ryelock.runtime import Connection
 
 
@@ -98,6 +103,15 @@
         self.assertIs(FailureKind.SERVER_FAILED, kind_of(error, is_late=False))
         self.assertIs(FailureKind.SERVER_SILENT, kind_of(error, is_late=True))
 
+    def test_explain_names_cuts_by_names_that_stay(self) -> None:
+        """Whatever class stands behind them: operators search for these texts."""
+        for error, text in (
+            (MalformedMessageError("malformed chunk size"), "FramingError('malformed chunk size')"),
+            (IncompleteMessageError(), "IncompleteMessageError()"),
+            (ReadTimeoutError(), "ReadTimeoutError()"),
+        ):
+            self.assertEqual(text, describe_cut(error))
+
 
 if __name__ == "__main__":
     unittest.main()
