--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -250,7 +250,9 @@
         best: list[ServerState] = []
         best_rank: Rank | None = None
         for state in states:
-            excluded = self.why_excluded(state, edges, connections, now)
+            # On the way of every request: most servers need no closer look.
+            suspect = spread or state.failures >= EJECTION_FAILURES or state.server.leaving
+            excluded = suspect and self.why_excluded(state, edges, connections, now)
             if excluded:
                 if candidates is not None:
                     candidates.append({"server": state.server.address, "left_out": excluded})
