--- a/packages/testing/ryelock/testing/scale/pieces.py
+++ b/packages/testing/ryelock/testing/scale/pieces.py
@@ -20,7 +20,7 @@
 from ryelock.events import RecordingLog
 from ryelock.journal import MachineFolder
 from ryelock.membership import Membership, Server, Session
-from ryelock.rate_limit.quota_allocator import Given
+from ryelock.rate_limit import OutstandingShares
 from ryelock.replicated_state import Purge, PurgeKind, ReplicatedState, encode_command
 from ryelock.runtime.reactor import Reactor
 from ryelock.settings import read_settings
@@ -137,20 +137,20 @@
     """Let every session demand and hold a share of each service."""
     divider, ends = node.renewals.quota.allocator, node.scheduler.now() + SHARE_SECONDS
     for session in sessions:
-        divider.report(session.name, dict.fromkeys(SERVICE_NAMES, 10.0))
+        divider.report_demand(session.name, dict.fromkeys(SERVICE_NAMES, 10.0))
         for service in SERVICE_NAMES:
-            held = Given()
-            held.shares = [(1.0, ends)]
-            divider.given.setdefault(service, {})[session.name] = held
+            held = OutstandingShares()
+            held.add(1.0, ends)
+            divider.outstanding.setdefault(service, {})[session.name] = held
 
 
 def measure_membership(node: ControlNode) -> Figures:
     """Measure what is written and read of sessions between control nodes and to one node."""
     membership = node.membership
-    said = cbor2.dumps(membership.say())
-    say = seconds_of(lambda: cbor2.dumps(membership.say()))
+    said = cbor2.dumps(membership.to_wire())
+    say = seconds_of(lambda: cbor2.dumps(membership.to_wire()))
     other = Membership(node.scheduler, "core-1/1", 3.0, 600.0)
-    hear = seconds_of(lambda: other.hear(cbor2.loads(said)))
+    hear = seconds_of(lambda: other.merge(cbor2.loads(said)))
     told = cbor2.dumps(members_told(membership))
     tell = seconds_of(lambda: cbor2.dumps(members_told(membership)))
     take = seconds_of(lambda: [Session.from_wire(plain) for plain in cbor2.loads(told)])
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -458,7 +458,7 @@
                 state.failures, state.full_until, state.ejection_seconds = 0, 0.0, 0.0
                 state.ejected_until, state.trial_in_flight, state.latency = 0.0, False, 0.0
             budget = handler.context.admission_queues[SERVICE].budget
-            budget.room = budget.allowance
+            budget.tokens = budget.allowance
         for server in self.servers:
             server.mute.clear()
             server.slow.clear()
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -194,9 +194,9 @@
             ),
         )
         for name in fleet.scenario.edges:
-            way = fleet.scenario.node(name).traffic.handler
-            assert way is not None
-            self.assertEqual([], way.served_objects.report())
+            handler = fleet.scenario.node(name).traffic.handler
+            assert handler is not None
+            self.assertEqual([], handler.served_objects.report())
         self.assertTrue(all(row.error == "" for _, row in fleet.rows()))
         nameless = [ran.target for ran in fleet.scenario.history if not ran.identity]
         self.assertGreater(len(nameless), 2)
@@ -637,7 +637,9 @@
                     Server("pages", address, zone, "1", False)
                     for address, zone in zip(names, zones, strict=False)
                 ],
-                1e9,
+                requested_at=0.0,
+                answered_at=0.0,
+                valid_until=1e9,
             )
         )
         found = set()
