--- a/packages/events/ryelock/events/__init__.py
+++ b/packages/events/ryelock/events/__init__.py
@@ -34,112 +34,116 @@
 STARTED = Event(1001, INFO, "process started", "nothing")
 STOPPING = Event(1002, INFO, "process is stopping", "nothing")
 STOPPED = Event(1003, INFO, "process stopped", "nothing")
-TASK_FAULT = Event(1004, ERROR, "a task ended by a fault", "report it with the trace")
-SETTINGS_RELOADED = Event(1005, INFO, "the settings file changed and was read anew", "nothing")
+TASK_FAULT = Event(1004, ERROR, "a task ended by an exception", "report it with the trace")
+SETTINGS_RELOADED = Event(1005, INFO, "the settings file changed and was read again", "nothing")
 SETTINGS_REJECTED = Event(
     1006,
     ERROR,
     "the settings file changed and has faults",
-    "mend the file; the process goes on with what it had",
+    "correct the file; the process keeps the settings that it had",
 )
-METRICS_LOGGED = Event(1007, INFO, "the figures of this process", "nothing")
+METRICS_LOGGED = Event(1007, INFO, "the metrics of this process", "nothing")
 FRAME_REJECTED = Event(
     1101,
     WARNING,
-    "a frame from another process was declined",
-    "look whether a program of another version is running",
+    "a malformed frame from another process was rejected",
+    "see whether a program of another version is running",
 )
-REQUEST_MALFORMED = Event(1201, INFO, "an order with bad framing was declined", "nothing")
+REQUEST_MALFORMED = Event(1201, INFO, "a malformed request was rejected", "nothing")
 JOURNAL_TAIL_TRUNCATED = Event(
-    1301, WARNING, "a torn tail was cut from the journal", "nothing; it follows a loss of power"
+    1301, WARNING, "a torn tail of the journal was truncated", "nothing; it follows a loss of power"
 )
 JOURNAL_DAMAGED = Event(
     1302,
     ERROR,
     "the journal is damaged before its tail",
-    "replace the disk; the node takes a new image under a new identity",
+    "replace the disk; the node takes a snapshot under a new identity",
 )
 JOURNAL_FULL = Event(
     1303,
     ERROR,
     "the disk takes no more writes; nothing is acknowledged",
-    "make room or replace the machine",
+    "free space or replace the machine",
 )
-SNAPSHOT_WRITTEN = Event(1304, INFO, "an image was written", "nothing")
-CLUSTER_BOOTSTRAPPED = Event(1401, INFO, "the three seeds founded a core", "nothing")
-BECAME_LEADER = Event(1402, INFO, "this node leads", "nothing")
-BECAME_FOLLOWER = Event(1403, INFO, "this node follows a leader", "nothing")
+SNAPSHOT_WRITTEN = Event(1304, INFO, "a snapshot was written", "nothing")
+CLUSTER_BOOTSTRAPPED = Event(1401, INFO, "the seeds bootstrapped a consensus group", "nothing")
+BECAME_LEADER = Event(1402, INFO, "this node became the leader", "nothing")
+BECAME_FOLLOWER = Event(1403, INFO, "this node became a follower", "nothing")
 LEADER_STEPPED_DOWN = Event(
     1404,
     WARNING,
     "a leader stepped down without a majority",
-    "see whether core machines or their network are down",
+    "see whether control nodes or their network are down",
 )
 VOTERS_CHANGED = Event(1405, INFO, "the set of voters changed", "nothing")
-SNAPSHOT_INSTALLED = Event(1406, INFO, "a node that was behind took an image", "nothing")
+SNAPSHOT_INSTALLED = Event(1406, INFO, "a node that was behind installed a snapshot", "nothing")
 LEADER_LOST = Event(
     1407,
     WARNING,
-    "this control node hears no leader",
-    "see whether it is cut off, or whether a majority of the voters is down",
+    "this control node has no contact with a leader",
+    "see whether it is partitioned, or whether a majority of the voters is down",
 )
-LEADER_FOUND = Event(1408, INFO, "this control node hears a leader again", "nothing")
+LEADER_FOUND = Event(1408, INFO, "this control node has contact with a leader again", "nothing")
 VOTER_LEAVING = Event(
-    1409, INFO, "this control node stops and gives its place as voter to a spare", "nothing"
+    1409, INFO, "this control node stops and a standby replaces it as voter", "nothing"
 )
 VOTER_LOST = Event(
     1410,
     WARNING,
-    "a voter stored nothing for too long, or another disk stands in its place",
-    "nothing where there is a spare; else bring the machine back or add one",
-)
-ROLE_ASSIGNED = Event(1501, INFO, "a duty has a new holder", "nothing")
-ROLE_FENCED = Event(1502, WARNING, "word of an old duty holder was declined", "nothing")
-CHANGE_ACCEPTED = Event(1601, INFO, "a change was taken", "nothing")
-CHANGE_REJECTED = Event(1602, INFO, "a change was declined", "nothing")
-PURGE_ACCEPTED = Event(1603, INFO, "a purge was taken", "nothing")
-VERDICT_COMMITTED = Event(1701, INFO, "a verdict was written", "when a zone is down: see its rows")
+    "a voter acknowledged nothing for too long, or another disk was found in its place",
+    "nothing where there is a standby; else bring the machine back or add one",
+)
+ROLE_ASSIGNED = Event(1501, INFO, "a singleton role has a new owner", "nothing")
+ROLE_FENCED = Event(
+    1502, WARNING, "a write of a former owner of a singleton role was fenced off", "nothing"
+)
+CHANGE_ACCEPTED = Event(1601, INFO, "a change was accepted", "nothing")
+CHANGE_REJECTED = Event(1602, INFO, "a change was rejected", "nothing")
+PURGE_ACCEPTED = Event(1603, INFO, "a purge was accepted", "nothing")
+VERDICT_COMMITTED = Event(
+    1701, INFO, "a health verdict was committed", "when a zone is down: see its probe results"
+)
 VERDICT_OUTDATED = Event(
     1702,
     WARNING,
-    "a verdict that was long on its way was declined",
-    "nothing; it is judged anew. If it stays, see the links between core machines",
+    "a health verdict that reached the leader too late was rejected",
+    "nothing; it is evaluated again. If it stays, see the network between control nodes",
 )
 WATCH_DERIVED = Event(
     1703,
     INFO,
-    "a watch was made up of an object that was served",
-    "nothing; a watch of yours for a route of that service takes its place",
+    "a watch was derived from an object that was served",
+    "nothing; a configured watch for a route of that service replaces it",
 )
-WATCH_ENDED = Event(1704, INFO, "a made-up watch ended, since its object is gone", "nothing")
+WATCH_ENDED = Event(1704, INFO, "a derived watch ended, since its object is gone", "nothing")
 SESSION_STARTED = Event(1801, INFO, "a node became a member", "nothing")
 SESSION_ENDED = Event(1802, WARNING, "a node's session ended", "see whether its machine runs")
 SERVER_LIST_REJECTED = Event(
-    1803, WARNING, "a listing of the platform was declined", "see what the platform sends"
+    1803, WARNING, "a server list of the platform was rejected", "see what the platform sends"
 )
 SERVER_LIST_UNAVAILABLE = Event(
     1804,
     WARNING,
-    "the platform does not list servers",
+    "the platform returns no server list",
     "see whether the platform runs; edges stop sending to servers",
 )
 LEASE_EXPIRED = Event(
     1901,
     WARNING,
-    "this edge's term lapsed; it declines orders",
-    "see whether the core has a majority",
+    "this edge's lease expired; it rejects requests",
+    "see whether the control nodes have a majority",
 )
-LEASE_ACQUIRED = Event(1902, INFO, "this edge holds a term again", "nothing")
+LEASE_ACQUIRED = Event(1902, INFO, "this edge holds a lease again", "nothing")
 LEASE_GRANTED_BY_QUORUM = Event(
     1903,
     WARNING,
-    "no leader; this edge serves on voters' promises",
-    "see whether core machines or their network are down",
+    "no leader; this edge serves on a lease granted by a majority of voters",
+    "see whether control nodes or their network are down",
 )
-SERVER_EJECTED = Event(1904, WARNING, "a server is set aside", "see how the server fares")
-SERVER_READMITTED = Event(1905, INFO, "a server is tried again", "nothing")
+SERVER_EJECTED = Event(1904, WARNING, "a server was ejected", "see the server's own log")
+SERVER_READMITTED = Event(1905, INFO, "an ejected server was readmitted", "nothing")
 RESPONSE_BROKEN = Event(
-    1906, WARNING, "a server's answer was cut or malformed", "see how the server fares"
+    1906, WARNING, "a server's response was cut or malformed", "see the server's own log"
 )
 
 CATALOGUE: tuple[Event, ...] = tuple(
