--- a/packages/control_plane/ryelock/control_plane/identity.py
+++ b/packages/control_plane/ryelock/control_plane/identity.py
@@ -12,7 +12,14 @@
 from expression import Error, Ok, Result
 
 from ryelock.events import JOURNAL_DAMAGED, Log
-from ryelock.journal import Folder, FolderError, Journal, JournalError, open_journal
+from ryelock.journal import (
+    Folder,
+    FolderError,
+    Journal,
+    JournalError,
+    JournalUnavailableError,
+    open_journal,
+)
 
 IDENTITY_FILE = "identity"
 DAMAGED_PREFIX = "damaged-"
@@ -54,7 +61,7 @@
         folder.write_whole(IDENTITY_FILE, json.dumps({"disk": disk}).encode())
         return Ok((disk, found.ok))
     except FolderError as error:
-        return Error(JournalError(str(error), False))
+        return Error(JournalUnavailableError(str(error)))
 
 
 def read_identity(folder: Folder) -> str:
--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -5,6 +5,7 @@
 from ryelock.edge.admission_queue import AdmissionQueue, retry_after
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.failures import Failure, FailureKind
+from ryelock.edge.idempotency_claims import ClaimStatus
 from ryelock.edge.request import AdmissionOutcome, Request
 from ryelock.edge.retry_detector import Caller
 from ryelock.edge.routing import Router
@@ -70,7 +71,7 @@
             return SERVICE_UNKNOWN
         if self.context.profile.own:
             request.is_retry = self.is_retry(exchange, request, key)
-            if request.is_retry and queue.budget.room < 1.0:
+            if request.is_retry and queue.budget.tokens < 1.0:
                 request.admission = AdmissionOutcome.OVER_RETRY_BUDGET
                 return OVER_RETRY_BUDGET
         wait = await queue.acquire(
@@ -117,7 +118,9 @@
     def reject_over_rate(self, request: Request, queue: AdmissionQueue, wait: float) -> Failure:
         """Return the failure of a request that got no slot; `wait` is the seconds until room."""
         bucket = queue.bucket
-        holds_no_share = bucket.holding(self.context.scheduler.now()) <= 0 and not bucket.counted
+        holds_no_share = (
+            bucket.current_share(self.context.scheduler.now()) <= 0 and not bucket.uses_grants
+        )
         request.admission = (
             AdmissionOutcome.NO_SHARE if holds_no_share else AdmissionOutcome.OVER_RATE
         )
@@ -150,9 +153,9 @@
             request.identity,
             max(0.0, min(CLAIM_SECONDS, left)),
         )
-        if status == "claimed":
+        if status is ClaimStatus.CLAIMED:
             return None
-        if status == "known":
+        if status is ClaimStatus.KNOWN:
             return KEY_ALREADY_USED
         self.release_key(exchange, request, key)
         return KEY_NOT_CLAIMED
@@ -175,9 +178,9 @@
             return queue is not None
         if not request.is_retry:
             if self.context.profile.own or not (request.is_probe or request.peer is not None):
-                queue.budget.first()
+                queue.budget.record_request()
             return True
-        if not queue.budget.repeat():
+        if not queue.budget.try_retry():
             request.admission = AdmissionOutcome.OVER_RETRY_BUDGET
             return False
         self.context.retry_detector.count_retry(caller_of(exchange, request))
--- a/packages/edge/ryelock/edge/session_delegate.py
+++ b/packages/edge/ryelock/edge/session_delegate.py
@@ -1,7 +1,7 @@
 """What a node's session asks of the node, and notifies it of."""
 
 from ryelock.membership import ServerList
-from ryelock.rate_limit.quota_allocator import Grant
+from ryelock.rate_limit import Grant
 
 
 class SessionDelegate:
