--- a/packages/testing/ryelock/testing/hosting_platform/__init__.py
+++ b/packages/testing/ryelock/testing/hosting_platform/__init__.py
@@ -1,12 +1,15 @@
 """A stand-in of a platform that lets out servers: its list, its servers, and who calls there."""
 
-from ryelock.testing.hosting_platform.platform import (
-    Arrival,
-    HostingPlatform,
-    Manner,
-    ServerLife,
-    ServiceStandIn,
-    Words,
-)
+from ryelock.testing.hosting_platform.format import PlatformFormat
+from ryelock.testing.hosting_platform.platform import HostingPlatform
+from ryelock.testing.hosting_platform.servers import Arrival, Manner, ServerInstance
+from ryelock.testing.hosting_platform.services import ServiceStandIn
 
-__all__ = ["Arrival", "HostingPlatform", "Manner", "ServerLife", "ServiceStandIn", "Words"]
+__all__ = [
+    "Arrival",
+    "HostingPlatform",
+    "Manner",
+    "PlatformFormat",
+    "ServerInstance",
+    "ServiceStandIn",
+]
--- a/tests/edge/test_caller_leaves.py
+++ b/tests/edge/test_caller_leaves.py
@@ -9,7 +9,7 @@
 from ryelock.runtime import Connection
 from ryelock.runtime.reactor import Reactor, SocketConnection
 from ryelock.testing.hosting_platform import Arrival, Manner
-from ryelock.testing.hosting_platform.clients import SAFE
+from ryelock.testing.hosting_platform.attempts import SAFE
 
 STAYS_SECONDS = 0.3
 """A caller of these tests leaves so long after its request was sent."""
@@ -59,7 +59,7 @@
     deployment.world.run(3)
     for service in deployment.services.values():
         service.work_seconds = 5.0
-        service.repeats = lambda _identity: True
+        service.echoes_identity = lambda _identity: True
     return deployment
 
 
--- a/tests/edge/test_owner_asks.py
+++ b/tests/edge/test_owner_asks.py
@@ -8,7 +8,8 @@
 from deployment import HOST, Deployment, route
 from ryelock.edge.peers import owner_of
 from ryelock.testing.hosting_platform import Manner
-from ryelock.testing.hosting_platform.clients import CACHEABLE, Note, over_budget
+from ryelock.testing.hosting_platform.attempts import CACHEABLE, AttemptRecord
+from ryelock.testing.hosting_platform.checks import retry_violations
 
 ONE_ZONE = {"a": "north"}
 MANNERS = (Manner.FAILING, Manner.LOST, Manner.WRONG, Manner.CUT, Manner.FULL)
@@ -49,7 +50,7 @@
     way.context.admission_queues["pages"].budget.room = 0.0
 
 
-def get(deployment: Deployment, target: str, edge: str, **more: Any) -> Note:
+def get(deployment: Deployment, target: str, edge: str, **more: Any) -> AttemptRecord:
     return deployment.ask(CACHEABLE, "GET", target, edge=edge, **more)
 
 
@@ -156,19 +157,21 @@
         deployment.world.run(2)
         self.assertEqual(
             [],
-            over_budget(deployment.notes, deployment.history, "pages", deployment.allowed, 0.2, 8),
+            retry_violations(
+                deployment.notes, deployment.history, "pages", deployment.allowed, 0.2, 8
+            ),
         )
         asked = [note for note in deployment.notes if note.edge != deployment.edges[1]]
         self.assertGreater(len(asked), 300)
-        refused = [note for note in asked if note.whole and not note.served]
-        self.assertEqual([], [(note.at, note.status) for note in refused])
+        refused = [note for note in asked if note.complete and not note.served]
+        self.assertEqual([], [(note.sent_at, note.status) for note in refused])
         self.assertEqual([], deployment.broken())
 
 
 class ServersReachedTests(testtools.TestCase):
     """One try reaches no more servers than its route's limit, however many edges handle it."""
 
-    def reached(self, deployment: Deployment, note: Note) -> int:
+    def reached(self, deployment: Deployment, note: AttemptRecord) -> int:
         return len(deployment.arrivals(note))
 
     def test_over_an_ask_to_the_owner(self) -> None:
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -22,7 +22,7 @@
 from ryelock import control_api
 from ryelock.edge.process import TrafficNode
 from ryelock.explain import format_explanation
-from ryelock.testing.hosting_platform.clients import CACHEABLE
+from ryelock.testing.hosting_platform.attempts import CACHEABLE
 from ryelock.testing.simulated import SimNode, World
 from ryelock.testing.stand_ins.servers import (
     Objects,
--- a/tests/metrics/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -6,7 +6,7 @@
 from ryelock.http import read_response, send_request
 from ryelock.http.reader import Reader
 from ryelock.metrics import Metrics
-from ryelock.testing.hosting_platform.clients import SAFE
+from ryelock.testing.hosting_platform.attempts import SAFE
 
 METRICS_PORT = 9464
 
--- a/tests/platform/test_platform_configuration.py
+++ b/tests/platform/test_platform_configuration.py
@@ -12,7 +12,7 @@
 import testtools
 
 from deployment import HOST, LIMITS, Deployment, first_configuration, route, service_item
-from ryelock.testing.hosting_platform.clients import CACHEABLE, SAFE, UNSAFE
+from ryelock.testing.hosting_platform.attempts import CACHEABLE, SAFE, UNSAFE
 
 
 def whole(version: Any, **more: Any) -> dict[str, Any]:
@@ -237,7 +237,7 @@
             fields = [(b"Based-On-Version", b"r5")]
             found = self.deployment.world.task(
                 self.deployment.operator_node,
-                self.deployment.operator.once(
+                self.deployment.operator.send_once(
                     node, b"POST", b"/configuration/replace", fields, body
                 ),
                 30,
@@ -278,7 +278,7 @@
         fields = [(b"Based-On-Version", b"\xb2")]
         found = self.deployment.world.task(
             self.deployment.operator_node,
-            self.deployment.operator.once(
+            self.deployment.operator.send_once(
                 self.deployment.operator.nodes[0],
                 b"POST",
                 b"/configuration/replace",
@@ -314,7 +314,7 @@
         ):
             found = self.deployment.world.task(
                 self.deployment.operator_node,
-                self.deployment.operator.once(
+                self.deployment.operator.send_once(
                     self.deployment.operator.nodes[0], method, place, [], b""
                 ),
                 30,
--- a/tests/platform/test_platform_listing.py
+++ b/tests/platform/test_platform_listing.py
@@ -7,7 +7,7 @@
 
 from deployment import Deployment
 from ryelock.control_plane.platform import Listed
-from ryelock.testing.hosting_platform.clients import SAFE, UNSAFE
+from ryelock.testing.hosting_platform.attempts import SAFE, UNSAFE
 from servers import ServerListReader
 
 
@@ -43,7 +43,7 @@
 
     def read(self, raw: bytes | None = None) -> Listed:
         deployment = self.deployment
-        deployment.platform.raw = raw
+        deployment.platform.raw_page = raw
         node = deployment.operator_node
         return deployment.world.task(
             node,
@@ -57,8 +57,8 @@
         self.assertEqual(4, self.deployment.platform.calls)
         self.assertEqual(
             sorted(
-                (life.service.name, life.address, life.zone, name)
-                for name, life in self.deployment.servers.items()
+                (instance.service.name, instance.address, instance.zone, name)
+                for name, instance in self.deployment.servers.items()
             ),
             sorted(
                 (server.service, server.address, server.zone, server.incarnation)
@@ -68,15 +68,15 @@
         self.assertEqual({8}, {server.slots for server in found})
 
     def test_leaving_and_cold_servers_are_told(self) -> None:
-        lives = list(self.deployment.servers.values())
-        self.deployment.platform.drain(lives[0])
-        lives[1].cold_until = self.deployment.world.time + 10
+        instances = list(self.deployment.servers.values())
+        self.deployment.platform.drain(instances[0])
+        instances[1].warming_until = self.deployment.world.time + 10
         self.deployment.world.run(0.5)
         self.assertFalse(any(server.leaving for server in self.read().ok))
         self.deployment.world.run(0.5)
         found = {server.incarnation: server for server in self.read().ok}
-        self.assertTrue(found[lives[0].identifier].leaving)
-        self.assertTrue(found[lives[1].identifier].cold)
+        self.assertTrue(found[instances[0].identifier].leaving)
+        self.assertTrue(found[instances[1].identifier].cold)
         self.assertEqual(1, sum(server.leaving for server in found.values()))
         self.assertEqual(1, sum(server.cold for server in found.values()))
 
@@ -183,30 +183,30 @@
         calls = (deployment.platform.calls - before) / 20
         self.assertGreater(calls, 1)
         self.assertLess(calls, 15)
-        self.assertEqual(0, deployment.platform.declined)
+        self.assertEqual(0, deployment.platform.rejected)
 
     def test_a_new_server_is_known_at_every_edge(self) -> None:
         deployment = Deployment(3).set_up()
-        life = deployment.add_server("pages", "b")
+        instance = deployment.add_server("pages", "b")
         deployment.world.run(deployment.platform.lag + 2.0)
         for edge in deployment.edges:
-            self.assertIn(life.identifier, self.servers_known(deployment, edge))
+            self.assertIn(instance.identifier, self.servers_known(deployment, edge))
 
     def test_a_draining_server_gets_nothing_soon_after_the_list_shows_it(self) -> None:
         deployment = Deployment(4).set_up()
         deployment.crowd(12, 8.0, lambda number: (SAFE, "GET", f"/plain/{number}"))
         deployment.world.run(3)
-        life = deployment.of_service("pages")[0]
+        instance = deployment.of_service("pages")[0]
         self.assertTrue(
-            any(arrival.identifier == life.identifier for arrival in deployment.history)
+            any(arrival.identifier == instance.identifier for arrival in deployment.history)
         )
-        deployment.platform.drain(life)
+        deployment.platform.drain(instance)
         shown = deployment.world.time + deployment.platform.lag
         deployment.world.run(8)
         late = [
             arrival
             for arrival in deployment.history
-            if arrival.identifier == life.identifier and arrival.at > shown + 2.5
+            if arrival.identifier == instance.identifier and arrival.at > shown + 2.5
         ]
         self.assertEqual(0, len(late))
         self.assertEqual([], deployment.broken())
@@ -223,7 +223,7 @@
     def test_a_broken_list_changes_nothing(self) -> None:
         deployment = Deployment(6).set_up()
         known = self.servers_known(deployment, deployment.edges[0])
-        deployment.platform.raw = page({"i-1": entry(), "i-2": entry(address="nowhere")})
+        deployment.platform.raw_page = page({"i-1": entry(), "i-2": entry(address="nowhere")})
         deployment.world.run(6)
         for edge in deployment.edges:
             self.assertEqual(known, self.servers_known(deployment, edge))
@@ -238,10 +238,10 @@
             self.assertGreater(deployment.platform.calls - before, 2, name)
             deployment.start(name)
             deployment.world.run(6)
-        life = deployment.add_server("pages", "a")
+        instance = deployment.add_server("pages", "a")
         deployment.world.run(4)
         for edge in deployment.edges:
-            self.assertIn(life.identifier, self.servers_known(deployment, edge))
+            self.assertIn(instance.identifier, self.servers_known(deployment, edge))
 
     def test_an_address_that_gets_another_service_is_never_sent_the_first_ones_orders(self) -> None:
         for seed in (8, 9, 10):
@@ -256,19 +256,19 @@
                 ),
             )
             deployment.world.run(2)
-            life = deployment.of_service("pages")[0]
+            instance = deployment.of_service("pages")[0]
             other = deployment.of_service("desks")[0]
-            for gone in (life, other):
+            for gone in (instance, other):
                 deployment.platform.crash(gone)
             deployment.world.run(0.3)
-            deployment.add_server("desks", "a", life.address)
+            deployment.add_server("desks", "a", instance.address)
             deployment.add_server("pages", "a", other.address)
             deployment.world.run(6)
             deployment.callers_on = False
             deployment.world.run(3)
             self.assertTrue(any(arrival.status == 421 for arrival in deployment.history))
             self.assertEqual([], deployment.broken())
-            last = {note.request: note for note in deployment.notes}
+            last = {note.request_name: note for note in deployment.notes}
             served = sum(note.served for note in last.values()) / len(last)
             self.assertGreater(served, 0.95, f"seed {seed}")
 
@@ -279,4 +279,4 @@
         deployment.world.run(3)
         for edge in deployment.edges:
             self.assertEqual(set(deployment.servers), set(self.servers_known(deployment, edge)))
-        self.assertEqual(0, deployment.platform.declined)
+        self.assertEqual(0, deployment.platform.rejected)
--- a/tests/platform/test_platform_orders.py
+++ b/tests/platform/test_platform_orders.py
@@ -5,17 +5,11 @@
 
 import testtools
 
-from deployment import HOST, WORDS, Deployment, route, service_item
+from deployment import HOST, PLATFORM_FORMAT, Deployment, route, service_item
 from ryelock.http import Reader, field, read_response
 from ryelock.testing.hosting_platform import Manner
-from ryelock.testing.hosting_platform.clients import (
-    CACHEABLE,
-    SAFE,
-    UNSAFE,
-    Note,
-    over_budget,
-    over_ceiling,
-)
+from ryelock.testing.hosting_platform.attempts import CACHEABLE, SAFE, UNSAFE, AttemptRecord
+from ryelock.testing.hosting_platform.checks import rate_violations, retry_violations
 
 ONE_ZONE = {"a": "north"}
 
@@ -28,25 +22,25 @@
 def manners(deployment: Deployment, service: str, *following: Manner) -> None:
     """The manners in which the next orders of a service are taken, whatever server they reach."""
     shared = deque(following)
-    for life in deployment.of_service(service):
-        life.manners = shared
+    for instance in deployment.of_service(service):
+        instance.manners = shared
 
 
 def always(deployment: Deployment, service: str, manner: Manner) -> None:
-    for life in deployment.of_service(service):
-        life.manner = manner
+    for instance in deployment.of_service(service):
+        instance.manner = manner
 
 
 class Orders(testtools.TestCase):
     def repeat_all(self, deployment: Deployment) -> None:
         """For orders that are written by hand and stand in no caller's notes."""
         for service in deployment.services.values():
-            service.repeats = lambda _identity: True
+            service.echoes_identity = lambda _identity: True
 
-    def post(self, deployment: Deployment, number: int = 1, **more: Any) -> Note:
+    def post(self, deployment: Deployment, number: int = 1, **more: Any) -> AttemptRecord:
         return deployment.ask(UNSAFE, "POST", f"/orders/{number}", b"body", **more)
 
-    def get(self, deployment: Deployment, target: str = "/plain/1", **more: Any) -> Note:
+    def get(self, deployment: Deployment, target: str = "/plain/1", **more: Any) -> AttemptRecord:
         return deployment.ask(SAFE, "GET", target, **more)
 
 
@@ -123,14 +117,14 @@
         deployment = Deployment(7).set_up()
         manners(deployment, "desks", Manner.FAILING)
         note = self.post(deployment)
-        self.assertEqual((500, b"broken\n"), (note.status, note.said))
+        self.assertEqual((500, b"broken\n"), (note.status, note.response_body))
 
     def test_an_order_whose_reused_link_was_closed_is_served_or_told_as_unknown(self) -> None:
         """Servers close idle links just when the next order is sent."""
         for seed in range(8, 12):
             deployment = one_server(seed)
-            for life in deployment.of_service("desks"):
-                life.listener.limits.idle_seconds = 0.5
+            for instance in deployment.of_service("desks"):
+                instance.listener.limits.idle_seconds = 0.5
             for number in range(10):
                 note = self.post(deployment, number, tries=4)
                 self.assertLessEqual(deployment.runs(note), 1)
@@ -141,7 +135,7 @@
         deployment = Deployment(13, servers=1).set_up()
         deployment.services["desks"].work_seconds = 0.5
         client = deployment.client("one")
-        notes: list[Note] = []
+        notes: list[AttemptRecord] = []
 
         async def send() -> None:
             notes.append(
@@ -199,7 +193,7 @@
             note = self.get(deployment, target)
             self.assertFalse(note.served, target)
             self.assertIn(note.status, (502, 503), target)
-            self.assertNotIn(b"OBJECT", note.said)
+            self.assertNotIn(b"OBJECT", note.response_body)
         self.assertEqual([], deployment.broken())
 
     def test_a_success_without_its_seal_is_asked_for_at_another_server(self) -> None:
@@ -323,7 +317,7 @@
         note = self.get(deployment, deadline=0.8)
         (arrival,) = deployment.arrivals(note)
         self.assertTrue(0.6 < arrival.deadline < 0.8, str(arrival.deadline))
-        self.assertLessEqual(arrival.at + arrival.deadline, note.at + 0.8)
+        self.assertLessEqual(arrival.at + arrival.deadline, note.sent_at + 0.8)
 
     def test_a_second_server_is_handed_less(self) -> None:
         deployment = Deployment(44).set_up()
@@ -373,7 +367,7 @@
                 manners(deployment, "desks", Manner.FULL)
                 self.post(deployment, 1000 + number, edge=edge)
         self.assertEqual(
-            [], over_budget(deployment.notes, deployment.history, "desks", deployment.allowed)
+            [], retry_violations(deployment.notes, deployment.history, "desks", deployment.allowed)
         )
         self.assertEqual([], deployment.broken())
 
@@ -520,16 +514,16 @@
             if arrival.service == "pages" and arrival.at > acknowledged + 2.5
         ]
         self.assertEqual([], old)
-        fresh = [note for note in deployment.notes if note.at > acknowledged + 0.5]
+        fresh = [note for note in deployment.notes if note.sent_at > acknowledged + 0.5]
         self.assertGreater(sum(note.served for note in fresh), 0.98 * len(fresh))
 
 
 class CopyTests(Orders):
     """Copies at edges: objects, parts of them, purges, lifetimes."""
 
-    def revision(self, note: Note) -> int:
-        self.assertTrue(note.served, f"{note.status} {note.end}")
-        return int((note.field(WORDS.dialect.seal) or b"").partition(b".")[0])
+    def revision(self, note: AttemptRecord) -> int:
+        self.assertTrue(note.served, f"{note.status} {note.ending}")
+        return int((note.field(PLATFORM_FORMAT.profile.seal) or b"").partition(b".")[0])
 
     def warm(self, deployment: Deployment, *targets: str) -> None:
         for target in targets:
@@ -553,7 +547,7 @@
         self.assertEqual(
             1, len([arrival for arrival in deployment.history if arrival.target == "/covers/1"])
         )
-        self.assertEqual(first.said, again.said)
+        self.assertEqual(first.response_body, again.response_body)
         self.assertNotEqual(first.identity, again.identity)
         self.assertEqual([], deployment.broken())
 
@@ -622,7 +616,7 @@
             deployment.world.run(2)
             for when, target, revision in purged:
                 for note in deployment.notes:
-                    if note.target == target and note.at > when and note.served:
+                    if note.target == target and note.sent_at > when and note.served:
                         self.assertGreaterEqual(self.revision(note), revision, f"seed {seed}")
             self.assertEqual([], deployment.broken())
 
@@ -657,7 +651,7 @@
             self.assertGreater(len(served), 500)
             for note in served:
                 when = replaced.get((note.target, self.revision(note)), 1e9)
-                self.assertLess(note.at, when + 2.0 + 0.7, f"seed {seed} {note.identity}")
+                self.assertLess(note.sent_at, when + 2.0 + 0.7, f"seed {seed} {note.identity}")
             self.assertEqual([], deployment.broken())
 
     def test_a_copy_that_is_old_and_has_not_changed_is_kept_on_under_the_callers_name(self) -> None:
@@ -675,7 +669,7 @@
     def test_parts_of_an_object_come_from_the_copy(self) -> None:
         deployment = one_server(70)
         whole = deployment.ask(CACHEABLE, "GET", "/covers/1")
-        size = len(whole.said)
+        size = len(whole.response_body)
         before = len(deployment.history)
         for asked, start, end in (
             (b"bytes=0-9", 0, 10),
@@ -685,7 +679,7 @@
         ):
             note = deployment.ask(CACHEABLE, "GET", "/covers/1", fields=[(b"Range", asked)])
             self.assertEqual(206, note.status, str(asked))
-            self.assertEqual(whole.said[start:end], note.said)
+            self.assertEqual(whole.response_body[start:end], note.response_body)
             self.assertEqual(
                 b"bytes %d-%d/%d" % (start, end - 1, size), note.field(b"Content-Range")
             )
@@ -699,7 +693,7 @@
     def test_a_part_that_is_asked_for_first_has_the_objects_mark(self) -> None:
         deployment = one_server(71)
         note = deployment.ask(CACHEABLE, "GET", "/covers/1", fields=[(b"Range", b"bytes=20-39")])
-        self.assertEqual((206, 20), (note.status, len(note.said)))
+        self.assertEqual((206, 20), (note.status, len(note.response_body)))
         self.assertTrue(deployment.ask(CACHEABLE, "GET", "/covers/1").served)
         self.assertEqual([], deployment.broken())
 
@@ -708,7 +702,7 @@
         first = deployment.ask(CACHEABLE, "GET", "/covers/1")
         tag = first.field(b"ETag") or b""
         note = deployment.ask(CACHEABLE, "GET", "/covers/1", fields=[(b"If-None-Match", tag)])
-        self.assertEqual((304, b""), (note.status, note.said))
+        self.assertEqual((304, b""), (note.status, note.response_body))
         other = deployment.ask(CACHEABLE, "GET", "/covers/1", fields=[(b"If-None-Match", b'"x"')])
         self.assertTrue(other.served)
 
@@ -721,7 +715,7 @@
         )
         for edge in deployment.edges:
             note = deployment.ask(CACHEABLE, "GET", "/covers/1", edge=edge)
-            self.assertTrue(note.said.startswith(b"OBJECT desks "))
+            self.assertTrue(note.response_body.startswith(b"OBJECT desks "))
 
     def cut_off(self, deployment: Deployment, seconds: float) -> str:
         """An edge that reaches its neighbours and servers, but for a while no control node."""
@@ -747,8 +741,8 @@
                     if edge != lapsed:
                         note = deployment.ask(CACHEABLE, "GET", target, edge=edge)
                         self.assertTrue(
-                            note.said.startswith(b"OBJECT desks "),
-                            f"{seconds} s: {edge} {note.said[:40]!r}",
+                            note.response_body.startswith(b"OBJECT desks "),
+                            f"{seconds} s: {edge} {note.response_body[:40]!r}",
                         )
 
     def test_a_neighbour_without_news_gives_nobody_purged_copies(self) -> None:
@@ -836,7 +830,7 @@
             deployment.world.run(15)
             deployment.callers_on = False
             deployment.world.run(3)
-            self.assertEqual([], over_ceiling(deployment.history, "desks", 40.0))
+            self.assertEqual([], rate_violations(deployment.history, "desks", 40.0))
             ran = sum(arrival.ran for arrival in deployment.history)
             self.assertGreater(ran, 0.7 * 40 * 15, f"seed {seed}")
             for note in deployment.notes:
@@ -860,7 +854,7 @@
             deployment.world.run(3)
             self.assertEqual(
                 [],
-                over_budget(deployment.notes, deployment.history, "pages", deployment.allowed),
+                retry_violations(deployment.notes, deployment.history, "pages", deployment.allowed),
                 manner,
             )
             self.assertEqual([], deployment.broken())
@@ -875,7 +869,7 @@
         deployment.world.run(5)
         since = deployment.world.time
         deployment.world.run(4)
-        fresh = [note for note in deployment.notes if note.at > since]
+        fresh = [note for note in deployment.notes if note.sent_at > since]
         self.assertGreater(len(fresh), 100)
         self.assertGreater(sum(note.served for note in fresh), 0.95 * len(fresh))
 
@@ -905,7 +899,7 @@
             deployment.world.run(12)
             since = deployment.world.time
             deployment.world.run(4)
-            fresh = [note for note in deployment.notes if note.at > since]
+            fresh = [note for note in deployment.notes if note.sent_at > since]
             self.assertGreater(sum(note.served for note in fresh), 0.95 * len(fresh), f"{seed}")
 
     def test_under_twice_its_load_a_service_still_does_most_of_what_it_can(self) -> None:
@@ -927,10 +921,10 @@
             deployment.world.run(3)
             since = deployment.world.time
             deployment.world.run(8)
-            last = {note.request: note for note in deployment.notes if note.at > since}
+            last = {note.request_name: note for note in deployment.notes if note.sent_at > since}
             self.assertGreater(sum(note.served for note in last.values()) / 8, 0.75 * most)
             self.assertEqual(
-                [], over_budget(deployment.notes, deployment.history, name, deployment.allowed)
+                [], retry_violations(deployment.notes, deployment.history, name, deployment.allowed)
             )
             self.assertEqual([], deployment.broken())
 
@@ -989,8 +983,8 @@
         deployment.kill(name)
         deployment.callers_on = False
         deployment.world.run(3)
-        lost = [note for note in deployment.notes if not note.whole and note.end != "no link"]
-        self.assertEqual([], [(note.at, note.end) for note in lost])
+        lost = [note for note in deployment.notes if not note.complete and note.ending != "no link"]
+        self.assertEqual([], [(note.sent_at, note.ending) for note in lost])
         self.assertEqual([], deployment.broken())
 
     def test_a_node_that_stops_says_so_before_it_takes_no_more(self) -> None:
--- a/tests/platform/test_platform_schedules.py
+++ b/tests/platform/test_platform_schedules.py
@@ -10,7 +10,7 @@
 import testtools
 from platform_schedules import RATE, Schedule
 
-from ryelock.testing.hosting_platform.clients import over_budget, over_ceiling
+from ryelock.testing.hosting_platform.checks import rate_violations, retry_violations
 
 
 class ScheduleTests(testtools.TestCase):
@@ -23,13 +23,17 @@
         deployment.callers_on = False
         deployment.world.run(3)
         told = f"seed {seed}: {schedule.happened}"
-        last = {note.request: note for note in deployment.notes if since < note.at < since + 4}
+        last = {
+            note.request_name: note for note in deployment.notes if since < note.sent_at < since + 4
+        }
         self.assertEqual([], deployment.broken(schedule.allowed), told)
         for name in deployment.services:
             self.assertEqual(
-                [], over_budget(deployment.notes, deployment.history, name, schedule.allowed), told
+                [],
+                retry_violations(deployment.notes, deployment.history, name, schedule.allowed),
+                told,
             )
-        self.assertEqual([], over_ceiling(deployment.history, "desks", RATE), told)
+        self.assertEqual([], rate_violations(deployment.history, "desks", RATE), told)
         self.assertNotIn(412, [status for _, status in schedule.told], told)
         self.assertNotIn(400, [status for _, status in schedule.told], told)
         found: Any = deployment.read()
--- a/tests/platform/test_platform_shapes.py
+++ b/tests/platform/test_platform_shapes.py
@@ -5,7 +5,7 @@
 import testtools
 
 from deployment import HOST, Deployment, route
-from ryelock.testing.hosting_platform.clients import CACHEABLE, SAFE, UNSAFE
+from ryelock.testing.hosting_platform.attempts import CACHEABLE, SAFE, UNSAFE
 
 ONE_ZONE = {"a": "north"}
 REGIONS = {"a": "north", "b": "south", "c": "west"}
@@ -34,7 +34,7 @@
         deployment.callers_on = False
         deployment.world.run(3)
         self.assertEqual([], deployment.broken())
-        last = {note.request: note for note in deployment.notes if note.at >= since}
+        last = {note.request_name: note for note in deployment.notes if note.sent_at >= since}
         self.assertGreater(len(last), clients * seconds * 2)
         return sum(note.served for note in last.values()) / len(last)
 
@@ -149,9 +149,9 @@
         for name in deployment.cores + deployment.edges:
             if name.startswith("edge-a-"):
                 deployment.kill(name, True)
-        for life in deployment.servers.values():
-            if life.zone == "a":
-                deployment.platform.crash(life)
+        for instance in deployment.servers.values():
+            if instance.zone == "a":
+                deployment.platform.crash(instance)
         deployment.world.run(8)
         self.assertGreater(self.serve(deployment), 0.97)
         sent = {**deployment.configuration, "version": "r6"}
@@ -181,7 +181,7 @@
         deployment.callers_on = False
         deployment.world.run(3)
         self.assertEqual([], deployment.broken())
-        last = {note.request: note for note in deployment.notes}
+        last = {note.request_name: note for note in deployment.notes}
         self.assertGreater(sum(note.served for note in last.values()), 0.95 * len(last))
 
     def test_edges_that_are_cut_off_from_the_core_go_on_serving(self) -> None:
@@ -207,7 +207,7 @@
             deployment = Deployment(seed, edges=1).set_up()
             deployment.crowd(6, 5.0, mix)
             deployment.world.run(5)
-            return [(note.at, note.identity, note.status) for note in deployment.notes]
+            return [(note.sent_at, note.identity, note.status) for note in deployment.notes]
 
         self.assertEqual(notes(18), notes(18))
         self.assertNotEqual(notes(18), notes(19))
--- a/tests/platform/test_platform_standin.py
+++ b/tests/platform/test_platform_standin.py
@@ -8,17 +8,12 @@
 
 import testtools
 
-from deployment import HOST, WORDS, Deployment
+from deployment import HOST, PLATFORM_FORMAT, Deployment
 from ryelock.http import Fields
-from ryelock.testing.hosting_platform import Arrival, Manner, ServerLife
-from ryelock.testing.hosting_platform.clients import (
-    SAFE,
-    UNSAFE,
-    Client,
-    Note,
-    over_budget,
-    over_ceiling,
-)
+from ryelock.testing.hosting_platform import Arrival, Manner, ServerInstance
+from ryelock.testing.hosting_platform.attempts import SAFE, UNSAFE, AttemptRecord
+from ryelock.testing.hosting_platform.checks import rate_violations, retry_violations
+from ryelock.testing.hosting_platform.clients import Client
 
 
 class Direct(testtools.TestCase):
@@ -42,7 +37,7 @@
         method: str = "GET",
         deadline: float = 1.0,
         client: Client | None = None,
-    ) -> Note:
+    ) -> AttemptRecord:
         return self.deployment.ask(
             SAFE if method == "GET" else UNSAFE,
             method,
@@ -53,7 +48,7 @@
             client=client or self.client,
         )
 
-    def many(self, count: int, deadline: float = 1.0) -> list[Note]:
+    def many(self, count: int, deadline: float = 1.0) -> list[AttemptRecord]:
         """So many callers at once, each over a link of its own."""
         before = len(self.deployment.notes)
         for number in range(count):
@@ -129,7 +124,7 @@
         self.assertEqual(2, sum(note.served for note in self.many(5)))
 
     def test_the_manners_show(self) -> None:
-        shown: dict[Manner, Callable[[Note], bool]] = {
+        shown: dict[Manner, Callable[[AttemptRecord], bool]] = {
             Manner.FULL: lambda note: (
                 note.status == 503 and note.field(b"Not-Executed") is not None
             ),
@@ -137,7 +132,7 @@
                 note.status == 429 and note.field(b"Not-Executed") is not None
             ),
             Manner.LOST: lambda note: note.status == 0,
-            Manner.CUT: lambda note: note.status == 200 and not note.whole,
+            Manner.CUT: lambda note: note.status == 200 and not note.complete,
             Manner.WRONG: lambda note: note.status == 0,
             Manner.UNSEALED: lambda note: note.served and note.field(b"Server-Seal") is None,
             Manner.CLOSING: lambda note: note.served and note.field(b"Connection") == b"close",
@@ -145,7 +140,7 @@
         for manner, fits in shown.items():
             self.life.manners.append(manner)
             note = self.ask()
-            self.assertTrue(fits(note), f"{manner}: {note.status} {note.end}")
+            self.assertTrue(fits(note), f"{manner}: {note.status} {note.ending}")
 
     def test_a_late_second_answer_comes_where_the_next_is_due(self) -> None:
         self.life.manners.append(Manner.TWIN)
@@ -162,9 +157,9 @@
     def test_parts_and_unchanged_objects(self) -> None:
         whole = self.ask()
         part = self.ask(fields=[(b"Range", b"bytes=10-19")])
-        self.assertEqual((206, whole.said[10:20]), (part.status, part.said))
+        self.assertEqual((206, whole.response_body[10:20]), (part.status, part.response_body))
         rest = self.ask(fields=[(b"Range", b"bytes=590-")])
-        self.assertEqual((206, whole.said[590:]), (rest.status, rest.said))
+        self.assertEqual((206, whole.response_body[590:]), (rest.status, rest.response_body))
         self.assertEqual(416, self.ask(fields=[(b"Range", b"bytes=600-")]).status)
         self.assertEqual(304, self.ask(fields=[(b"If-None-Match", b'"r0"')]).status)
         self.life.service.objects.change("/plain/1", 0.0)
@@ -183,21 +178,26 @@
 class CheckTests(Direct):
     """Each check on planted violations."""
 
-    def note(self, identity: str, kind: str = UNSAFE, status: int = 200) -> Note:
-        note = Note(0.0, "edge", kind, "POST", HOST, "/orders/1", identity, b"body", 1.0)
+    def note(self, identity: str, kind: str = UNSAFE, status: int = 200) -> AttemptRecord:
+        note = AttemptRecord(0.0, "edge", kind, "POST", HOST, "/orders/1", identity, b"body", 1.0)
         note.status = status
         self.deployment.notes.append(note)
         return note
 
     def arrive(
-        self, note: Note, ran: bool = True, at: float = 0.1, service: str = "desks", **changed: Any
+        self,
+        note: AttemptRecord,
+        ran: bool = True,
+        at: float = 0.1,
+        service: str = "desks",
+        **changed: Any,
     ) -> Arrival:
         arrival = Arrival.__new__(Arrival)
-        life: ServerLife = self.deployment.of_service(service)[0]
+        instance: ServerInstance = self.deployment.of_service(service)[0]
         plain = {
             "at": at,
             "service": service,
-            "identifier": life.identifier,
+            "identifier": instance.identifier,
             "method": note.method,
             "target": note.target,
             "host": note.host,
@@ -246,7 +246,7 @@
             self.found(f"unasked: x-{name}")
 
     def test_a_run_that_nobody_asked_for_is_found(self) -> None:
-        own = Note(0.0, "", SAFE, "GET", HOST, "/covers/1", "nobody", b"", 1.0)
+        own = AttemptRecord(0.0, "", SAFE, "GET", HOST, "/covers/1", "nobody", b"", 1.0)
         self.arrive(own, service="pages")
         self.assertEqual([], self.deployment.broken())
         for method, target in (
@@ -256,16 +256,16 @@
             ("GET", "/none/1"),
         ):
             self.deployment.history.clear()
-            self.arrive(Note(0.0, "", UNSAFE, method, HOST, target, "nobody", b"", 1.0))
+            self.arrive(AttemptRecord(0.0, "", UNSAFE, method, HOST, target, "nobody", b"", 1.0))
             self.found("unasked")
 
     def test_a_success_that_is_not_whole_or_not_marked_is_found(self) -> None:
-        dialect = WORDS.dialect
+        dialect = PLATFORM_FORMAT.profile
         service = self.deployment.services["desks"]
         good: Fields = [(dialect.identity, b"x-1"), (dialect.seal, service.seal("/orders/1", 0))]
         body = service.body("/orders/1", 0)
         note = self.note("x-1")
-        note.whole, note.fields, note.said = True, good, body
+        note.complete, note.fields, note.response_body = True, good, body
         self.assertEqual([], self.deployment.broken())
         for fields, said in (
             (good, body[:-1]),
@@ -276,15 +276,15 @@
             ([good[0], (dialect.seal, service.seal("/orders/1", 1))], body),
             ([*good, (b"Content-Encoding", b"gzip")], body),
         ):
-            note.fields, note.said = fields, said
+            note.fields, note.response_body = fields, said
             self.found("mixed")
 
     def test_too_many_orders_are_found(self) -> None:
         for number in range(60):
             self.arrive(self.note(f"x{number}-1", status=502), at=number * 0.08)
-        self.assertEqual([], over_ceiling(self.deployment.history, "desks", 12.0))
-        self.assertEqual([], over_ceiling(self.deployment.history, "pages", 0.0))
-        self.assertNotEqual([], over_ceiling(self.deployment.history, "desks", 9.0))
+        self.assertEqual([], rate_violations(self.deployment.history, "desks", 12.0))
+        self.assertEqual([], rate_violations(self.deployment.history, "pages", 0.0))
+        self.assertNotEqual([], rate_violations(self.deployment.history, "desks", 9.0))
 
     def test_too_many_repeats_are_found(self) -> None:
         for number in range(100):
@@ -293,7 +293,7 @@
             if number < 88:
                 self.arrive(note, at=0.01 * number + 0.005)
         args = (self.deployment.notes, self.deployment.history, "desks", self.deployment.allowed)
-        self.assertEqual([], over_budget(*args))
+        self.assertEqual([], retry_violations(*args))
         note = self.deployment.notes[0]
         self.arrive(note, at=1.0)
-        self.assertNotEqual([], over_budget(*args))
+        self.assertNotEqual([], retry_violations(*args))
--- a/tests/platform/test_platform_takeouts.py
+++ b/tests/platform/test_platform_takeouts.py
@@ -19,13 +19,8 @@
 from ryelock.http import ClientError
 from ryelock.rate_limit import RetryBudget, TokenBucket
 from ryelock.testing.hosting_platform import Manner
-from ryelock.testing.hosting_platform.clients import (
-    CACHEABLE,
-    SAFE,
-    UNSAFE,
-    over_budget,
-    over_ceiling,
-)
+from ryelock.testing.hosting_platform.attempts import CACHEABLE, SAFE, UNSAFE
+from ryelock.testing.hosting_platform.checks import rate_violations, retry_violations
 
 Run = Callable[[], list[str]]
 ONE_ZONE = {"a": "north"}
@@ -37,8 +32,8 @@
     def run() -> list[str]:
         deployment = Deployment(1, ONE_ZONE, edges=3, cores=3).set_up()
         for number in range(8):
-            for life in deployment.servers.values():
-                life.manner = manner
+            for instance in deployment.servers.values():
+                instance.manner = manner
             deployment.ask(
                 kind, method, f"{target}{number}", b"body" if method == "POST" else b"", tries=1
             )
@@ -61,12 +56,12 @@
         ),
     )
     deployment.world.run(2)
-    lives = [deployment.of_service(name)[0] for name in ("pages", "desks")]
-    for life in lives:
-        deployment.platform.crash(life)
+    instances = [deployment.of_service(name)[0] for name in ("pages", "desks")]
+    for instance in instances:
+        deployment.platform.crash(instance)
     deployment.world.run(0.3)
-    deployment.add_server("desks", "a", lives[0].address)
-    deployment.add_server("pages", "a", lives[1].address)
+    deployment.add_server("desks", "a", instances[0].address)
+    deployment.add_server("pages", "a", instances[1].address)
     deployment.world.run(6)
     return deployment.broken()
 
@@ -87,10 +82,10 @@
     deployment.crowd(24, 10.0, lambda number: (SAFE, "GET", f"/plain/{number}"))
     deployment.world.run(3)
     every_second = deque((Manner.LOST, Manner.WHOLE) * 2500)
-    for life in deployment.of_service("pages"):
-        life.manners = every_second
+    for instance in deployment.of_service("pages"):
+        instance.manners = every_second
     deployment.world.run(8)
-    return over_budget(deployment.notes, deployment.history, "pages", deployment.allowed)
+    return retry_violations(deployment.notes, deployment.history, "pages", deployment.allowed)
 
 
 def limited() -> list[str]:
@@ -100,7 +95,7 @@
     deployment.set_up()
     deployment.crowd(24, 10.0, lambda number: (UNSAFE, "POST", f"/orders/{number}"))
     deployment.world.run(8)
-    return over_ceiling(deployment.history, "desks", 40.0)
+    return rate_violations(deployment.history, "desks", 40.0)
 
 
 def as_repeatable(self: Any, request: Any) -> Any:
--- a/tests/rate_limit/test_rate_sharing.py
+++ b/tests/rate_limit/test_rate_sharing.py
@@ -6,7 +6,8 @@
 from deployment import HOST, Deployment, route, service_item
 from ryelock.edge.process import TrafficNode
 from ryelock.testing.hosting_platform import Manner
-from ryelock.testing.hosting_platform.clients import CACHEABLE, Note, over_ceiling
+from ryelock.testing.hosting_platform.attempts import CACHEABLE, AttemptRecord
+from ryelock.testing.hosting_platform.checks import rate_violations
 
 OBJECTS = 240
 LIFETIME_SECONDS = 20.0
@@ -47,11 +48,11 @@
     return CACHEABLE, "GET", f"/covers/{drawn % OBJECTS}"
 
 
-def refused(notes: list[Note]) -> float:
+def refused(notes: list[AttemptRecord]) -> float:
     """The part of the requests whose last try was refused."""
-    last: dict[str, Note] = {}
+    last: dict[str, AttemptRecord] = {}
     for note in notes:
-        last[note.request] = note
+        last[note.request_name] = note
     return sum(note.status == 503 for note in last.values()) / len(last)
 
 
@@ -79,7 +80,7 @@
         deployment.callers_on = False
         self.assertGreater(len(deployment.notes) - warm, LIFETIME_SECONDS * CLIENTS)
         self.assertLess(refused(deployment.notes[warm:]), 0.12)
-        self.assertEqual([], over_ceiling(deployment.history, "pages", TIGHT_RATE))
+        self.assertEqual([], rate_violations(deployment.history, "pages", TIGHT_RATE))
         self.assertEqual([], deployment.broken())
 
     def test_probes_that_nobody_ordered_take_little_of_a_rate(self) -> None:
--- a/tests/support/deployment.py
+++ b/tests/support/deployment.py
@@ -22,20 +22,14 @@
 from ryelock.testing.hosting_platform import (  # noqa: E402
     Arrival,
     HostingPlatform,
-    ServerLife,
+    PlatformFormat,
+    ServerInstance,
     ServiceStandIn,
-    Words,
-)
-from ryelock.testing.hosting_platform.clients import (  # noqa: E402
-    CACHEABLE,
-    SAFE,
-    UNSAFE,
-    Client,
-    Entrance,
-    Note,
-    OperatorCaller,
-    broken,
 )
+from ryelock.testing.hosting_platform.attempts import CACHEABLE, SAFE, UNSAFE, AttemptRecord  # noqa: E402
+from ryelock.testing.hosting_platform.checks import find_violations  # noqa: E402
+from ryelock.testing.hosting_platform.clients import Client, OperatorCaller  # noqa: E402
+from ryelock.testing.hosting_platform.entrance import Entrance  # noqa: E402
 from ryelock.testing.simulated import SimNode, World  # noqa: E402
 from servers import ServerListReader  # noqa: E402
 
@@ -56,13 +50,13 @@
 }
 
 
-def describe(life: ServerLife, leaving: bool, cold: float) -> Plain:
+def describe(instance: ServerInstance, leaving: bool, cold: float) -> Plain:
     return {
-        "service": life.service.name,
-        "address": life.address,
-        "zone": life.zone,
-        "version": life.version,
-        "slot_count": life.service.slots,
+        "service": instance.service.name,
+        "address": instance.address,
+        "zone": instance.zone,
+        "version": instance.version,
+        "slot_count": instance.service.slots,
         "state": "draining" if leaving else "ready",
         "cold_remaining_ms": int(cold),
     }
@@ -72,7 +66,7 @@
     return {"instances": entries, "next_token": token}
 
 
-WORDS = Words(
+PLATFORM_FORMAT = PlatformFormat(
     ProtocolProfile(
         b"Attempt-Id",
         b"Deadline-Remaining",
@@ -229,11 +223,11 @@
         self.world = World(seed)
         self.world.reset_drops_held_bytes = True
         self.history: list[Arrival] = []
-        self.notes: list[Note] = []
+        self.notes: list[AttemptRecord] = []
         self.services = {name: ServiceStandIn(name) for name in services}
         for service in self.services.values():
-            service.repeats = self.sent_by_a_caller
-        self.servers: dict[str, ServerLife] = {}
+            service.echoes_identity = self.sent_by_a_caller
+        self.servers: dict[str, ServerInstance] = {}
         self.callers_on = True
         self.outside = self.world.add("outside", "outside", "10.9.0.1")
         self.operator_node = self.world.add("operator", "operator", "10.9.0.2")
@@ -243,7 +237,7 @@
             self.platform_node.scheduler,
             self.platform_node.network,
             self.platform_node.log,
-            WORDS,
+            PLATFORM_FORMAT,
             "10.200.0.4:8142",
             lag,
             52.0,
@@ -291,28 +285,28 @@
 
     # Building.
 
-    def add_server(self, service: str, zone: str, address: str = "") -> ServerLife:
+    def add_server(self, service: str, zone: str, address: str = "") -> ServerInstance:
         number = len(self.servers)
         identifier = f"i-{service}-{number:04d}"
         address = address or f"10.128.{number // 200}.{1 + number % 200}:8080"
         node = self.world.add(identifier, identifier, address.rpartition(":")[0])
-        life = ServerLife(
+        instance = ServerInstance(
             node.scheduler,
             node.network,
             node.log,
-            WORDS,
+            PLATFORM_FORMAT,
             self.services[service],
             zone,
             identifier,
             address,
             self.history,
         )
-        self.servers[identifier] = life
-        self.platform.show(life)
-        return life
+        self.servers[identifier] = instance
+        self.platform.show(instance)
+        return instance
 
-    def of_service(self, service: str) -> list[ServerLife]:
-        return [life for life in self.servers.values() if life.service.name == service]
+    def of_service(self, service: str) -> list[ServerInstance]:
+        return [instance for instance in self.servers.values() if instance.service.name == service]
 
     def node(self, name: str) -> SimNode:
         return self.world.nodes[name]
@@ -441,7 +435,7 @@
         return Client(
             self.outside.scheduler,
             self.outside.network,
-            WORDS,
+            PLATFORM_FORMAT,
             self.entrance,
             name,
             zone or next(iter(self.zones)),
@@ -461,7 +455,7 @@
         fields: Fields | None = None,
         host: str = HOST,
         client: Client | None = None,
-    ) -> Note:
+    ) -> AttemptRecord:
         caller = client or self.client(f"one{len(self.notes)}")
         return self.world.task(
             self.outside,
@@ -512,7 +506,7 @@
         route = self.route_of(arrival.host, arrival.target)
         return arrival.method == "GET" and route.get("kind") == CACHEABLE
 
-    def allowed(self, note: Note) -> set[str]:
+    def allowed(self, note: AttemptRecord) -> set[str]:
         """The services that the configuration allows an order to go to."""
         best = self.route_of(note.host, note.target)
         split = best.get("weighted_split")
@@ -520,21 +514,21 @@
             return {part["service"] for part in split if part["weight"] > 0}
         return {str(best["service"])} if best else set()
 
-    def broken(self, allowed: Callable[[Note], set[str]] | None = None) -> list[str]:
+    def broken(self, allowed: Callable[[AttemptRecord], set[str]] | None = None) -> list[str]:
         return [
-            *broken(
+            *find_violations(
                 self.notes,
                 self.history,
                 self.services,
-                WORDS,
+                PLATFORM_FORMAT,
                 allowed or self.allowed,
                 self.own_read,
             ),
             *self.world.faults,
         ]
 
-    def runs(self, note: Note) -> int:
+    def runs(self, note: AttemptRecord) -> int:
         return sum(arrival.ran for arrival in self.history if arrival.identity == note.identity)
 
-    def arrivals(self, note: Note) -> list[Arrival]:
+    def arrivals(self, note: AttemptRecord) -> list[Arrival]:
         return [arrival for arrival in self.history if arrival.identity == note.identity]
--- a/tests/support/platform_schedules.py
+++ b/tests/support/platform_schedules.py
@@ -11,13 +11,8 @@
 from typing import Any
 
 from deployment import HOST, Deployment, route, service_item
-from ryelock.testing.hosting_platform import Manner, ServerLife
-from ryelock.testing.hosting_platform.clients import (
-    CACHEABLE,
-    SAFE,
-    UNSAFE,
-    Note,
-)
+from ryelock.testing.hosting_platform import Manner, ServerInstance
+from ryelock.testing.hosting_platform.attempts import CACHEABLE, SAFE, UNSAFE, AttemptRecord
 
 RATE = 60.0
 FAULTS = 12
@@ -74,7 +69,7 @@
 
     # What callers may be served by, whatever version was in force.
 
-    def allowed(self, note: Note) -> set[str]:
+    def allowed(self, note: AttemptRecord) -> set[str]:
         found: set[str] = set()
         for plain in self.ever:
             self.deployment.configuration = plain
@@ -127,54 +122,56 @@
 
     # Faults.
 
-    def live(self) -> list[ServerLife]:
+    def live(self) -> list[ServerInstance]:
         return [
-            life
-            for life in self.deployment.servers.values()
-            if not life.ended and not life.draining
+            instance
+            for instance in self.deployment.servers.values()
+            if not instance.ended and not instance.draining
         ]
 
     def crash_server(self) -> None:
-        life = self.random.choice(self.live())
-        self.deployment.platform.crash(life)
-        self.deployment.add_server(life.service.name, life.zone)
+        instance = self.random.choice(self.live())
+        self.deployment.platform.crash(instance)
+        self.deployment.add_server(instance.service.name, instance.zone)
 
     def hand_address(self) -> None:
         """Two servers are gone, and each one's address is the other service's."""
-        lives = [
-            self.random.choice([life for life in self.live() if life.service.name == name])
+        instances = [
+            self.random.choice(
+                [instance for instance in self.live() if instance.service.name == name]
+            )
             for name in self.deployment.services
         ]
-        for life in lives:
-            self.deployment.platform.crash(life)
+        for instance in instances:
+            self.deployment.platform.crash(instance)
         self.deployment.world.run(2)
-        for life, other in zip(lives, reversed(lives), strict=True):
-            self.deployment.add_server(life.service.name, life.zone, other.address)
+        for instance, other in zip(instances, reversed(instances), strict=True):
+            self.deployment.add_server(instance.service.name, instance.zone, other.address)
 
     def drain_server(self) -> None:
-        life = self.random.choice(self.live())
-        self.deployment.platform.drain(life)
-        self.deployment.add_server(life.service.name, life.zone)
+        instance = self.random.choice(self.live())
+        self.deployment.platform.drain(instance)
+        self.deployment.add_server(instance.service.name, instance.zone)
         self.deployment.world.at(
-            self.deployment.world.time + 4.0, lambda: self.deployment.platform.end(life)
+            self.deployment.world.time + 4.0, lambda: self.deployment.platform.end(instance)
         )
 
     def misbehave(self) -> None:
-        life = self.random.choice(self.live())
-        life.manner = self.random.choice(list(Manner))
+        instance = self.random.choice(self.live())
+        instance.manner = self.random.choice(list(Manner))
 
     def misbehave_all(self) -> None:
         name = self.random.choice(list(self.deployment.services))
         manner = self.random.choice(list(Manner))
         self.happened.append(f"  {name}: {manner}")
-        for life in self.deployment.of_service(name):
-            life.manner = manner
+        for instance in self.deployment.of_service(name):
+            instance.manner = manner
         self.deployment.world.run(3)
         self.behave()
 
     def behave(self) -> None:
-        for life in self.deployment.servers.values():
-            life.manner = Manner.WHOLE
+        for instance in self.deployment.servers.values():
+            instance.manner = Manner.WHOLE
 
     def silent_list(self) -> None:
         self.deployment.platform.silent = not self.deployment.platform.silent
