--- a/packages/control_plane/ryelock/control_plane/soft_state_exchange.py
+++ b/packages/control_plane/ryelock/control_plane/soft_state_exchange.py
@@ -27,7 +27,7 @@
     def payload(self) -> Message:
         """Return this node's sessions, its server list, and its monotonic clock in seconds."""
         return {
-            **self.membership.say(),
+            **self.membership.to_wire(),
             "listing": self.platform.update_for_peer(),
             "clock": self.scheduler.now(),
         }
@@ -44,7 +44,7 @@
         try:
             self.last_peer_clock = [disk, payload.get("clock")]
             self.platform.receive_from_peer(payload.get("listing"), sent_at)
-            self.membership.hear(payload)
+            self.membership.merge(payload)
         except ValueError:
             return
 
--- a/packages/edge/ryelock/edge/edge_delegate.py
+++ b/packages/edge/ryelock/edge/edge_delegate.py
@@ -5,7 +5,7 @@
 from ryelock.edge.quota_shares import QuotaShares
 from ryelock.edge.session_delegate import SessionDelegate
 from ryelock.membership import ServerList
-from ryelock.rate_limit.quota_allocator import Grant
+from ryelock.rate_limit import Grant
 from ryelock.runtime import Scheduler
 
 
--- a/packages/edge/ryelock/edge/lease_renewal.py
+++ b/packages/edge/ryelock/edge/lease_renewal.py
@@ -12,7 +12,7 @@
 from ryelock.edge.session_delegate import SessionDelegate
 from ryelock.edge.session_messages import LEAVE, LeaveRequest, RenewalResponse, renewal_request
 from ryelock.events import Log
-from ryelock.rate_limit.quota_allocator import Grant
+from ryelock.rate_limit import Grant
 from ryelock.rpc import Message, RpcClients
 from ryelock.rpc.codec import decode, encode
 from ryelock.rpc.errors import MalformedMessageError
--- a/packages/edge/ryelock/edge/preview.py
+++ b/packages/edge/ryelock/edge/preview.py
@@ -55,8 +55,8 @@
         if queue is None:
             return {}
         return {
-            "share": round(queue.bucket.holding(now), 3),
+            "share": round(queue.bucket.current_share(now), 3),
             "flight": queue.in_flight,
             "waiting": queue.waiting,
-            "repeats_left": round(queue.budget.room, 2),
+            "repeats_left": round(queue.budget.tokens, 2),
         }
--- a/packages/edge/ryelock/edge/server_list_view.py
+++ b/packages/edge/ryelock/edge/server_list_view.py
@@ -1,8 +1,7 @@
 """The list of upstream servers that a node goes by, and how long it is believed."""
 
 from ryelock.edge.session_messages import ServerListUpdate
-from ryelock.membership import ServerList
-from ryelock.membership.servers import servers_from_wire
+from ryelock.membership import ServerList, servers_from_wire
 from ryelock.runtime import Scheduler
 
 
@@ -48,16 +47,17 @@
             ValueError: the servers are malformed.
         """
         now = self.scheduler.now()
+        platform_requested_at = requested_at - update.since_age
+        platform_answered_at = now - update.seen_age
         found = self.known(update.source, update.version)
         if update.servers is not None:
             servers = servers_from_wire(update.servers)
-            found = ServerList(update.source, update.version, servers, 0.0)
+            found = ServerList(
+                update.source, update.version, servers, platform_requested_at, platform_answered_at
+            )
         if found is None:
             return None
-        since = requested_at - update.since_age
-        found.since = max(found.since, since)
-        found.seen = max(found.seen, now - update.seen_age)
-        found.until = max(found.until, since + self.validity_seconds)
+        found.confirm(platform_requested_at, platform_answered_at, self.validity_seconds)
         if found is self.current:
             return None
         if not self.supersedes_current(found, now):
@@ -79,6 +79,6 @@
         return (
             current is None
             or current.source == found.source
-            or now >= current.until
+            or now >= current.valid_until
             or found.follows(current)
         )
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -19,6 +19,7 @@
 from ryelock.consensus.transfer import IncomingSnapshot
 from ryelock.control_plane.voters import VoterManager
 from ryelock.edge.admission import AdmissionController
+from ryelock.edge.idempotency_claims import ClaimStatus
 from ryelock.edge.member import EdgeSession
 from ryelock.edge.request import RequestClass
 from ryelock.edge.retry_detector import RetryDetector
@@ -26,7 +27,7 @@
 from ryelock.edge.servers import Servers
 from ryelock.http import Body, IncompleteMessageError
 from ryelock.http.server import HttpServer
-from ryelock.rate_limit import QuotaAllocator, RetryBudget
+from ryelock.rate_limit import Grant, QuotaAllocator, RetryBudget
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc.codec import Natural
 from ryelock.testing.cases import CASES
@@ -69,14 +70,17 @@
 
 def whole_rate_to_each() -> list[Patch]:
     return [
-        mock.patch.object(QuotaAllocator, "share", lambda _divider, _service, rate, *_rest: rate)
+        mock.patch.object(QuotaAllocator, "share", lambda _allocator, request, *_rest: request.rate)
     ]
 
 
 def boundless_repeats() -> list[Patch]:
     return [
-        mock.patch.object(RetryBudget, "repeat", always(True)),
-        mock.patch("ryelock.rate_limit.quota_allocator.usable", lambda rate, _burst, _edges: rate),
+        mock.patch.object(RetryBudget, "try_retry", always(True)),
+        *(
+            mock.patch(f"ryelock.rate_limit.{module}.usable_rate", lambda rate, *_rest: rate)
+            for module in ("rates", "quota_allocator")
+        ),
     ]
 
 
@@ -157,8 +161,10 @@
 
 
 def keys_known_to_nobody() -> list[Patch]:
-    async def claim(_member: EdgeSession, _key: bytes, _request: str, _seconds: float) -> str:
-        return "claimed"
+    async def claim(
+        _member: EdgeSession, _key: bytes, _request: str, _seconds: float
+    ) -> ClaimStatus:
+        return ClaimStatus.CLAIMED
 
     return [mock.patch.object(EdgeSession, "claim", claim)]
 
@@ -181,7 +187,7 @@
         mock.patch.object(
             QuotaAllocator,
             "grant",
-            lambda _divider, _service, rate, _edge, wanted, *_rest: (wanted, rate, 1.0),
+            lambda _allocator, request, *_rest: Grant(request.queued, request.rate, 1.0),
         )
     ]
 
@@ -203,7 +209,7 @@
     async def admit(
         admission: AdmissionController, exchange: Any, request: Any, route: Any, key: Any = None
     ) -> Any:
-        admission.context.admission_queues[request.service].budget.first()
+        admission.context.admission_queues[request.service].budget.record_request()
         return await plain(admission, exchange, request, route, key)
 
     return [mock.patch.object(AdmissionController, "admit", admit)]
