--- a/packages/health/ryelock/health/probe.py
+++ b/packages/health/ryelock/health/probe.py
@@ -12,7 +12,6 @@
 """
 
 import hashlib
-from collections.abc import Callable
 from dataclasses import dataclass
 
 from ryelock.http import (
@@ -208,9 +207,6 @@
     """A step did not come to an answer."""
 
 
-Resolve = Callable[[str], str]
-
-
 class Probe:
     """Fetches through one edge for one watch."""
 
--- a/packages/http/ryelock/http/reader.py
+++ b/packages/http/ryelock/http/reader.py
@@ -20,14 +20,13 @@
         took: how many bytes were received in all.
     """
 
-    __slots__ = ("buffer", "connection", "scheduler", "took")
+    __slots__ = ("buffer", "connection", "scheduler")
 
     def __init__(self, scheduler: Scheduler, connection: Connection) -> None:
         """Create a reader of a connection; nothing else may receive from it."""
         self.scheduler = scheduler
         self.connection = connection
         self.buffer = bytearray()
-        self.took = 0
 
     async def receive(self, until: float) -> None:
         """Add the next received bytes to the buffer.
@@ -47,7 +46,6 @@
             raise ReadTimeoutError
         if not data:
             raise IncompleteMessageError
-        self.took += len(data)
         self.buffer += data
 
     async def read_head(self, max_bytes: int, until: float) -> bytes:
--- a/packages/testing/ryelock/testing/model/search.py
+++ b/packages/testing/ryelock/testing/model/search.py
@@ -73,16 +73,6 @@
     return searched
 
 
-def run_lists(schedules: list[Schedule]) -> list[Finding]:
-    """Run the schedules; findings are not shrunk."""
-    found = []
-    for schedule in schedules:
-        violation = run_schedule(schedule)
-        if violation is not None:
-            found.append(Finding(schedule.seed, violation.invariant, violation.detail, schedule))
-    return found
-
-
 def exhaustive_schedules(
     alphabet: tuple[Step, ...], length: int, machines: int, snapshot_records: int = 1000
 ) -> list[Schedule]:
@@ -93,18 +83,6 @@
     ]
 
 
-def exhaustive(schedules: list[Schedule], jobs: int) -> Searched:
-    """Run all of the schedules."""
-    started = time.monotonic()
-    searched = Searched(len(schedules))
-    chunks = [schedules[start : start + CHUNK] for start in range(0, len(schedules), CHUNK)]
-    with ProcessPoolExecutor(jobs) as pool:
-        for found in pool.map(run_lists, chunks):
-            searched.findings += found
-    searched.seconds = time.monotonic() - started
-    return searched
-
-
 def report(searched: Searched, shown: int = 3) -> str:
     """Figures, and the first findings of each invariant."""
     lines = [
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -39,11 +39,6 @@
     return {path: action.value for path, action in control_api.PATHS.items()}
 
 
-def control_statuses() -> dict[str, int]:
-    """Return the control API's table of HTTP statuses."""
-    return control_api.STATUSES
-
-
 def explained(account: Message) -> list[str]:
     """Return an account of a request in words."""
     return format_explanation(account)
--- a/tests/platform/test_platform_configuration.py
+++ b/tests/platform/test_platform_configuration.py
@@ -33,7 +33,6 @@
     return plain
 
 
-SPLIT = [{"service": "pages", "weight": 90}, {"service": "desks", "weight": 10}]
 INVALID: dict[str, object] = {
     "cut_short": json.dumps(whole("r9")).encode()[:-20],
     "empty": b"",
