--- a/packages/edge/ryelock/edge/membership_view.py
+++ b/packages/edge/ryelock/edge/membership_view.py
@@ -1,4 +1,4 @@
-"""The members that a node knows of, as the control leader last told it."""
+"""The members that a node knows of, by the control leader's last answer."""
 
 from ryelock.edge.session_messages import MembershipUpdate
 from ryelock.membership import Session
