--- a/packages/testing/ryelock/testing/model/adapter.py
+++ b/packages/testing/ryelock/testing/model/adapter.py
@@ -1,4 +1,4 @@
-"""All that the model test uses of the product's consensus, journal, register and keeper.
+"""All that the model uses of consensus, journal, replicated state and voter manager.
 
 Renames in those packages cost edits in this module only.
 """
@@ -38,10 +38,10 @@
 ]
 
 RETAINING_SNAPSHOT_RECORDS = 8
-"""Clusters that write images this often keep entries behind them; others send images at once."""
+"""Clusters that write snapshots this often retain entries behind them; others retain none."""
 HEARTBEAT_SECONDS = 0.15
 ELECTION_SECONDS = 0.7
-PROMISE_SECONDS = 1.5
+QUORUM_LEASE_SECONDS = 1.5
 REPLACE_SECONDS = 1.5
 
 
@@ -66,7 +66,7 @@
 
 
 class EmptyMembership:
-    """A roster without sessions: the keeper then knows no zones."""
+    """A membership without sessions: the voter manager then knows no zones."""
 
     def members(self) -> dict[str, object]:
         """No sessions."""
@@ -74,50 +74,50 @@
 
 
 class Observer(Protocol):
-    """Who is told what a node and its state machine do."""
+    """What observes a node and its state machine."""
 
     def applied(self, disk: str, index: int, data: bytes, state: object) -> None:
-        """A word was applied."""
+        """A command was applied."""
 
-    def imaged(self, disk: str, index: int, data: bytes) -> None:
-        """An image was written."""
+    def snapshot_taken(self, disk: str, index: int, data: bytes) -> None:
+        """A snapshot was written."""
 
     def restored(self, disk: str, index: int, data: bytes) -> None:
-        """An image was restored."""
+        """A snapshot was restored."""
 
     def started(self, disk: str) -> None:
         """A process runs on a disk."""
 
     def release(self, disk: str) -> None:
-        """The process on a disk was told that it may end."""
+        """The process on a disk may end."""
 
 
-class RecordedRegister(ReplicatedState):
-    """The register, telling an observer all that happens to it."""
+class ObservedReplicatedState(ReplicatedState):
+    """The replicated state, which reports to an observer all that happens to it."""
 
     __slots__ = ("disk", "observer")
 
     def __init__(self, disk: str, observer: Observer) -> None:
-        """An empty register of the node on a disk."""
+        """An empty state of the node on a disk."""
         super().__init__()
         self.disk = disk
         self.observer = observer
 
     def apply(self, index: int, data: bytes) -> dict[str, object]:
-        """Apply a word and tell the observer."""
+        """Apply a command and report it."""
         result = super().apply(index, data)
         state = (self.version, self.newest_change(), self.purge_number)
         self.observer.applied(self.disk, index, data, state)
         return result
 
     def snapshot(self) -> bytes:
-        """Write an image and tell the observer."""
+        """Write a snapshot and report it."""
         data = super().snapshot()
-        self.observer.imaged(self.disk, self.index, data)
+        self.observer.snapshot_taken(self.disk, self.index, data)
         return data
 
     def restore(self, data: bytes) -> None:
-        """Restore an image and tell the observer."""
+        """Restore a snapshot and report it."""
         super().restore(data)
         self.observer.restored(self.disk, self.index, data)
 
@@ -145,7 +145,7 @@
         self.token = token
 
     def encode(self) -> bytes:
-        """The word that the consensus group agrees on."""
+        """The command that the consensus group agrees on."""
         change = {
             "id": self.identity,
             "base": self.base,
@@ -155,18 +155,18 @@
         return encode_command("change", id=self.identity, wall=float(self.token), change=change)
 
 
-def purge_word(number: int) -> bytes:
+def purge_command(number: int) -> bytes:
     """A purge with an id of its own."""
     scopes = [{"path": f"/{number}"}]
     return encode_command("purge", id=f"purge-{number}", wall=0.0, scopes=scopes)
 
 
 def change_of(data: bytes) -> tuple[str, int, int] | None:
-    """Id, base and version of a change word; None for any other word."""
-    word = cbor2.loads(data)
-    if not isinstance(word, dict) or word.get("word") != "change":
+    """Id, base and version of a change command; None for any other command."""
+    command = cbor2.loads(data)
+    if not isinstance(command, dict) or command.get("word") != "change":
         return None
-    change = word["change"]
+    change = command["change"]
     return str(change["id"]), int(change["base"]), int(change["version"])
 
 
@@ -190,14 +190,21 @@
 
 
 class ProductNode:
-    """One control node without its daemon: consensus, register and keeper on a disk."""
+    """One control node without its daemon: consensus, state and voter manager on a disk."""
 
-    __slots__ = ("consensus", "lines", "observer", "replicated_state", "scheduler", "voter_keeper")
+    __slots__ = (
+        "consensus",
+        "observer",
+        "replicated_state",
+        "rpc_clients",
+        "scheduler",
+        "voter_manager",
+    )
 
     def __init__(
         self,
         scheduler: Scheduler,
-        lines: object,
+        rpc_clients: object,
         folder: Folder,
         name: str,
         address: str,
@@ -208,7 +215,7 @@
         segment_bytes: int,
     ) -> None:
         """Open the disk and build the node; raises DiskUnusable where the disk cannot be opened."""
-        self.lines = lines
+        self.rpc_clients = rpc_clients
         log = SilentLog()
         found = open_disk(folder, log, segment_bytes, random)
         if found.is_error():
@@ -216,18 +223,18 @@
         disk, journal = found.ok
         self.scheduler = scheduler
         self.observer = observer
-        self.replicated_state = RecordedRegister(disk, observer)
-        pace = ConsensusSettings(
+        self.replicated_state = ObservedReplicatedState(disk, observer)
+        settings = ConsensusSettings(
             heartbeat_seconds=HEARTBEAT_SECONDS,
             election_timeout=ELECTION_SECONDS,
-            lease_seconds=PROMISE_SECONDS,
+            lease_seconds=QUORUM_LEASE_SECONDS,
             replace_seconds=REPLACE_SECONDS,
             snapshot_records=snapshot_records,
             retained_bytes=RETAINED_BYTES if snapshot_records == RETAINING_SNAPSHOT_RECORDS else 0,
         )
         self.consensus = Consensus(
             scheduler,
-            cast(RpcClients, lines),
+            cast(RpcClients, rpc_clients),
             log,
             journal,
             self.replicated_state,
@@ -235,10 +242,10 @@
             disk,
             address,
             seeds,
-            pace,
+            settings,
             random,
         )
-        self.voter_keeper = VoterManager(
+        self.voter_manager = VoterManager(
             scheduler, self.consensus, cast(Membership, EmptyMembership())
         )
 
@@ -246,7 +253,7 @@
         """Start the consensus group and the care for its voters."""
         self.observer.started(self.disk)
         self.consensus.start()
-        self.scheduler.create_task(self.voter_keeper.run(), name="voters")
+        self.scheduler.create_task(self.voter_manager.run(), name="voters")
 
     @property
     def disk(self) -> str:
@@ -260,7 +267,7 @@
 
     @property
     def settled(self) -> bool:
-        """Whether it leads and has seen an entry of its own epoch agreed."""
+        """Whether it leads and has seen an entry of its own term agreed."""
         return self.consensus.settled
 
     @property
@@ -274,8 +281,8 @@
         return dict(self.consensus.voters)
 
     @property
-    def epoch(self) -> int:
-        """The current epoch."""
+    def term(self) -> int:
+        """The current term."""
         return self.consensus.term
 
     @property
@@ -284,14 +291,14 @@
         return {disk: address for disk, (address, _) in self.consensus.learners.items()}
 
     def answer(self, message: Message, reply: Reply) -> bool:
-        """Take an ask of another process; False where it is for no part of this node."""
+        """Take a request of another process; False where it is for no part of this node."""
         if message.get("kind") == RELEASE_REQUEST:
-            reply(self.voter_keeper.on_release_request(message))
+            reply(self.voter_manager.on_release_request(message))
             return True
         return self.consensus.answer(message, reply)
 
     async def change(self, change: Change) -> ChangeOutcome:
-        """Agree on a change, as the operators' desk does at the leader."""
+        """Agree on a change, as the control API does at the leader."""
         outcome = await self.consensus.propose(change.encode())
         if outcome.is_error():
             certain = outcome.error.certain
@@ -305,7 +312,7 @@
 
     async def purge(self, number: int) -> int:
         """Agree on a purge; the index of its entry, or 0 where it was not acknowledged."""
-        outcome = await self.consensus.propose(purge_word(number))
+        outcome = await self.consensus.propose(purge_command(number))
         result = outcome.ok if outcome.is_ok() else None
         return int(result["index"]) if isinstance(result, dict) and "index" in result else 0
 
@@ -339,8 +346,8 @@
 
     def __init__(self, node: ProductNode) -> None:
         """Create the departure of a node."""
-        clients = cast(RpcClients, node.lines)
-        super().__init__(node.scheduler, SilentLog(), clients, node.consensus, node.voter_keeper)
+        clients = cast(RpcClients, node.rpc_clients)
+        super().__init__(node.scheduler, SilentLog(), clients, node.consensus, node.voter_manager)
         self.node = node
 
     async def wait_for_release(self, until: float) -> bool:
@@ -352,17 +359,17 @@
 
 
 class DiskLog:
-    """What a fresh open reads back: identity, vote, image and entries of one disk."""
+    """What a fresh open reads back: identity, vote, snapshot and entries of one disk."""
 
-    __slots__ = ("base_epoch", "base_index", "base_voters", "disk", "entries", "epoch", "voted")
+    __slots__ = ("base_index", "base_term", "base_voters", "disk", "entries", "term", "voted")
 
     def __init__(self, disk: str, stored: Stored) -> None:
         """Take over what a fresh open replayed."""
         self.disk = disk
-        self.epoch = stored.term
+        self.term = stored.term
         self.voted = stored.voted_for
         self.base_index = stored.snapshot.index
-        self.base_epoch = stored.snapshot.term
+        self.base_term = stored.snapshot.term
         self.base_voters = stored.snapshot.voters
         self.entries: list[Entry] = stored.entries
 
@@ -372,24 +379,24 @@
         return self.base_index + len(self.entries)
 
     @property
-    def last_epoch(self) -> int:
-        """The epoch of the last entry."""
-        return self.entries[-1].term if self.entries else self.base_epoch
+    def last_term(self) -> int:
+        """The term of the last entry."""
+        return self.entries[-1].term if self.entries else self.base_term
 
     def entry(self, index: int) -> Entry | None:
-        """The entry at an index; None where the image stands for it or it is lacking."""
+        """The entry at an index; None where the snapshot stands for it or it is lacking."""
         position = index - self.base_index - 1
         return self.entries[position] if 0 <= position < len(self.entries) else None
 
     def holds(self, index: int, data: bytes) -> bool:
-        """Whether an entry is in the log, or in the image that stands for it."""
+        """Whether an entry is in the log, or in the snapshot that stands for it."""
         if index <= self.base_index:
             return True
         found = self.entry(index)
         return found is not None and found.data == data
 
     def configurations(self) -> list[tuple[int, dict[str, str]]]:
-        """The image's voters and those of each later entry, with their indexes."""
+        """The snapshot's voters and those of each later entry, with their indexes."""
         found = [(self.base_index, dict(self.base_voters))] if self.base_voters else []
         found += [
             (entry.index, voters_from_data(entry.data))
--- a/packages/testing/ryelock/testing/model/cluster.py
+++ b/packages/testing/ryelock/testing/model/cluster.py
@@ -1,4 +1,4 @@
-"""Control nodes on simulated machines, their operators, and one edge that asks for promises."""
+"""Control nodes on simulated machines, their operators, and one edge that asks for votes."""
 
 from collections.abc import Callable
 from random import Random
@@ -8,7 +8,7 @@
 from ryelock.rpc import NoResponseError
 from ryelock.runtime import Queue, Scheduler
 from ryelock.testing.model.adapter import (
-    PROMISE_SECONDS,
+    QUORUM_LEASE_SECONDS,
     RELEASE_REQUEST,
     UNREADABLE,
     Change,
@@ -23,12 +23,12 @@
 )
 from ryelock.testing.model.disk import Crash, ModelFolder
 from ryelock.testing.model.invariants import (
-    ACKNOWLEDGED_AGAIN,
     LIVENESS,
     READABLE,
+    RETRY_ACKNOWLEDGED,
     TASK_FAULT,
     History,
-    PromiseWindow,
+    QuorumLeaseWindow,
 )
 from ryelock.testing.model.linearizability import (
     ACCEPTED,
@@ -44,11 +44,11 @@
 SEEDS = 3
 SEGMENT_BYTES = 1500
 HEAL_SECONDS = 20.0
-LEAVE_SECONDS = 12.0
-PROMISE_ROUND_SECONDS = 0.4
+DEPARTURE_SECONDS = 12.0
+QUORUM_LEASE_ROUND_SECONDS = 0.4
 READ_SECONDS = 2.1
 CHANGE_SECONDS = 12.0
-CHANGE_TRIES = 4
+CHANGE_ATTEMPTS = 4
 
 # Variants that a schedule can leave out, so that a search goes on behind a known fault.
 
@@ -84,12 +84,12 @@
 
 
 class ModelRpcClients:
-    """The asks of one process, as `ryelock.rpc.RpcClients` offers them, over the model's world."""
+    """The requests of one process, over the model's world, in place of `ryelock.rpc.RpcClients`."""
 
     __slots__ = ("cluster", "machine", "pending_calls", "sequence")
 
     def __init__(self, cluster: "Cluster", machine: "Machine") -> None:
-        """Clients of one life of a machine's process."""
+        """Clients of one incarnation of a machine's process."""
         self.cluster = cluster
         self.machine = machine
         self.sequence = 0
@@ -98,14 +98,14 @@
     async def call(
         self, address: str, message: Message, timeout: float
     ) -> Result[Message, NoResponseError]:
-        """Ask another process; an error where no answer came in time."""
+        """Send a request to another process; an error where no answer came in time."""
         self.sequence += 1
         number = self.sequence
-        box: Queue[Message] = Queue(self.machine.scheduler)
-        self.pending_calls[number] = box
+        responses: Queue[Message] = Queue(self.machine.scheduler)
+        self.pending_calls[number] = responses
         try:
-            self.cluster.carry(self, address, message, number)
-            answer = await box.get(timeout)
+            self.cluster.send_request(self, address, message, number)
+            answer = await responses.get(timeout)
         finally:
             self.pending_calls.pop(number, None)
         if answer is None:
@@ -123,13 +123,13 @@
         "folder",
         "frozen",
         "leaving",
-        "lines",
         "log",
         "log_changes",
         "name",
         "node",
         "power_mode",
         "random",
+        "rpc_clients",
         "scheduler",
         "world",
     )
@@ -143,7 +143,7 @@
         self.busy_until = 0.0
         self.clock = MachineClock(self)
         self.scheduler = Scheduler(self.clock, self.fault)
-        self.lines = ModelRpcClients(cluster, self)
+        self.rpc_clients = ModelRpcClients(cluster, self)
         self.node: ProductNode | None = None
         self.frozen = False
         self.power_mode = ""
@@ -198,13 +198,13 @@
         if self.node is not None:
             return
         self.scheduler = Scheduler(self.clock, self.fault)
-        self.lines = ModelRpcClients(self.cluster, self)
+        self.rpc_clients = ModelRpcClients(self.cluster, self)
         self.frozen = False
         self.folder.point()
         try:
             self.node = ProductNode(
                 self.scheduler,
-                self.lines,
+                self.rpc_clients,
                 self.folder,
                 self.name,
                 self.name,
@@ -221,7 +221,7 @@
             self.node = None
             self.cluster.history.fail(READABLE, f"{self.name}: {error!r}")
 
-    def try_start(self) -> None:
+    def start_or_crash(self) -> None:
         """Start the process; an armed crash may end it at once."""
         try:
             self.start()
@@ -239,7 +239,7 @@
         if power_mode:
             self.folder.lose_power(power_mode)
 
-    def read_back(self) -> DiskLog | None:
+    def read_log(self) -> DiskLog | None:
         """The durable part of the disk, opened afresh; kept until the disk changes."""
         if self.log_changes != self.folder.changes:
             try:
@@ -271,15 +271,17 @@
 
     # Messages.
 
-    def carry(self, lines: ModelRpcClients, address: str, message: Message, number: int) -> None:
-        """Bring an ask to the process at an address, and its answer back."""
-        source, target = lines.machine, self.by_name[address]
+    def send_request(
+        self, rpc_clients: ModelRpcClients, address: str, message: Message, number: int
+    ) -> None:
+        """Carry a request to the process at an address, and its answer back."""
+        source, target = rpc_clients.machine, self.by_name[address]
         self.history.sent(message)
-        target_lines = target.lines
+        target_clients = target.rpc_clients
 
         def deliver() -> None:
             node = target.node
-            if node is None or target.lines is not target_lines:
+            if node is None or target.rpc_clients is not target_clients:
                 return
 
             def reply(answer: Message) -> None:
@@ -291,18 +293,22 @@
                     target.name,
                     source.name,
                     target.busy_until,
-                    lambda: self.give(lines, number, answer),
+                    lambda: self.deliver_response(rpc_clients, number, answer),
                 )
 
             node.answer(message, reply)
 
         self.world.send(source.name, target.name, source.busy_until, deliver)
 
-    def give(self, lines: ModelRpcClients, number: int, answer: Message) -> None:
+    def deliver_response(self, rpc_clients: ModelRpcClients, number: int, answer: Message) -> None:
         """Hand an answer to the process that asked, where it still lives."""
-        box = lines.pending_calls.get(number)
-        if box is not None and lines.machine.lines is lines and lines.machine.node is not None:
-            box.put(answer)
+        responses = rpc_clients.pending_calls.get(number)
+        if (
+            responses is not None
+            and rpc_clients.machine.rpc_clients is rpc_clients
+            and rpc_clients.machine.node is not None
+        ):
+            responses.put(answer)
 
     # Checking.
 
@@ -319,17 +325,17 @@
     # Who leads, for driving only.
 
     def leader(self, pick: int = 0) -> Machine | None:
-        """A machine whose process says that it leads; the newest epoch first."""
+        """A machine whose process leads by its own account; the newest term first."""
         found = [
             machine for machine in self.machines if machine.node is not None and machine.node.leads
         ]
-        found.sort(key=lambda machine: -machine.node.epoch if machine.node is not None else 0)
+        found.sort(key=lambda machine: -machine.node.term if machine.node is not None else 0)
         return found[pick % len(found)] if found else None
 
     def leading(self) -> set[tuple[str, int]]:
-        """Name and epoch of every process that says that it leads."""
+        """Name and term of every process that leads by its own account."""
         return {
-            (machine.name, machine.node.epoch)
+            (machine.name, machine.node.term)
             for machine in self.machines
             if machine.node is not None and machine.node.leads
         }
@@ -412,15 +418,15 @@
         index = await node.purge(number)
         if index:
             self.read_disks()
-            self.history.acknowledge_word(index, node.disk, self.world.time)
+            self.history.acknowledge_command(index, node.disk, self.world.time)
 
     def read_disks(self) -> None:
         """Open all disks afresh and check them."""
-        found = [log for machine in self.machines if (log := machine.read_back()) is not None]
-        self.history.read_back(found)
+        found = [log for machine in self.machines if (log := machine.read_log()) is not None]
+        self.history.disks_read(found)
 
     def change_voters(self, machine: Machine, wanted: dict[str, str]) -> None:
-        """Ask a leader for another set of voters, beside what its keeper does."""
+        """Ask a leader for another set of voters, beside what its voter manager does."""
         node = machine.node
         if node is not None:
             machine.scheduler.create_task(node.change_voters(wanted), name="voters")
@@ -430,51 +436,53 @@
         node = machine.node
         if node is not None and machine.leaving is not node:
             machine.leaving = node
-            machine.scheduler.create_task(self.wait_to_leave(machine, node), name="leave")
+            machine.scheduler.create_task(self.leave_then_end(machine, node), name="leave")
 
-    async def wait_to_leave(self, machine: Machine, node: ProductNode) -> None:
+    async def leave_then_end(self, machine: Machine, node: ProductNode) -> None:
         """Leave in order, then end."""
         await node.leave()
         self.world.at(self.world.time, lambda: self.end(machine, node))
 
     def end(self, machine: Machine, node: ProductNode) -> None:
-        """End a process unless another life has begun."""
+        """End a process unless another incarnation has begun."""
         if machine.node is node:
             machine.kill("")
 
     # The edge.
 
-    def ask_promises(self) -> None:
+    def request_quorum_lease(self) -> None:
         """Ask all nodes to follow no leader for a while, as an edge without a leader does."""
         asked = self.world.time
-        promises: list[QuorumLeaseVote] = []
+        votes: list[QuorumLeaseVote] = []
         over = [False]
-        message: Message = {"kind": "council.promise", "seconds": PROMISE_SECONDS}
+        message: Message = {"kind": "council.promise", "seconds": QUORUM_LEASE_SECONDS}
 
-        def hear(answer: Message) -> None:
-            promise = decode_vote(answer)
-            if over[0] or promise is None or self.world.time > asked + PROMISE_ROUND_SECONDS:
+        def on_response(answer: Message) -> None:
+            vote = decode_vote(answer)
+            if over[0] or vote is None or self.world.time > asked + QUORUM_LEASE_ROUND_SECONDS:
                 return
-            promises.append(promise)
-            if is_quorum(promises):
+            votes.append(vote)
+            if is_quorum(votes):
                 over[0] = True
-                last = max(promise.last_index for promise in promises)
+                last = max(vote.last_index for vote in votes)
                 self.history.windows.append(
-                    PromiseWindow(self.world.time, asked + PROMISE_SECONDS, last)
+                    QuorumLeaseWindow(self.world.time, asked + QUORUM_LEASE_SECONDS, last)
                 )
 
         for machine in self.machines:
-            self.edge_ask(machine, message, hear)
+            self.send_from_edge(machine, message, on_response)
 
-    def edge_ask(self, machine: Machine, message: Message, hear: Callable[[Message], None]) -> None:
-        """Ask one node for a promise as the edge."""
+    def send_from_edge(
+        self, machine: Machine, message: Message, on_response: Callable[[Message], None]
+    ) -> None:
+        """Send a request to one node as the edge."""
 
         def deliver() -> None:
             if machine.node is not None:
                 machine.node.answer(message, reply)
 
         def reply(answer: Message) -> None:
-            self.world.send(machine.name, "edge", machine.busy_until, lambda: hear(answer))
+            self.world.send(machine.name, "edge", machine.busy_until, lambda: on_response(answer))
 
         self.world.send("edge", machine.name, self.world.time, deliver)
 
@@ -482,9 +490,7 @@
 
     def may_wipe(self, machine: Machine) -> bool:
         """Whether all configurations on disks keep a majority without this machine's disk."""
-        logs = {
-            other.name: log for other in self.machines if (log := other.read_back()) is not None
-        }
+        logs = {other.name: log for other in self.machines if (log := other.read_log()) is not None}
         own = logs.pop(machine.name, None)
         if own is None:
             return True
@@ -516,7 +522,7 @@
         for machine in self.machines:
             machine.folder.repair()
             machine.frozen = False
-            machine.try_start()
+            machine.start_or_crash()
 
     def all_left(self) -> bool:
         """Whether no node is waiting for its planned end."""
@@ -526,7 +532,7 @@
 
     def majority_exists(self) -> bool:
         """Whether the newest configuration on each voter's disk still has a majority of disks."""
-        logs = [log for machine in self.machines if (log := machine.read_back()) is not None]
+        logs = [log for machine in self.machines if (log := machine.read_log()) is not None]
         there = {log.disk for log in logs}
         return all(
             len(there & set(voters)) > len(voters) // 2
@@ -548,7 +554,7 @@
     def finish(self) -> None:
         """Heal, wait for a leader and for all to catch up, then read, change and send again."""
         self.heal()
-        self.world.run_until_about(self.all_left, LEAVE_SECONDS)
+        self.world.run_until_about(self.all_left, DEPARTURE_SECONDS)
         self.heal()
         self.check()
         if not self.majority_exists():
@@ -557,10 +563,10 @@
             self.check()
             if not self.majority_exists():
                 return
-            self.history.fail(LIVENESS, f"not healed in {HEAL_SECONDS} s: {self.standing()}")
+            self.history.fail(LIVENESS, f"not healed in {HEAL_SECONDS} s: {self.describe()}")
             self.raise_found()
         self.check()
-        self.last_words()
+        self.check_serving()
         found = self.history.found
         if found is not None and found.invariant == LIVENESS and not self.majority_exists():
             return
@@ -568,30 +574,30 @@
         self.history.check_operations()
         self.raise_found()
 
-    def last_words(self) -> None:
+    def check_serving(self) -> None:
         """Read, send the newest change again, and make another change."""
         newest = self.history.newest_acknowledged()
-        for _ in range(CHANGE_TRIES):
+        for _ in range(CHANGE_ATTEMPTS):
             read = self.confirmed_read()
             if read is None:
                 break
             version, identity = read.seen
             if newest is not None and identity == newest.identity:
-                self.send_again(newest.identity, read)
+                self.retry_change(newest.identity, read)
             newest = None
             if self.accepted(self.new_change(version, version + 1)):
                 return
-        self.history.fail(LIVENESS, f"no read and change after healing: {self.standing()}")
+        self.history.fail(LIVENESS, f"no read and change after healing: {self.describe()}")
 
-    def send_again(self, identity: str, read: Operation) -> None:
+    def retry_change(self, identity: str, read: Operation) -> None:
         """The newest change must be acknowledged again, unless another was taken meanwhile."""
         if not self.accepted(self.change_named(identity)) and self.unchanged(read):
-            self.history.fail(ACKNOWLEDGED_AGAIN, f"{identity}: {self.standing()}")
+            self.history.fail(RETRY_ACKNOWLEDGED, f"{identity}: {self.describe()}")
 
     def unchanged(self, read: Operation) -> bool:
         """Whether a read finds what an earlier one found."""
-        again = self.confirmed_read()
-        return again is not None and again.seen == read.seen
+        repeated = self.confirmed_read()
+        return repeated is not None and repeated.seen == read.seen
 
     def change_named(self, identity: str) -> Change:
         """The change with an id."""
@@ -625,7 +631,7 @@
             return False
         return self.world.run_until_about(lambda: operation.ended > 0, seconds)
 
-    def standing(self) -> str:
+    def describe(self) -> str:
         """What each process says of itself, for a finding."""
         found = []
         for machine in self.machines:
@@ -635,5 +641,5 @@
                 continue
             role = "leads" if node.leads else "follows"
             voter = "voter" if node.disk in node.voters else "spare"
-            found.append(f"{machine.name} {role} {node.epoch} applied {node.applied} {voter}")
+            found.append(f"{machine.name} {role} {node.term} applied {node.applied} {voter}")
         return "; ".join(found)
--- a/packages/testing/ryelock/testing/model/disk.py
+++ b/packages/testing/ryelock/testing/model/disk.py
@@ -9,6 +9,7 @@
 
 from ryelock.journal import FolderError
 from ryelock.journal.folder import PARTIAL_SUFFIX
+from ryelock.testing.simulated.memory_files import read_file
 
 
 class Crash(BaseException):
@@ -63,9 +64,7 @@
 
     def read(self, name: str) -> bytes:
         """What a running process reads of a file."""
-        if name not in self.files:
-            raise FolderError(f"{name}: no such file")
-        return self.files[name]
+        return read_file(self.files, name)
 
     def append(self, name: str, data: bytes) -> None:
         """Append to a file; not synced."""
@@ -152,15 +151,28 @@
             self.fault = None
         return True
 
+    def begin_change(self, name: str) -> None:
+        """Begin to change a file that is there; raises FolderError where the disk fails."""
+        self.point()
+        if self.fails(Fault.IO):
+            raise FolderError("input/output error")
+        if name not in self.files:
+            raise FolderError(f"{name}: no such file")
+        self.changes += 1
+
+    def stall_once(self) -> None:
+        """Block the process for as long as a step of the schedule has set."""
+        if self.stall_seconds:
+            seconds, self.stall_seconds = self.stall_seconds, 0.0
+            self.on_stall(seconds)
+
     def names(self) -> list[str]:
         """Names of all files."""
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
         """What a running process reads of a file."""
-        if name not in self.files:
-            raise FolderError(f"{name}: no such file")
-        return bytes(self.files[name])
+        return read_file(self.files, name)
 
     def append(self, name: str, data: bytes) -> None:
         """Append to a file; not synced."""
@@ -177,9 +189,7 @@
     def sync(self, name: str) -> None:
         """Sync a file."""
         self.point()
-        if self.stall_seconds:
-            seconds, self.stall_seconds = self.stall_seconds, 0.0
-            self.on_stall(seconds)
+        self.stall_once()
         if self.fails(Fault.SYNC, Fault.IO):
             raise FolderError("input/output error")
         self.changes += 1
@@ -189,21 +199,14 @@
 
     def truncate(self, name: str, size: int) -> None:
         """Cut a file; not synced."""
-        self.point()
-        if self.fails(Fault.IO):
-            raise FolderError("input/output error")
-        if name not in self.files:
-            raise FolderError(f"{name}: no such file")
-        self.changes += 1
+        self.begin_change(name)
         del self.files[name][size:]
         self.point()
 
     def write_whole(self, name: str, data: bytes) -> None:
         """Replace a file by synced data, then sync the folder."""
         self.point()
-        if self.stall_seconds:
-            seconds, self.stall_seconds = self.stall_seconds, 0.0
-            self.on_stall(seconds)
+        self.stall_once()
         if self.fails(Fault.FULL, Fault.IO):
             raise FolderError("no space left on device")
         self.changes += 1
@@ -219,30 +222,20 @@
         self.point()
         if self.fails(Fault.FOLDER):
             raise FolderError("input/output error")
-        self.settle_names()
+        self.sync_renames()
         self.point()
 
     def rename(self, name: str, other: str) -> None:
         """Rename a file and sync the folder."""
-        self.point()
-        if self.fails(Fault.IO):
-            raise FolderError("input/output error")
-        if name not in self.files:
-            raise FolderError(f"{name}: no such file")
-        self.changes += 1
+        self.begin_change(name)
         self.files[other] = self.files.pop(name)
         self.durable[other] = self.durable.pop(name, b"")
-        self.settle_names()
+        self.sync_renames()
         self.point()
 
     def delete(self, name: str) -> None:
         """Remove a file; the folder is not synced."""
-        self.point()
-        if self.fails(Fault.IO):
-            raise FolderError("input/output error")
-        if name not in self.files:
-            raise FolderError(f"{name}: no such file")
-        self.changes += 1
+        self.begin_change(name)
         del self.files[name]
         if name in self.durable:
             self.deleted[name] = self.durable.pop(name)
@@ -254,10 +247,10 @@
         if self.fails(Fault.FOLDER, Fault.IO):
             raise FolderError("input/output error")
         self.changes += 1
-        self.settle_names()
+        self.sync_renames()
         self.point()
 
-    def settle_names(self) -> None:
+    def sync_renames(self) -> None:
         """Names that were given and removed before are on disk now, with their synced data."""
         self.deleted.clear()
         for name in self.renamed:
@@ -278,7 +271,7 @@
             chance = {LossMode.LOST: 1.0, LossMode.ANY: 0.5}.get(mode, 0.0)
             if name not in self.files and self.random.random() < chance:
                 self.files[name] = bytearray(data_before)
-        self.settle()
+        self.mark_durable()
 
     def lose_name(self, name: str, before: bytes | None, mode: str) -> None:
         """A file was replaced whole, but the folder not synced: it is the old or the new one."""
@@ -306,7 +299,7 @@
             return durable
         return data[: len(durable) + self.random.randrange(len(data) - len(durable) + 1)]
 
-    def settle(self) -> None:
+    def mark_durable(self) -> None:
         """All that is there counts as durable from now on."""
         self.durable = {name: bytes(data) for name, data in self.files.items()}
         self.deleted.clear()
--- a/packages/testing/ryelock/testing/model/schedule.py
+++ b/packages/testing/ryelock/testing/model/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules: steps as plain data, how they are drawn, run, shrunk and written down."""
+"""Schedules: steps as data, how they are drawn, run, shrunk and written down."""
 
 import json
 from dataclasses import dataclass, field
@@ -246,17 +246,17 @@
 
 def decode_schedule(text: str) -> Schedule:
     """A schedule from the JSON of `Schedule.encode`."""
-    plain = json.loads(text)
+    decoded = json.loads(text)
     steps = tuple(
         (str(kind), int(first), int(second), int(third))
-        for kind, first, second, third in plain["steps"]
+        for kind, first, second, third in decoded["steps"]
     )
     return Schedule(
-        plain["seed"],
-        plain["machines"],
-        plain["image_records"],
+        decoded["seed"],
+        decoded["machines"],
+        decoded["image_records"],
         steps,
-        frozenset(plain.get("without", ())),
+        frozenset(decoded.get("without", ())),
     )
 
 
@@ -309,7 +309,7 @@
         """Start all machines, run the steps, heal and finish."""
         cluster = self.cluster
         for machine in cluster.machines:
-            machine.try_start()
+            machine.start_or_crash()
         cluster.world.run(1.5)
         cluster.check()
         for kind, *arguments in self.schedule.steps:
@@ -405,10 +405,10 @@
     def start(self, one: int, *_: int) -> None:
         """Start a machine that is down; with an even number, all of them."""
         if one % 2:
-            self.machine(one).try_start()
+            self.machine(one).start_or_crash()
             return
         for machine in self.cluster.machines:
-            machine.try_start()
+            machine.start_or_crash()
 
     def wipe(self, one: int, *_: int) -> None:
         """Replace a machine's disk by an empty one."""
@@ -489,7 +489,7 @@
 
     def promise(self, *_: int) -> None:
         """Ask for promises as the edge."""
-        self.cluster.ask_promises()
+        self.cluster.request_quorum_lease()
 
     def voters(self, one: int, pick: int, _: int) -> None:
         """Ask the leader for another set of voters: one out, or a learner in."""
@@ -522,14 +522,14 @@
     return None
 
 
-def shrink(schedule: Schedule, invariant: str, tries: int = 600) -> Schedule:
+def shrink(schedule: Schedule, invariant: str, attempts_most: int = 600) -> Schedule:
     """Leave out steps as long as the same invariant stays broken."""
     steps = list(schedule.steps)
     size = max(1, len(steps) // 2)
-    while size and tries:
+    while size and attempts_most:
         position = 0
-        while position < len(steps) and tries:
-            tries -= 1
+        while position < len(steps) and attempts_most:
+            attempts_most -= 1
             fewer = tuple(steps[:position] + steps[position + size :])
             found = run_schedule(schedule.with_steps(fewer))
             if found is not None and found.invariant == invariant:
--- a/packages/testing/ryelock/testing/simulated/world.py
+++ b/packages/testing/ryelock/testing/simulated/world.py
@@ -26,6 +26,7 @@
     TaskCoroutine,
 )
 from ryelock.settings import Settings, read_settings
+from ryelock.testing.simulated.memory_files import read_file
 from ryelock.testing.simulated.simulated_time import SimulatedTime
 
 Found = TypeVar("Found")
@@ -172,9 +173,7 @@
 
     def read(self, name: str) -> bytes:
         """Return a file's bytes; raises FolderError where there is none."""
-        if name not in self.files:
-            raise FolderError(f"{name}: no such file")
-        return bytes(self.files[name])
+        return read_file(self.files, name)
 
     def append(self, name: str, data: bytes) -> None:
         """Append bytes to a file, which may be new; not synced."""
--- a/tests/support/observed.py
+++ b/tests/support/observed.py
@@ -86,7 +86,7 @@
     worlds: list[World] = []
     create = World.__init__
     carry, reset, write = World.carry, World.reset, RecordingLog.write
-    model_carry, model_give = Cluster.carry, Cluster.give
+    model_carry, model_give = Cluster.send_request, Cluster.deliver_response
 
     def created(world: World, seed: int) -> None:
         worlds.append(world)
@@ -137,8 +137,8 @@
         stack.enter_context(patch(World, "reset", was_reset))
         stack.enter_context(patch(RecordingLog, "write", written))
         stack.enter_context(patch(SilentLog, "write", silently_written))
-        stack.enter_context(patch(Cluster, "carry", asked))
-        stack.enter_context(patch(Cluster, "give", given))
+        stack.enter_context(patch(Cluster, "send_request", asked))
+        stack.enter_context(patch(Cluster, "deliver_response", given))
         for name in FOLDER_WRITES:
             for kind in (SimFolder, ModelFolder):
                 stack.enter_context(patch(kind, name, observed_write(kind, name, observer)))
