--- a/packages/testing/ryelock/testing/cases/answers.py
+++ b/packages/testing/ryelock/testing/cases/answers.py
@@ -18,10 +18,10 @@
     REQUEST_SECONDS,
     SERVICE,
     AnswerFleet,
+    CallerAnswer,
     Event,
     Moment,
     Script,
-    Told,
     body_of,
 )
 
@@ -86,7 +86,9 @@
         "why",
     )
 
-    def __init__(self, fleet: AnswerFleet, kind: Kind, name: str, target: str, told: Told) -> None:
+    def __init__(
+        self, fleet: AnswerFleet, kind: Kind, name: str, target: str, told: CallerAnswer
+    ) -> None:
         """Collect what the servers saw of a request that was answered."""
         arrivals = fleet.arrivals(name)
         self.kind = kind
--- a/packages/testing/ryelock/testing/cases/traffic.py
+++ b/packages/testing/ryelock/testing/cases/traffic.py
@@ -24,7 +24,7 @@
 def crowd(seed: int) -> Findings:
     """Everybody arrives at once, and many ask again the instant something fails."""
     scenario = Scenario(seed)
-    scenario.rate_rate = {"pages": 40.0, "desks": 10.0}
+    scenario.service_rates = {"pages": 40.0, "desks": 10.0}
     services = {
         "pages": {"rate": 40, "answer_seconds": 2},
         "desks": {"rate": 10, "flight": 8, "answer_seconds": 2},
@@ -211,7 +211,7 @@
     """A crowd before desks of fewer orders a second than there are edges; edges, leaders die."""
     rate = [1.0, 2.0, 5.0][seed % 3]
     scenario = Scenario(seed, edges=5, probers=0)
-    scenario.rate_rate = {"desks": rate}
+    scenario.service_rates = {"desks": rate}
     scenario.set_up()
     scenario.world.task(
         scenario.operators,
--- a/packages/testing/ryelock/testing/days/dayfile.py
+++ b/packages/testing/ryelock/testing/days/dayfile.py
@@ -8,8 +8,6 @@
 
 from ryelock.testing.days.fault_kinds import Closing, Entry
 
-TROUBLE_SLOT = "trouble"
-
 
 class SiteError(ValueError):
     """A site file lacks what days are drawn from."""
--- a/packages/testing/ryelock/testing/days/drawing.py
+++ b/packages/testing/ryelock/testing/days/drawing.py
@@ -1,6 +1,6 @@
 """Days drawn from a seed: every pair of kinds meets in at least one day.
 
-Each day holds some kinds of trouble and one closing fault. Kinds are picked greedily: first a pair
+Each day holds some kinds of faults and one closing fault. Kinds are picked greedily: first a pair
 that no earlier day holds, then, one by one, the kind that adds the most pairs not yet held. Times
 come in a few groups, so that entries of a day overlap, and some kinds come twice.
 """
--- a/packages/testing/ryelock/testing/days/fault_kinds.py
+++ b/packages/testing/ryelock/testing/days/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of trouble and planned work that a day file of the users' bench may hold.
+"""The kinds of faults and planned work that a day file of the users' bench may hold.
 
 A day file lists entries; each has a `kind`, a time `at` in seconds from the start of traffic, and
 the fields that its kind takes. `KINDS` names every kind with its variants (the field `how`) and the
--- a/packages/testing/ryelock/testing/finals.py
+++ b/packages/testing/ryelock/testing/finals.py
@@ -351,7 +351,7 @@
     )
     scenario.set_up()
     scenario.ask_readiness()
-    scenario.rate_rate = {"pages": 120.0, "desks": 60.0}
+    scenario.service_rates = {"pages": 120.0, "desks": 60.0}
     scenario.world.task(
         scenario.operators,
         scenario.change(
--- a/packages/testing/ryelock/testing/model/schedule.py
+++ b/packages/testing/ryelock/testing/model/schedule.py
@@ -223,7 +223,7 @@
 
     seed: int
     machines: int
-    image_records: int
+    snapshot_records: int
     steps: tuple[Step, ...]
     without: frozenset[str] = field(default_factory=frozenset)
 
@@ -233,7 +233,7 @@
             {
                 "seed": self.seed,
                 "machines": self.machines,
-                "image_records": self.image_records,
+                "image_records": self.snapshot_records,
                 "without": sorted(self.without),
                 "steps": self.steps,
             }
@@ -241,7 +241,7 @@
 
     def with_steps(self, steps: tuple[Step, ...]) -> "Schedule":
         """The same schedule with other steps."""
-        return Schedule(self.seed, self.machines, self.image_records, steps, self.without)
+        return Schedule(self.seed, self.machines, self.snapshot_records, steps, self.without)
 
 
 def decode_schedule(text: str) -> Schedule:
@@ -298,7 +298,7 @@
     def __init__(self, schedule: Schedule) -> None:
         """A cluster for a schedule, not started yet."""
         self.schedule = schedule
-        self.cluster = Cluster(schedule.seed, schedule.machines, schedule.image_records)
+        self.cluster = Cluster(schedule.seed, schedule.machines, schedule.snapshot_records)
 
     def play(self) -> None:
         """Raises Violation at the first step after which an invariant does not hold."""
--- a/packages/testing/ryelock/testing/processes/fleet_faults.py
+++ b/packages/testing/ryelock/testing/processes/fleet_faults.py
@@ -142,14 +142,14 @@
     while number > run.crowd_over and run.scheduler.now() < until + 20:
         await run.scheduler.sleep(0.1)
     told = [one for one in run.notes if one.sent_at >= before and one.identity.startswith("x")]
-    declined = [one for one in told if one.complete and one.status in (429, 503)]
+    rejected = [one for one in told if one.complete and one.status in (429, 503)]
     run.report["crowd"] = {
         "came": number,
         "whole_200": sum(one.complete and one.status == 200 for one in told),
-        "declined": len(declined),
-        "declined_without_retry_after": sum(not one.retry_after for one in declined),
-        "decline_median_ms": round(statistics.median([one.seconds for one in declined]) * 1000, 1)
-        if declined
+        "declined": len(rejected),
+        "declined_without_retry_after": sum(not one.retry_after for one in rejected),
+        "decline_median_ms": round(statistics.median([one.seconds for one in rejected]) * 1000, 1)
+        if rejected
         else None,
     }
     await run.scheduler.sleep(2.0)
--- a/packages/testing/ryelock/testing/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -93,10 +93,10 @@
         "probers",
         "purges",
         "random",
-        "rate_rate",
         "reads",
         "row_stores",
         "servers",
+        "service_rates",
         "settings",
         "world",
         "zones",
@@ -135,7 +135,7 @@
         self.servers: dict[str, ServerStandIn] = {}
         self.callers_on = True
         self.asked_ready: set[str] | None = None
-        self.rate_rate = {"pages": 120.0, "desks": 20.0}
+        self.service_rates = {"pages": 120.0, "desks": 20.0}
         self.planned = 0
         self.late_most = EVALUATION_SECONDS_MOST
         self.plans: dict[str, tuple[str, dict[str, object]]] = {}
@@ -556,7 +556,7 @@
         found = Findings()
         check_at_most_once(found, self.notes, self.history)
         check_bytes(found, self.notes, self.objects, SERVICE_OF)
-        check_rates(found, self.history, self.rate_rate)
+        check_rates(found, self.history, self.service_rates)
         check_retry_budget(found, self.history)
         check_misrouted(found, self.history, SERVICE_OF)
         check_leaving(found, self.history, self.platform.shown_since)
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -304,8 +304,8 @@
         }[event]
 
 
-class Told:
-    """What a caller was told: the status (0 for no whole answer) and the body."""
+class CallerAnswer:
+    """What a caller was answered: the status (0 for no whole answer) and the body."""
 
     __slots__ = ("body", "seconds", "status")
 
@@ -465,7 +465,7 @@
 
     async def ask(
         self, name: str, method: str, target: str, more: Fields | None = None, edge: int = 0
-    ) -> Told:
+    ) -> CallerAnswer:
         """One request of a caller, on a link of its own."""
         started = self.world.time
         found = await fetch(
@@ -484,11 +484,11 @@
             REQUEST_SECONDS + 1.0,
         )
         status, body = (found.ok[0].status, found.ok[1]) if found.is_ok() else (0, b"")
-        return Told(status, body, self.world.time - started)
+        return CallerAnswer(status, body, self.world.time - started)
 
     def ask_now(
         self, name: str, method: str, target: str, more: Fields | None = None, edge: int = 0
-    ) -> Told:
+    ) -> CallerAnswer:
         """Send one request and run the simulation until it is answered."""
         return self.world.task(self.outside, self.ask(name, method, target, more, edge), 20)
 
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -365,7 +365,7 @@
     def failed_in_a_crowd(self, seed: int) -> int:
         """Readers come at six times a service's rate; nothing else is wrong."""
         scenario = Scenario(seed, settings={"probe_seconds": 2.0, "probe_timeout": 1.9})
-        scenario.rate_rate = {"pages": 40.0, "desks": 20.0}
+        scenario.service_rates = {"pages": 40.0, "desks": 20.0}
         scenario.set_up()
         apply(scenario, services={"pages": {"rate": 40, "answer_seconds": 2}})
         scenario.operators.scheduler.create_task(scenario.watch_verdicts(), name="verdicts")
