--- a/packages/control_plane/ryelock/control_plane/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -167,8 +167,8 @@
         for name, session in edges.items():
             if session.role == "edge":
                 zones.setdefault(session.zone, []).append(name)
-        weights, assumed = self.weights.weights(sorted(zones))
-        evaluation = evaluate(zones, watches, weights, assumed, self.history, self.rules, now)
+        shares = self.weights.shares(sorted(zones))
+        evaluation = evaluate(zones, watches, shares, self.history, self.rules, now)
         evaluation.gone_watches = gone
         return evaluation
 
--- a/packages/health/ryelock/health/__init__.py
+++ b/packages/health/ryelock/health/__init__.py
@@ -1,40 +1,40 @@
 """Health of zones by probes of real objects: from one fetch to a verdict for the network.
 
-probe.py is one probe of one target; prober.py runs probes at their cadence and keeps the results
-that a new aggregator asks for again. history.py holds the results of all probers, bounded, and the
-daily summary; evaluation.py is the rule from results to verdicts; weights.py turns what edges
-served into each zone's share of visitors.
+`probe` is one probe of one target, whose age `ages` judges; `prober` runs probes at their interval
+and keeps the `results` that a new aggregator asks for again. `history` has the results of all
+probers, bounded, and the daily summary; `evaluation` is the rule from results to `verdicts`;
+`weights` turns what edges served into each zone's share of visitors.
 """
 
-from ryelock.health.evaluation import (
-    Evaluation,
-    EvaluationRules,
-    Verdict,
-    ZoneVerdict,
-    evaluate,
-    find_gone_watches,
-)
-from ryelock.health.history import History
-from ryelock.health.probe import (
-    OutdatedTagTimer,
-    Probe,
+from ryelock.health.ages import OutdatedTagTimer
+from ryelock.health.evaluation import evaluate, find_gone_watches
+from ryelock.health.history import History, TargetKey
+from ryelock.health.probe import Probe
+from ryelock.health.prober import Prober, ProbeTarget
+from ryelock.health.results import (
+    HealthError,
+    MalformedProbeResultError,
     ProbeResult,
     decode_probe_result,
     watch_fingerprint,
 )
-from ryelock.health.prober import Prober, ProbeTarget
-from ryelock.health.weights import ZoneWeights
+from ryelock.health.verdicts import Evaluation, EvaluationRules, Verdict, ZoneVerdict
+from ryelock.health.weights import ZoneShares, ZoneWeights
 
 __all__ = [
     "Evaluation",
     "EvaluationRules",
+    "HealthError",
     "History",
+    "MalformedProbeResultError",
     "OutdatedTagTimer",
     "Probe",
     "ProbeResult",
     "ProbeTarget",
     "Prober",
+    "TargetKey",
     "Verdict",
+    "ZoneShares",
     "ZoneVerdict",
     "ZoneWeights",
     "decode_probe_result",
--- a/packages/health/ryelock/health/prober.py
+++ b/packages/health/ryelock/health/prober.py
@@ -1,10 +1,10 @@
-"""The prober: every target of its zone at its cadence, few in flight, rows kept and told again.
+"""The prober: probes every target of its zone at its interval, and keeps the results.
 
 Which edges there are comes from the control plane's members, which watches from the current
-configuration. A row or two a round goes to an edge of another zone: it tells a prober whose
-own network is broken from one that sees a broken zone. Rows wait in a bounded store until the
-present aggregator has said it has them, and go to a new aggregator from the start. A probe that
-was declined because servers are full tells of the crowd, not of the edge: no row comes of it.
+configuration. A probe or two a round goes to an edge of another zone: it tells a prober whose
+own network is broken from one that sees a broken zone. Results wait in a bounded store until the
+present aggregator has acknowledged them, and go to a new aggregator from the start. A probe that
+was rejected because servers are full tells of the load, not of the edge: no result comes of it.
 """
 
 import zlib
@@ -12,12 +12,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ryelock.health.probe import CROWDED, OutdatedTagTimer, Probe, ProbeResult, watch_fingerprint
+from ryelock.health.ages import OutdatedTagTimer
+from ryelock.health.probe import OVERLOADED, Probe
+from ryelock.health.results import ProbeResult, watch_fingerprint
 from ryelock.http import ProtocolProfile
 from ryelock.replicated_state import Watch
 from ryelock.runtime import Network, Queue, Scheduler, Task
 
 MAX_STORED_RESULTS = 4000
+MAX_SENT_RESULTS = 200
+"""Results that are sent to the aggregator at once."""
+CROSS_ZONE_KEY = ("", "", "")
+"""Key under which all targets of other zones together have their turn."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,9 +36,10 @@
         address: host:port where the edge takes requests.
         watch_name: name of the watch.
         watch: what to fetch.
-        outside: whether the edge stands in another zone than the prober.
-        seconds: least time between two probes; 0 where the prober's own cadence is meant.
-        mark: tells this watch from another of its name.
+        cross_zone: whether the edge stands in another zone than the prober.
+        min_interval_seconds: least time between two probes; 0 where the prober's own
+            interval is meant.
+        watch_fingerprint: tells this watch from another of its name.
     """
 
     zone: str
@@ -45,17 +52,17 @@
     watch_fingerprint: str = field(init=False)
 
     def __post_init__(self) -> None:
-        """Work out the mark."""
+        """Derive the fingerprint."""
         object.__setattr__(self, "watch_fingerprint", watch_fingerprint(self.watch))
 
     @property
     def key(self) -> tuple[str, str, str]:
-        """What tells targets apart: edge, watch and the watch's mark."""
+        """What tells targets apart: edge, watch and the watch's fingerprint."""
         return self.edge, self.watch_name, self.watch_fingerprint
 
 
 class Prober:
-    """Runs the probes of one node and keeps their rows."""
+    """Runs the probes of one node and keeps their results."""
 
     __slots__ = (
         "credentials",
@@ -142,38 +149,52 @@
             running.cancel()
 
     async def run(self) -> None:
-        """Start each target when it is due, as far as the flight has room."""
+        """Probe each target when it is due, with at most `max_in_flight` probes at once."""
         while True:
             now = self.scheduler.now()
-            targets = self.list_targets()
-            inside = [target for target in targets if not target.cross_zone]
-            outside = [target for target in targets if target.cross_zone]
-            known = {target.key for target in targets}
-            for key in [key for key in self.next_probe_at if key not in known and key[1] != ""]:
+            for target in self.round_targets():
+                if self.is_due(target, now):
+                    await self.start_probe(target, now)
+            await self.scheduler.sleep(min(1.0, self.interval_seconds / 10))
+
+    def round_targets(self) -> list[ProbeTarget]:
+        """Return the targets of this zone and the one of another zone whose turn it is."""
+        targets = self.list_targets()
+        self.forget_others({target.key for target in targets})
+        own_zone = [target for target in targets if not target.cross_zone]
+        cross_zone = [target for target in targets if target.cross_zone]
+        if cross_zone:
+            own_zone.append(cross_zone[self.cross_zone_turn % len(cross_zone)])
+        return own_zone
+
+    def forget_others(self, present: set[tuple[str, str, str]]) -> None:
+        """Drop what is kept of targets that are no more."""
+        for key in list(self.next_probe_at):
+            if key not in present and key != CROSS_ZONE_KEY:
                 del self.next_probe_at[key]
                 self.tag_timers.pop(key, None)
-            if outside:
-                inside.append(outside[self.cross_zone_turn % len(outside)])
-            for target in inside:
-                key = ("", "", "") if target.cross_zone else target.key
-                if key not in self.next_probe_at:
-                    self.next_probe_at[key] = now + self.phase_of(target)
-                if self.next_probe_at.get(key, 0.0) > now:
-                    continue
-                if target.cross_zone:
-                    self.cross_zone_turn += 1
-                self.next_probe_at[key] = now + max(
-                    self.interval_seconds, target.min_interval_seconds
-                )
-                await self.free_slots.get()
-                self.tasks = [running for running in self.tasks if not running.done]
-                self.tasks.append(
-                    self.scheduler.create_task(self.probe(target), name=f"probe of {target.edge}")
-                )
-            await self.scheduler.sleep(min(1.0, self.interval_seconds / 10))
+
+    def is_due(self, target: ProbeTarget, now: float) -> bool:
+        """Tell whether a target is to be probed now; a new one gets its first time."""
+        key = schedule_key(target)
+        if key not in self.next_probe_at:
+            self.next_probe_at[key] = now + self.phase_of(target)
+        return self.next_probe_at[key] <= now
+
+    async def start_probe(self, target: ProbeTarget, now: float) -> None:
+        """Start a probe as soon as one of the slots is free; `now` is the start of the round."""
+        if target.cross_zone:
+            self.cross_zone_turn += 1
+        interval = max(self.interval_seconds, target.min_interval_seconds)
+        self.next_probe_at[schedule_key(target)] = now + interval
+        await self.free_slots.get()
+        self.tasks = [running for running in self.tasks if not running.done]
+        self.tasks.append(
+            self.scheduler.create_task(self.probe(target), name=f"probe of {target.edge}")
+        )
 
     def phase_of(self, target: ProbeTarget) -> float:
-        """Seconds until a target is probed first: at once, or spread over a longer cadence.
+        """Return the seconds until a target is first probed: 0, or spread over a longer interval.
 
         Targets that are probed seldom, for the sake of their service, must not all come at once.
         """
@@ -182,9 +203,9 @@
         return extra * spread
 
     async def probe(self, target: ProbeTarget) -> None:
-        """Probe one target and keep the row, unless the service was only overloaded."""
+        """Probe one target and keep the result, unless the service was only overloaded."""
         self.sequence += 1
-        row = ProbeResult(
+        result = ProbeResult(
             self.name,
             self.machine,
             self.sequence,
@@ -195,7 +216,7 @@
             self.scheduler.clock.wall(),
             target.watch_fingerprint,
         )
-        dater = self.tag_timers.setdefault(target.key, OutdatedTagTimer())
+        timer = self.tag_timers.setdefault(target.key, OutdatedTagTimer())
         probe = Probe(
             self.scheduler,
             self.network,
@@ -206,26 +227,34 @@
             self.profile,
         )
         try:
-            await probe.run(row, dater)
+            await probe.run(result, timer)
         finally:
             self.free_slots.put(True)
-        if row.error == CROWDED:
-            return
-        self.results.append(row)
-        while (
-            self.results
-            and self.scheduler.now() - self.results[0].started_at > self.retention_seconds
-        ):
+        if result.error != OVERLOADED:
+            self.store(result)
+
+    def store(self, result: ProbeResult) -> None:
+        """Keep a result, and drop those that are too old."""
+        self.results.append(result)
+        now = self.scheduler.now()
+        while self.results and now - self.results[0].started_at > self.retention_seconds:
             self.results.popleft()
 
-    def results_since(self, sequence: int, max_results: int = 200) -> list[ProbeResult]:
-        """Rows that an aggregator which has up to a sequence lacks, oldest first.
+    def results_since(
+        self, sequence: int, max_results: int = MAX_SENT_RESULTS
+    ) -> list[ProbeResult]:
+        """Return the results that an aggregator which has up to a sequence lacks, oldest first.
 
-        Rows are stored when a probe ends, so sequences may stand out of order; a row counts
-        as had when the aggregator named it or a later stored one.
+        Results are stored when a probe ends, so sequences may stand out of order; the aggregator
+        has a result where it named that one or one that was stored later.
         """
-        rows = list(self.results)
-        for position in range(len(rows) - 1, -1, -1):
-            if rows[position].sequence == sequence:
-                return rows[position + 1 : position + 1 + max_results]
-        return rows[:max_results]
+        results = list(self.results)
+        for position in range(len(results) - 1, -1, -1):
+            if results[position].sequence == sequence:
+                return results[position + 1 : position + 1 + max_results]
+        return results[:max_results]
+
+
+def schedule_key(target: ProbeTarget) -> tuple[str, str, str]:
+    """Return the key under which a target's next probe is scheduled."""
+    return CROSS_ZONE_KEY if target.cross_zone else target.key
--- a/packages/testing/ryelock/testing/hollow_node.py
+++ b/packages/testing/ryelock/testing/hollow_node.py
@@ -16,8 +16,7 @@
 from ryelock.edge.member import EdgeSession, SessionSettings
 from ryelock.edge.session_delegate import SessionDelegate
 from ryelock.events import LEASE_EXPIRED, Event, RecordingLog
-from ryelock.health import ProbeResult
-from ryelock.health.probe import watch_fingerprint
+from ryelock.health import ProbeResult, watch_fingerprint
 from ryelock.membership import ServerList, Session
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message, NoResponseError, RpcClients
--- a/packages/testing/ryelock/testing/scale/judging.py
+++ b/packages/testing/ryelock/testing/scale/judging.py
@@ -8,7 +8,14 @@
 
 import cbor2
 
-from ryelock.health import EvaluationRules, History, ProbeResult, evaluate, watch_fingerprint
+from ryelock.health import (
+    EvaluationRules,
+    History,
+    ProbeResult,
+    ZoneShares,
+    evaluate,
+    watch_fingerprint,
+)
 from ryelock.replicated_state import Watch
 from ryelock.testing.scale.sizes import Figures, zone_name
 
@@ -27,7 +34,9 @@
     weights = dict.fromkeys(by_zone, 1.0 / len(by_zone))
     started = time.process_time()
     history.expire(now)
-    judged = evaluate(by_zone, {WATCHED: watch}, weights, False, history, EvaluationRules(), now)
+    judged = evaluate(
+        by_zone, {WATCHED: watch}, ZoneShares(weights, False), history, EvaluationRules(), now
+    )
     return {
         "judging s": time.process_time() - started,
         **filled,
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -8,7 +8,7 @@
 from ryelock.control_plane.health_decisions import HealthDecisions
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.events import ROLE_FENCED
-from ryelock.health.evaluation import TargetVerdict
+from ryelock.health.verdicts import TargetVerdict
 from ryelock.testing.checks import Findings, ProbeRecord, ZoneDown, check_downs
 from ryelock.testing.scenario import CONFIGURATION, Scenario
 
@@ -20,7 +20,7 @@
     return dict(scenario.node(leader).core.replicated_state.verdict) if leader else {}
 
 
-def word(scenario: Scenario, zone: str) -> str:
+def zone_verdict(scenario: Scenario, zone: str) -> str:
     zones = verdict(scenario).get("zones")
     return str(zones[zone]["verdict"]) if zones and zone in zones else ""
 
@@ -49,18 +49,18 @@
     def test_a_dead_zone_is_down_and_comes_back(self) -> None:
         for seed in (1, 2, 3):
             scenario = standing(seed)
-            self.assertEqual("healthy", word(scenario, "zone0"))
+            self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
             for name in scenario.edges[:2]:
                 scenario.world.kill(name, seed % 2 == 0)
             found = scenario.world.run_until(
                 lambda scenario=scenario: (  # type: ignore[misc]
-                    word(scenario, "zone0") == "down"
+                    zone_verdict(scenario, "zone0") == "down"
                 ),
                 15,
             )
             self.assertTrue(found, f"seed {seed}: {verdict(scenario)}")
             self.assertEqual("down", verdict(scenario)["network"])
-            self.assertEqual("healthy", word(scenario, "zone1"))
+            self.assertEqual("healthy", zone_verdict(scenario, "zone1"))
             zone = verdict(scenario)["zones"]["zone0"]
             self.assertTrue(all(len(target["failing_machines"]) >= 2 for target in zone["targets"]))
             self.assertTrue(zone["evidence"])
@@ -69,7 +69,7 @@
             self.assertTrue(
                 scenario.world.run_until(
                     lambda scenario=scenario: (  # type: ignore
-                        word(scenario, "zone0") == "healthy"
+                        zone_verdict(scenario, "zone0") == "healthy"
                     ),
                     15,
                 )
@@ -84,7 +84,7 @@
             self.assertTrue(
                 scenario.world.run_until(
                     lambda scenario=scenario: (  # type: ignore[misc]
-                        word(scenario, "zone0") == "down"
+                        zone_verdict(scenario, "zone0") == "down"
                     ),
                     25,
                 ),
@@ -107,7 +107,7 @@
         scenario.world.kill(scenario.edges[0])
         for _ in range(20):
             scenario.world.run(1)
-            self.assertEqual("healthy", word(scenario, "zone0"))
+            self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
         self.assertIn(scenario.edges[0], verdict(scenario)["zones"]["zone0"]["reason"])
         self.holds(scenario)
 
@@ -119,7 +119,7 @@
         )
         for _ in range(15):
             scenario.world.run(1)
-            self.assertEqual("healthy", word(scenario, "zone0"))
+            self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
         version = scenario.node(scenario.leader()).core.replicated_state.version
         status, _ = scenario.ask_now(
             "POST",
@@ -128,7 +128,7 @@
         )
         self.assertEqual(200, status)
         scenario.world.run(15)
-        self.assertEqual("unknown", word(scenario, "zone0"))
+        self.assertEqual("unknown", zone_verdict(scenario, "zone0"))
         self.holds(scenario)
 
     def test_one_machine_is_never_enough(self) -> None:
@@ -136,7 +136,7 @@
         for name in scenario.edges:
             scenario.world.kill(name)
         scenario.world.run(20)
-        self.assertNotEqual("down", word(scenario, "zone0"))
+        self.assertNotEqual("down", zone_verdict(scenario, "zone0"))
         self.holds(scenario)
 
     def test_probers_elsewhere_stand_in_for_a_zone_that_lost_its_own(self) -> None:
@@ -147,13 +147,13 @@
             self.assertTrue(
                 scenario.world.run_until(
                     lambda scenario=scenario: (  # type: ignore[misc]
-                        word(scenario, "zone0") == "down"
+                        zone_verdict(scenario, "zone0") == "down"
                     ),
                     25,
                 ),
                 f"seed {seed}",
             )
-            self.assertEqual("healthy", word(scenario, "zone1"))
+            self.assertEqual("healthy", zone_verdict(scenario, "zone1"))
             self.holds(scenario)
 
     def test_a_blind_prober_is_no_evidence(self) -> None:
@@ -163,7 +163,7 @@
             scenario.world.cut(blind, other)
         for _ in range(45):
             scenario.world.run(1)
-            self.assertEqual("healthy", word(scenario, "zone0"))
+            self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
         targets = verdict(scenario)["zones"]["zone0"]["targets"]
         self.assertEqual([], [target for target in targets if target["failing_machines"]])
         self.holds(scenario)
@@ -192,12 +192,12 @@
                 server.modified = dating == "last-modified"
             scenario.objects["pages"].change("/covers/watched", scenario.world.time + 1.8e9)
             scenario.world.run(3)
-            self.assertNotEqual("stale", word(scenario, "zone0"), dating)
+            self.assertNotEqual("stale", zone_verdict(scenario, "zone0"), dating)
             scenario.objects["pages"].change("/covers/watched", scenario.world.time + 1.8e9)
             self.assertTrue(
                 scenario.world.run_until(
                     lambda scenario=scenario: (  # type: ignore[misc]
-                        word(scenario, "zone0") == "stale"
+                        zone_verdict(scenario, "zone0") == "stale"
                     ),
                     30,
                 ),
@@ -234,7 +234,7 @@
         scenario.world.run(5)
         for _ in range(15):
             scenario.world.run(1)
-            self.assertEqual("healthy", word(scenario, "zone0"))
+            self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
         self.holds(scenario)
 
     def test_weights_follow_visitors(self) -> None:
@@ -247,7 +247,9 @@
             self.assertFalse(verdict(scenario)["weights_assumed"])
             for name in scenario.edges[2:]:
                 scenario.world.kill(name)
-            self.assertTrue(scenario.world.run_until(lambda: word(scenario, "zone1") == "down", 15))
+            self.assertTrue(
+                scenario.world.run_until(lambda: zone_verdict(scenario, "zone1") == "down", 15)
+            )
         self.assertEqual("stale", verdict(scenario)["network"])
         self.assertLess(verdict(scenario)["down_weight"], 0.15)
 
@@ -271,7 +273,7 @@
                 )
             )
             scenario.world.run(5)
-            self.assertEqual("healthy", word(scenario, "zone0"))
+            self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
             before = verdict(scenario)["epoch"]
             old = scenario.node(duty.owner)
             scenario.world.freeze(duty.owner, False)
@@ -303,7 +305,9 @@
         for name in scenario.edges[:2]:
             for server in servers:
                 scenario.world.cut(name, server)
-        self.assertTrue(scenario.world.run_until(lambda: word(scenario, "zone0") == "down", 20))
+        self.assertTrue(
+            scenario.world.run_until(lambda: zone_verdict(scenario, "zone0") == "down", 20)
+        )
         scenario.world.run(1)
         self.assertEqual(
             [False, False, True, True],
@@ -312,7 +316,9 @@
         for name in scenario.edges[2:]:
             for server in servers:
                 scenario.world.cut(name, server)
-        self.assertTrue(scenario.world.run_until(lambda: word(scenario, "zone1") == "down", 20))
+        self.assertTrue(
+            scenario.world.run_until(lambda: zone_verdict(scenario, "zone1") == "down", 20)
+        )
         scenario.world.run(1)
         self.assertTrue(all(scenario.node(name).traffic.ready for name in scenario.edges))
         self.holds(scenario)
@@ -321,7 +327,9 @@
         scenario = standing(16)
         for name in scenario.edges[2:]:
             scenario.world.kill(name)
-        self.assertTrue(scenario.world.run_until(lambda: word(scenario, "zone1") == "down", 20))
+        self.assertTrue(
+            scenario.world.run_until(lambda: zone_verdict(scenario, "zone1") == "down", 20)
+        )
         status, answer = scenario.ask_now("POST", "/drains", {"id": "d1", "target": "zone:zone0"})
         self.assertEqual((409, "declined"), (status, answer["status"]))
         status, _ = scenario.ask_now(
@@ -493,7 +501,7 @@
             for _ in range(16):
                 scenario.world.run(1)
                 for zone in scenario.zones:
-                    self.assertNotEqual("down", word(scenario, zone), act.__name__)
+                    self.assertNotEqual("down", zone_verdict(scenario, zone), act.__name__)
             self.holds(scenario)
 
     def test_the_sources_defaults_find_a_dead_zone_and_nothing_else(self) -> None:
@@ -501,18 +509,18 @@
             scenario = standing(seed, settings={"probe_seconds": 30.0, "probe_timeout": 6.0})
             scenario.world.run(130)
             for zone in scenario.zones:
-                self.assertEqual("healthy", word(scenario, zone))
+                self.assertEqual("healthy", zone_verdict(scenario, zone))
             for name in scenario.edges[:2]:
                 scenario.world.kill(name, True)
             self.assertTrue(
                 scenario.world.run_until(
                     lambda scenario=scenario: (  # type: ignore
-                        word(scenario, "zone0") == "down"
+                        zone_verdict(scenario, "zone0") == "down"
                     ),
                     120,
                 )
             )
-            self.assertEqual("healthy", word(scenario, "zone1"))
+            self.assertEqual("healthy", zone_verdict(scenario, "zone1"))
             self.holds(scenario)
 
 
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -17,6 +17,7 @@
     History,
     ProbeResult,
     ProbeTarget,
+    ZoneShares,
     evaluate,
     find_gone_watches,
     watch_fingerprint,
@@ -470,7 +471,12 @@
         def found() -> str:
             return (
                 evaluate(
-                    {"a": ["e"]}, {"w": WATCH}, {"a": 1.0}, False, history, EvaluationRules(), 12.0
+                    {"a": ["e"]},
+                    {"w": WATCH},
+                    ZoneShares({"a": 1.0}, False),
+                    history,
+                    EvaluationRules(),
+                    12.0,
                 )
                 .zones["a"]
                 .verdict
