--- a/tests/edge/test_owner_asks.py
+++ b/tests/edge/test_owner_client.py
@@ -8,7 +8,8 @@
 from deployment import HOST, Deployment, route
 from ryelock.edge.peers import owner_of
 from ryelock.testing.hosting_platform import Manner
-from ryelock.testing.hosting_platform.clients import CACHEABLE, Note, over_budget
+from ryelock.testing.hosting_platform.attempts import CACHEABLE, AttemptRecord
+from ryelock.testing.hosting_platform.checks import retry_violations
 
 ONE_ZONE = {"a": "north"}
 MANNERS = (Manner.FAILING, Manner.LOST, Manner.WRONG, Manner.CUT, Manner.FULL)
@@ -26,30 +27,30 @@
 
 def kept_by(deployment: Deployment, asking: str, owner: str, number: int = 0) -> str:
     """An object that one edge keeps, as another edge finds it; each number names another."""
-    way = deployment.node(asking).traffic.handler
-    assert way is not None and way.context.peers is not None
-    way.context.peers.update_members(way.context.member.members)
+    handler = deployment.node(asking).traffic.handler
+    assert handler is not None and handler.context.peers is not None
+    handler.context.peers.update_members(handler.context.member.members)
     found = [
         target
         for target in (f"/covers/{place}" for place in range(400))
-        if owner_of((HOST, target), way.context.peers.names) == owner
+        if owner_of((HOST, target), handler.context.peers.names) == owner
     ]
     return found[number]
 
 
 def repeats_left(deployment: Deployment, edge: str) -> float:
-    way = deployment.node(edge).traffic.handler
-    assert way is not None
-    return way.context.admission_queues["pages"].budget.tokens
+    handler = deployment.node(edge).traffic.handler
+    assert handler is not None
+    return handler.context.admission_queues["pages"].budget.tokens
 
 
 def spend_all_repeats(deployment: Deployment, edge: str) -> None:
-    way = deployment.node(edge).traffic.handler
-    assert way is not None
-    way.context.admission_queues["pages"].budget.tokens = 0.0
+    handler = deployment.node(edge).traffic.handler
+    assert handler is not None
+    handler.context.admission_queues["pages"].budget.tokens = 0.0
 
 
-def get(deployment: Deployment, target: str, edge: str, **more: Any) -> Note:
+def get(deployment: Deployment, target: str, edge: str, **more: Any) -> AttemptRecord:
     return deployment.ask(CACHEABLE, "GET", target, edge=edge, **more)
 
 
@@ -156,19 +157,21 @@
         deployment.world.run(2)
         self.assertEqual(
             [],
-            over_budget(deployment.notes, deployment.history, "pages", deployment.allowed, 0.2, 8),
+            retry_violations(
+                deployment.notes, deployment.history, "pages", deployment.allowed, 0.2, 8
+            ),
         )
         asked = [note for note in deployment.notes if note.edge != deployment.edges[1]]
         self.assertGreater(len(asked), 300)
-        refused = [note for note in asked if note.whole and not note.served]
-        self.assertEqual([], [(note.at, note.status) for note in refused])
+        refused = [note for note in asked if note.complete and not note.served]
+        self.assertEqual([], [(note.sent_at, note.status) for note in refused])
         self.assertEqual([], deployment.broken())
 
 
 class ServersReachedTests(testtools.TestCase):
     """One try reaches no more servers than its route's limit, however many edges handle it."""
 
-    def reached(self, deployment: Deployment, note: Note) -> int:
+    def reached(self, deployment: Deployment, note: AttemptRecord) -> int:
         return len(deployment.arrivals(note))
 
     def test_over_an_ask_to_the_owner(self) -> None:
@@ -217,8 +220,8 @@
     def test_an_owner_that_reached_one_server_in_vain_leaves_the_others(self) -> None:
         deployment = one_zone(40, 3)
         asking, owner = deployment.edges[0], deployment.edges[1]
-        way = deployment.node(owner).traffic.handler
-        assert way is not None
+        handler = deployment.node(owner).traffic.handler
+        assert handler is not None
         spend_all_repeats(deployment, owner)
         lives = deployment.of_service("pages")
         for life in lives:
--- a/tests/metrics/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -5,7 +5,7 @@
 from deployment import Deployment
 from ryelock.http import Reader, read_response, send_request
 from ryelock.metrics import Metrics
-from ryelock.testing.hosting_platform.clients import SAFE
+from ryelock.testing.hosting_platform.attempts import SAFE
 
 METRICS_PORT = 9464
 
