--- a/packages/health/ryelock/health/history.py
+++ b/packages/health/ryelock/health/history.py
@@ -52,7 +52,7 @@
             self.max_age_seconds = max(self.max_age_seconds or 0.0, result.age_seconds)
 
     def to_dict(self) -> dict[str, object]:
-        """Return the summary as plain data."""
+        """Return the summary as maps and lists."""
         return {"rows": self.results, "failed": self.failed, "oldest_seconds": self.max_age_seconds}
 
 
@@ -132,7 +132,7 @@
         return results[-count:]
 
     def summary(self) -> dict[str, object]:
-        """Return the daily summaries as plain data, by day since 1970 and zone."""
+        """Return the daily summaries as maps and lists, by day since 1970 and zone."""
         return {
             str(day): {zone: found.to_dict() for zone, found in sorted(zones.items())}
             for day, zones in sorted(self.days.items())
--- a/packages/health/ryelock/health/verdicts.py
+++ b/packages/health/ryelock/health/verdicts.py
@@ -93,7 +93,7 @@
         self.stale = self.max_age_seconds is not None and self.max_age_seconds > stale_seconds
 
     def to_dict(self) -> dict[str, object]:
-        """Return the outcome with its evidence as plain data."""
+        """Return the outcome with its evidence as maps and lists."""
         return {
             "edge": self.edge,
             "watch": self.watch,
@@ -129,7 +129,7 @@
     failed: list[str]
 
     def to_dict(self) -> dict[str, object]:
-        """Return the verdict with its evidence as plain data."""
+        """Return the verdict with its evidence as maps and lists."""
         results = [result for target in self.targets for result in target.results]
         ages = [
             target.max_age_seconds for target in self.targets if target.max_age_seconds is not None
@@ -179,7 +179,7 @@
     gone_watches: dict[str, str] = field(default_factory=dict)
 
     def to_dict(self) -> dict[str, object]:
-        """Return the outcome as plain data, as it is agreed on and shown."""
+        """Return the outcome as maps and lists, as it is agreed on and shown."""
         return {
             "network": self.network.value,
             "reason": self.reason,
--- a/packages/replicated_state/ryelock/replicated_state/outcomes.py
+++ b/packages/replicated_state/ryelock/replicated_state/outcomes.py
@@ -1,6 +1,6 @@
 """Outcomes of commands that carry an id, so that a command sent again gets its first outcome.
 
-Each kind of command has room of its own: a stream of purges does not push out the outcome of a
+Each kind of command has a limit of its own: a stream of purges does not push out the outcome of a
 change. The outcome of the change that made the present version is never forgotten.
 """
 
--- a/packages/singleton/ryelock/singleton/__init__.py
+++ b/packages/singleton/ryelock/singleton/__init__.py
@@ -1,7 +1,7 @@
 """Singleton roles: work that one node does for the whole network, with a fencing token.
 
 An assignment is a command of the consensus group's log, so a majority always knows the owner. The
-fencing token grows with every hand-over; whoever takes orders of an owner rejects an older token.
+fencing token grows with every hand-over; whoever takes commands of an owner rejects an older token.
 Who should own a role next is decided here, from what is passed in; nothing is kept.
 """
 
@@ -57,7 +57,7 @@
                 raise MalformedRoleError(f"not a role: {data!r}")
 
     def fences(self, owner: str, fencing_token: int) -> bool:
-        """Whether an order from this node under this token must be rejected."""
+        """Whether a command from this node under this token must be rejected."""
         return owner != self.owner or fencing_token != self.fencing_token
 
     def can_become(self, owner: str, fencing_token: int) -> bool:
