--- a/packages/membership/ryelock/membership/servers.py
+++ b/packages/membership/ryelock/membership/servers.py
@@ -1,6 +1,6 @@
 """The platform's list of servers, as docs/platform.md has it, believed for a limited time.
 
-A list is believed for a while from before it was asked for. A server is told by service,
+A list is believed for a while from before it was asked for. A server is identified by service,
 address and incarnation: when any of the three changes it is another server, and connections and
 counters of the old one are not used for it.
 """
--- a/packages/rate_limit/ryelock/rate_limit/quota_allocator.py
+++ b/packages/rate_limit/ryelock/rate_limit/quota_allocator.py
@@ -167,7 +167,7 @@
         """Return the share that an edge may spend until `expires_at`.
 
         While the rate is more than all demand, each edge gets its demand and an equal part of
-        the rest, so that random bursts of arrivals find room; above it, parts go by demand.
+        the rest, so that random bursts of arrivals are admitted; above it, parts go by demand.
 
         The caller passes the requests of one edge in the order in which the edge sent them, and
         no old one: shares above what an edge reports to spend are taken as given back.
@@ -185,9 +185,8 @@
         shares = self.outstanding.setdefault(request.service, {})
         own = shares.setdefault(request.edge, OutstandingShares())
         if not is_settled:
-            kept = request.current_share
-            if with_spare:
-                kept = max(kept, SPARE_FRACTION * request.rate / max(1, len(edges)))
+            spare = SPARE_FRACTION * request.rate / max(1, len(edges)) if with_spare else 0.0
+            kept = max(request.current_share, spare)
             own.add(kept, expires_at)
             return kept
         own.replace(request.current_share, max(own.last_expiry(expires_at), now))
