--- a/packages/cli/ryelock/cli/daemon.py
+++ b/packages/cli/ryelock/cli/daemon.py
@@ -15,7 +15,7 @@
 from ryelock.journal import FolderError, MachineFolder
 from ryelock.runtime import NetworkError
 from ryelock.runtime.reactor import Reactor
-from ryelock.settings import Role, Settings
+from ryelock.settings import NodeRole, Settings
 
 CANNOT_START = 1
 """Exit code where the disk or an address cannot be used."""
@@ -58,11 +58,11 @@
     return ControlNode(settings, reactor.scheduler, reactor, log, random, disk, journal)
 
 
-def run_daemon(role: Role, settings: Settings) -> int:
+def run_daemon(role: NodeRole, settings: Settings) -> int:
     """Run the daemon of a role until a signal ends it; return its exit code."""
 
     def build(reactor: Reactor, log: Log, random: Random) -> Node:
-        if role is Role.CONTROL:
+        if role is NodeRole.CONTROL:
             return open_control(settings, reactor, log, random)
         return TrafficNode(role.value, settings, reactor.scheduler, reactor, log, random)
 
--- a/packages/cli/ryelock/cli/daemon_commands.py
+++ b/packages/cli/ryelock/cli/daemon_commands.py
@@ -11,7 +11,7 @@
 
 from ryelock.cli.daemon import run_daemon
 from ryelock.control_client import ExitCode
-from ryelock.settings import Role, SettingsError, read_settings
+from ryelock.settings import NodeRole, SettingsError, read_settings
 
 DaemonCommand = Callable[..., int]
 
@@ -34,7 +34,7 @@
 )
 
 
-def start_daemon(role: Role, settings: str, flags: dict[str, object], sets: list[str]) -> int:
+def start_daemon(role: NodeRole, settings: str, flags: dict[str, object], sets: list[str]) -> int:
     """Run a daemon until it is told to stop.
 
     Args:
@@ -63,7 +63,7 @@
     return inspect.Parameter(name, inspect.Parameter.KEYWORD_ONLY, default=default, annotation=kind)
 
 
-def daemon_command(role: Role, summary: str, *own_flags: Flag) -> DaemonCommand:
+def daemon_command(role: NodeRole, summary: str, *own_flags: Flag) -> DaemonCommand:
     """Return the subcommand of a daemon, as defopt reads it.
 
     defopt takes options, types and help from a function's signature and docstring. Written out,
@@ -97,17 +97,17 @@
 
 
 core = daemon_command(
-    Role.CONTROL,
+    NodeRole.CONTROL,
     "Run a control node: it stores the configuration on its disk and agrees on it with the others.",
     Flag("data_folder", "the one folder this process writes to"),
     Flag("platform_address", "where the platform lists servers"),
 )
 edge = daemon_command(
-    Role.EDGE,
+    NodeRole.EDGE,
     "Run a node that carries traffic, and probes its zone where it is told to.",
     Flag("order_address", "where callers reach this one"),
     Flag("probe", "also probe the other edges of the zone", bool),
 )
 prober = daemon_command(
-    Role.PROBER, "Run a prober: it fetches real objects through the edges of its zone."
+    NodeRole.PROBER, "Run a prober: it fetches real objects through the edges of its zone."
 )
--- a/packages/control_plane/ryelock/control_plane/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -18,11 +18,11 @@
     evaluate,
     find_gone_watches,
 )
-from ryelock.membership import Membership, Role
+from ryelock.membership import Membership
 from ryelock.replicated_state import ReplicatedState, derived_name
 from ryelock.rpc import Message
 from ryelock.runtime import Scheduler, TaskCoroutine
-from ryelock.settings import Settings
+from ryelock.settings import NodeRole, Settings
 from ryelock.singleton import SingletonRole
 
 REPEAT_SECONDS = 30.0
@@ -165,7 +165,7 @@
         zones: dict[str, list[str]] = {}
         edges = {**self.membership.lost(), **self.membership.members()}
         for name, session in edges.items():
-            if session.role == Role.EDGE:
+            if session.role == NodeRole.EDGE:
                 zones.setdefault(session.zone, []).append(name)
         shares = self.weights.shares(sorted(zones))
         evaluation = evaluate(zones, watches, shares, self.history, self.rules, now)
--- a/packages/control_plane/ryelock/control_plane/drain_policy.py
+++ b/packages/control_plane/ryelock/control_plane/drain_policy.py
@@ -1,8 +1,9 @@
 """Whether the network can do without what an operator wants to drain."""
 
 from ryelock.control_plane.health_decisions import zone_statuses
-from ryelock.membership import Membership, Role
+from ryelock.membership import Membership
 from ryelock.replicated_state import ReplicatedState
+from ryelock.settings import NodeRole
 
 ZONE_PREFIX = "zone:"
 SERVING_STATUSES = ("healthy", "stale")
@@ -29,7 +30,7 @@
         drains = self.replicated_state.drains
         for name, session in sorted(self.membership.members().items()):
             is_drained = name in drains or f"{ZONE_PREFIX}{session.zone}" in drains
-            if session.role == Role.EDGE and not is_drained:
+            if session.role == NodeRole.EDGE and not is_drained:
                 edges.setdefault(session.zone, []).append(name)
         return edges
 
@@ -44,7 +45,7 @@
                 return f"there is no zone {zone}"
         else:
             session = members.get(target)
-            if session is None or session.role != Role.EDGE:
+            if session is None or session.role != NodeRole.EDGE:
                 return f"there is no edge {target}"
             zone = session.zone
             if any(name != target for name in serving.get(zone, [])):
--- a/packages/control_plane/ryelock/control_plane/lease_renewal.py
+++ b/packages/control_plane/ryelock/control_plane/lease_renewal.py
@@ -23,11 +23,11 @@
     UnconfirmedRenewalResponse,
 )
 from ryelock.events import SESSION_ENDED, SESSION_STARTED, Log
-from ryelock.membership import Membership, Role
+from ryelock.membership import Membership
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message, Reply
 from ryelock.runtime import Queue, Scheduler
-from ryelock.settings import Settings
+from ryelock.settings import NodeRole, Settings
 
 MAX_MAJORITY_AGE = 0.9
 """No lease is granted on a majority contact older than this part of the election timeout."""
@@ -178,7 +178,9 @@
     def edges(self) -> list[str]:
         """Return the names of all edges with a session here, sorted."""
         return sorted(
-            name for name, session in self.membership.sessions.items() if session.role == Role.EDGE
+            name
+            for name, session in self.membership.sessions.items()
+            if session.role == NodeRole.EDGE
         )
 
     def respond(self, request: RenewalRequest) -> Message:
@@ -190,7 +192,7 @@
         return RenewalResponse(
             majority_age_seconds=age,
             update=self.configuration_updates.update_since(request.applied_index),
-            quota=self.grant_lease(request, now) if request.session.role == Role.EDGE else None,
+            quota=self.grant_lease(request, now) if request.session.role == NodeRole.EDGE else None,
             server_list=self.platform.update_for_node(request.versions, now),
             failed_callers=self.failed_callers.update_for(request.session.name, request.versions),
             members=self.members_for(request.versions),
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -15,7 +15,7 @@
 from ryelock.control_plane.metrics import ControlMetrics
 from ryelock.control_plane.operator_requests import OperatorRequests
 from ryelock.control_plane.platform import PlatformReader
-from ryelock.control_plane.readiness import CONTROL_NODE_ROLE, NodeReadiness
+from ryelock.control_plane.readiness import NodeReadiness
 from ryelock.control_plane.rpc_handlers import RpcHandlers
 from ryelock.control_plane.singleton_roles import (
     AGGREGATOR_ROLE,
@@ -31,7 +31,7 @@
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message, Reply, RpcClients, RpcServer
 from ryelock.runtime import Network, Scheduler, Task
-from ryelock.settings import Settings
+from ryelock.settings import NodeRole, Settings
 
 FINISH_SECONDS = 0.5
 """Open requests on the control address get at least so long to be answered."""
@@ -235,7 +235,7 @@
         """Return the session that this node keeps with itself."""
         return Session(
             name=self.settings.name,
-            role=CONTROL_NODE_ROLE,
+            role=NodeRole.CONTROL.value,
             zone=self.settings.zone,
             machine=self.settings.machine,
             rpc_address=self.listener.address,
@@ -250,7 +250,7 @@
         """Join the consensus group and start the tasks."""
         self.log.write(
             STARTED,
-            role=CONTROL_NODE_ROLE,
+            role=NodeRole.CONTROL.value,
             zone=self.settings.zone,
             wire=self.session.rpc_address,
             control=self.session.control_address,
--- a/packages/control_plane/ryelock/control_plane/readiness.py
+++ b/packages/control_plane/ryelock/control_plane/readiness.py
@@ -4,10 +4,7 @@
 from ryelock.consensus.status import member_status
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message
-from ryelock.settings import Settings
-
-CONTROL_NODE_ROLE = "core"
-"""The role of a control node in its session."""
+from ryelock.settings import NodeRole, Settings
 
 
 class NodeReadiness:
@@ -45,7 +42,7 @@
         reason = self.not_ready_reason
         return {
             "name": self.settings.name,
-            "role": CONTROL_NODE_ROLE,
+            "role": NodeRole.CONTROL.value,
             "zone": self.settings.zone,
             "ready": not reason,
             "reason": reason,
--- a/packages/control_plane/ryelock/control_plane/singleton_roles.py
+++ b/packages/control_plane/ryelock/control_plane/singleton_roles.py
@@ -1,11 +1,11 @@
 """The singleton roles: jobs that one control node does for the whole network."""
 
 from ryelock.consensus import Consensus, Role
-from ryelock.control_plane.readiness import CONTROL_NODE_ROLE
 from ryelock.events import ROLE_ASSIGNED, Log
 from ryelock.membership import Membership
 from ryelock.replicated_state import ReplicatedState, encode_command
 from ryelock.runtime import Scheduler
+from ryelock.settings import NodeRole
 from ryelock.singleton import SingletonRole, next_assignment
 
 AGGREGATOR_ROLE = "aggregator"
@@ -50,7 +50,7 @@
         control_nodes = {
             name: session
             for name, session in self.membership.members().items()
-            if session.role == CONTROL_NODE_ROLE
+            if session.role == NodeRole.CONTROL
         }
         leaving = [name for name, session in control_nodes.items() if not session.ready]
         for name in self.roles:
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -14,7 +14,7 @@
 from ryelock.edge.member import EdgeSession, SessionSettings
 from ryelock.edge.probe_reporting import ProbeReporter
 from ryelock.edge.quota_shares import QuotaShares
-from ryelock.edge.readiness import EDGE_ROLE, NodeReadiness
+from ryelock.edge.readiness import NodeReadiness
 from ryelock.edge.session_delegate import SessionDelegate
 from ryelock.edge.session_messages import LEADER_QUERY
 from ryelock.edge.targets import ProbeTargets
@@ -26,10 +26,8 @@
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message, Reply, RpcClients, RpcServer
 from ryelock.runtime import Network, Scheduler, Task
-from ryelock.settings import Settings
+from ryelock.settings import NodeRole, Settings
 
-PROBER_ROLE = "prober"
-CONTROL_API_ROLE = "desk"
 SESSION_REFRESH_SECONDS = 0.1
 
 
@@ -99,7 +97,7 @@
         self.quota: QuotaShares | None = None
         delegate = SessionDelegate()
         metrics = Metrics()
-        if role == EDGE_ROLE:
+        if role == NodeRole.EDGE:
             self.handler = self.build_handler(random, dialect)
             delegate = self.build_request_path(self.handler)
             metrics = self.handler.context.metrics.all
@@ -140,7 +138,7 @@
             lambda: self.member.discovery.control_nodes,
             None,
             self.readiness.report,
-            self.explain if self.role == EDGE_ROLE else None,
+            self.explain if self.role == NodeRole.EDGE else None,
         )
 
     def build_handler(self, random: Random, dialect: ProtocolProfile | None) -> RequestHandler:
@@ -284,7 +282,7 @@
 
     def on_message(self, message: Message, reply: Reply) -> None:
         """Answer who leads: a control API may be a seed, but has no disk and is no voter."""
-        if message.get("kind") == LEADER_QUERY and self.role == CONTROL_API_ROLE:
+        if message.get("kind") == LEADER_QUERY and self.role == NodeRole.CONTROL_API:
             reply({"diskless": True, "leader_address": self.member.leader})
             return
         reply({"fault": "this node answers no asks"})
@@ -312,8 +310,8 @@
     session.zone = settings.zone
     session.machine = settings.machine
     session.incarnation = f"{random.getrandbits(48):012x}"
-    session.probes = role == PROBER_ROLE or (role == EDGE_ROLE and settings.probe)
+    session.probes = role == NodeRole.PROBER or (role == NodeRole.EDGE and settings.probe)
     # Edges know each other's requests by the secret, as they know a prober's.
-    has_secret = session.probes or (role == EDGE_ROLE and settings.share_copies)
+    has_secret = session.probes or (role == NodeRole.EDGE and settings.share_copies)
     session.probe_secret = f"{random.getrandbits(64):016x}" if has_secret else ""
     return session
--- a/packages/edge/ryelock/edge/quorum_lease.py
+++ b/packages/edge/ryelock/edge/quorum_lease.py
@@ -17,10 +17,10 @@
 from ryelock.rpc.codec import decode
 from ryelock.rpc.errors import MalformedMessageError
 from ryelock.runtime import Queue, Scheduler
+from ryelock.settings import NodeRole
 
 CALL_TIMEOUT_SECONDS = 0.4
 ROUND_SECONDS = 0.25
-EDGE_ROLE = "edge"
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         """Whether this node needs a lease and has a configuration to serve by."""
         member = self.member
         return (
-            member.session.role == EDGE_ROLE
+            member.session.role == NodeRole.EDGE
             and not member.lease.released
             and member.replicated_state.index != 0
             and not member.settings.serve_lapsed
--- a/packages/edge/ryelock/edge/readiness.py
+++ b/packages/edge/ryelock/edge/readiness.py
@@ -2,9 +2,8 @@
 
 from ryelock.edge.member import EdgeSession
 from ryelock.rpc import Message
-from ryelock.settings import Settings
+from ryelock.settings import NodeRole, Settings
 
-EDGE_ROLE = "edge"
 ZONE_PREFIX = "zone:"
 """Before a zone's name among the drained targets."""
 SERVING_VERDICTS = ("healthy", "stale")
@@ -32,7 +31,7 @@
         """Why this node should get no new callers; empty when it should."""
         if self.stopping:
             return "stopping"
-        if self.role != EDGE_ROLE:
+        if self.role != NodeRole.EDGE:
             return "" if self.member.leader else "no leader is known"
         if not self.member.serving:
             return "no term"
--- a/packages/edge/ryelock/edge/targets.py
+++ b/packages/edge/ryelock/edge/targets.py
@@ -12,13 +12,12 @@
 from ryelock.health import ProbeTarget
 from ryelock.membership import Session
 from ryelock.replicated_state import ReplicatedState, Watch
-from ryelock.settings import Settings
+from ryelock.settings import NodeRole, Settings
 
 PROBERS_MIN = 2
 """Machines that must probe a zone; where it has fewer, so many of other zones step in."""
 DERIVED_WATCH_RATE_PART = 0.06
 """Part of a service's rate that probes for derived watches may take."""
-EDGE_ROLE = "edge"
 
 
 class ProbeTargets:
@@ -54,7 +53,9 @@
         return {
             name: session
             for name, session in sorted(sessions.items())
-            if session.role == EDGE_ROLE and session.request_address and name != self.settings.name
+            if session.role == NodeRole.EDGE
+            and session.request_address
+            and name != self.settings.name
         }
 
     def zone_targets(
--- a/packages/health/ryelock/health/weights.py
+++ b/packages/health/ryelock/health/weights.py
@@ -9,7 +9,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from ryelock.membership import Role, Session
+from ryelock.membership import Session
+from ryelock.settings import NodeRole
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +91,7 @@
             now: monotonic time in seconds.
         """
         for session in sessions:
-            if session.role != Role.EDGE:
+            if session.role != NodeRole.EDGE:
                 continue
             counter = self.counters.setdefault(session.identity, EdgeCounter(session.zone))
             counter.add(session.served, now)
--- a/packages/membership/ryelock/membership/__init__.py
+++ b/packages/membership/ryelock/membership/__init__.py
@@ -12,14 +12,13 @@
 )
 from ryelock.membership.membership import Membership
 from ryelock.membership.servers import Server, ServerList, decode_server_list, servers_from_wire
-from ryelock.membership.session import Role, Session
+from ryelock.membership.session import Session
 
 __all__ = [
     "MalformedServerError",
     "MalformedSessionError",
     "Membership",
     "MembershipError",
-    "Role",
     "Server",
     "ServerList",
     "ServerListError",
--- a/packages/membership/ryelock/membership/membership.py
+++ b/packages/membership/ryelock/membership/membership.py
@@ -8,8 +8,9 @@
 
 from dataclasses import dataclass
 
-from ryelock.membership.session import Role, Session, identity_name
+from ryelock.membership.session import Session, identity_name
 from ryelock.runtime import Scheduler
+from ryelock.settings import NodeRole
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +100,7 @@
         joined = before is None or before.incarnation != session.incarnation
         self.sessions[session.name] = session
         self.lost_edges.pop(session.name, None)
-        if session.role == Role.EDGE:
+        if session.role == NodeRole.EDGE:
             self.known_edges[session.name] = session
         if joined or (before is not None and before.to_wire() != session.to_wire()):
             self.version += 1
@@ -141,7 +142,9 @@
         be lost together with them.
         """
         present = {
-            name: session for name, session in self.members().items() if session.role == Role.EDGE
+            name: session
+            for name, session in self.members().items()
+            if session.role == NodeRole.EDGE
         }
         for name, session in self.known_edges.items():
             if name not in present and not self.is_accounted_for(session):
--- a/packages/membership/ryelock/membership/session.py
+++ b/packages/membership/ryelock/membership/session.py
@@ -1,9 +1,9 @@
 """A session: what one node reports of itself with each heartbeat."""
 
 from dataclasses import dataclass
-from enum import StrEnum
 
 from ryelock.membership.errors import MalformedSessionError
+from ryelock.settings import NodeRole
 
 MAX_TEXT_LENGTH = 200
 TEXT_FIELDS = {
@@ -22,18 +22,7 @@
 COUNTER_FIELDS = ("served", "applied")
 
 
-class Role(StrEnum):
-    """What kind of process a node runs; the values go over the wire."""
-
-    CORE = "core"
-    """A control node."""
-    EDGE = "edge"
-    PROBER = "prober"
-    DISKLESS = "desk"
-    """A seed without a disk: it has the control API and follows the log, but never votes."""
-
-
-ROLES = tuple(role.value for role in Role)
+ROLES = tuple(role.value for role in NodeRole)
 
 
 @dataclass(slots=True, eq=False)
--- a/packages/settings/ryelock/settings/__init__.py
+++ b/packages/settings/ryelock/settings/__init__.py
@@ -8,12 +8,12 @@
 from ryelock.settings.declaration import Setting, Settings, declared_settings
 from ryelock.settings.errors import InvalidValueError, SettingsError, SettingsFileError
 from ryelock.settings.page import settings_page
-from ryelock.settings.reading import REQUIRED, Role, read_settings
+from ryelock.settings.reading import REQUIRED, NodeRole, read_settings
 
 __all__ = [
     "REQUIRED",
     "InvalidValueError",
-    "Role",
+    "NodeRole",
     "Setting",
     "Settings",
     "SettingsError",
--- a/packages/settings/ryelock/settings/page.py
+++ b/packages/settings/ryelock/settings/page.py
@@ -1,7 +1,7 @@
 """The page of docs/settings.md, made of the declared settings."""
 
 from ryelock.settings.declaration import Setting, Settings, declared_settings
-from ryelock.settings.reading import REQUIRED, Role
+from ryelock.settings.reading import REQUIRED, NodeRole
 
 HEAD = """# Settings
 
@@ -12,7 +12,7 @@
 | key | default | needed by | what it says |
 |---|---|---|---|
 """
-ROLES = (Role.CONTROL, Role.EDGE, Role.PROBER)
+ROLES = (NodeRole.CONTROL, NodeRole.EDGE, NodeRole.PROBER)
 """The roles that a user starts."""
 
 
--- a/packages/settings/ryelock/settings/reading.py
+++ b/packages/settings/ryelock/settings/reading.py
@@ -13,7 +13,7 @@
 """An election timeout covers at least so many heartbeats, so that one that is lost ends no term."""
 
 
-class Role(enum.StrEnum):
+class NodeRole(enum.StrEnum):
     """What a process runs as; the values are the names of the command line and of messages."""
 
     CONTROL = "core"
@@ -25,10 +25,10 @@
 
 REQUIRED_OF_ALL = ("name", "zone", "seeds", "wire_address", "control_address")
 REQUIRED: dict[str, tuple[str, ...]] = {
-    Role.CONTROL: (*REQUIRED_OF_ALL, "data_folder"),
-    Role.EDGE: (*REQUIRED_OF_ALL, "order_address"),
-    Role.PROBER: REQUIRED_OF_ALL,
-    Role.CONTROL_API: REQUIRED_OF_ALL,
+    NodeRole.CONTROL: (*REQUIRED_OF_ALL, "data_folder"),
+    NodeRole.EDGE: (*REQUIRED_OF_ALL, "order_address"),
+    NodeRole.PROBER: REQUIRED_OF_ALL,
+    NodeRole.CONTROL_API: REQUIRED_OF_ALL,
 }
 """The settings that have to be given, by role."""
 
@@ -37,7 +37,7 @@
     """Read the settings of one role from a file and from flags, which go first.
 
     Args:
-        role: the value of a Role.
+        role: the value of a NodeRole.
         file: path of a JSON or TOML file, empty for none.
         flags: values by key; None where a flag was not given.
 
