--- a/packages/control_plane/ryelock/control_plane/drain_policy.py
+++ b/packages/control_plane/ryelock/control_plane/drain_policy.py
@@ -2,10 +2,9 @@
 
 from ryelock.control_plane.health_decisions import zone_statuses
 from ryelock.membership import Membership
-from ryelock.replicated_state import ReplicatedState
+from ryelock.replicated_state import ZONE_PREFIX, ReplicatedState
 from ryelock.settings import NodeRole
 
-ZONE_PREFIX = "zone:"
 SERVING_STATUSES = ("healthy", "stale")
 """Health statuses of a zone that can take over the traffic of another."""
 
--- a/packages/edge/ryelock/edge/handler.py
+++ b/packages/edge/ryelock/edge/handler.py
@@ -9,8 +9,6 @@
 admission.py, attempts.py (over upstream_client.py), cache_fill.py, relay.py and rejections.py.
 """
 
-from random import Random
-
 from ryelock.cache import StoredResponse
 from ryelock.edge.admission import NO_LEASE, AdmissionController, caller_of
 from ryelock.edge.attempts import UpstreamAttempts
@@ -18,7 +16,6 @@
 from ryelock.edge.cache_lookup import CacheLookup
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.failures import Failure, FailureKind
-from ryelock.edge.member import EdgeSession
 from ryelock.edge.owner_client import OwnerClient, OwnerRejection, RelayedResponse
 from ryelock.edge.peer_protocol import LOOKUP
 from ryelock.edge.preview import RequestPreview
@@ -31,11 +28,8 @@
 from ryelock.edge.upstream_client import UpstreamClient
 from ryelock.edge.upstream_request import UpstreamCall
 from ryelock.edge.upstream_response import UpstreamResponse
-from ryelock.events import Log
-from ryelock.http import HttpExchange, ProtocolProfile, field
+from ryelock.http import HttpExchange, field
 from ryelock.replicated_state import Route
-from ryelock.runtime import Network, Scheduler
-from ryelock.settings import Settings
 
 CACHEABLE_METHODS = (b"GET", b"HEAD")
 NO_ROUTE = Failure(FailureKind.NO_ROUTE, 404, "no route")
@@ -64,18 +58,8 @@
         "served_objects",
     )
 
-    def __init__(
-        self,
-        settings: Settings,
-        scheduler: Scheduler,
-        network: Network,
-        log: Log,
-        member: EdgeSession,
-        random: Random,
-        profile: ProtocolProfile,
-    ) -> None:
-        """Create the path of an edge that has served nothing yet."""
-        context = EdgeContext(settings, scheduler, network, log, member, random, profile)
+    def __init__(self, context: EdgeContext) -> None:
+        """Create the path over what its steps share."""
         validator = ResponseValidator(context)
         self.context = context
         self.router = Router(context)
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -8,6 +8,7 @@
 
 from ryelock.control_api import ControlApi
 from ryelock.edge.configuration_rollout import ConfigurationRollout
+from ryelock.edge.context import EdgeContext
 from ryelock.edge.edge_delegate import EdgeDelegate
 from ryelock.edge.handler import RequestHandler
 from ryelock.edge.lease_renewal import LeaseRenewal
@@ -143,7 +144,7 @@
 
     def build_handler(self, random: Random, dialect: ProtocolProfile | None) -> RequestHandler:
         """Return the request path of an edge."""
-        return RequestHandler(
+        context = EdgeContext(
             self.settings,
             self.scheduler,
             self.network,
@@ -152,6 +153,7 @@
             random,
             dialect or ProtocolProfile(),
         )
+        return RequestHandler(context)
 
     def export(self, metrics: Metrics) -> None:
         """Answer metrics on their address, and write them to the log where that is set."""
--- a/packages/edge/ryelock/edge/readiness.py
+++ b/packages/edge/ryelock/edge/readiness.py
@@ -1,11 +1,10 @@
 """Whether a node should get new callers, and its health report."""
 
 from ryelock.edge.member import EdgeSession
+from ryelock.replicated_state import ZONE_PREFIX
 from ryelock.rpc import Message
 from ryelock.settings import NodeRole, Settings
 
-ZONE_PREFIX = "zone:"
-"""Before a zone's name among the drained targets."""
 SERVING_VERDICTS = ("healthy", "stale")
 
 
--- a/packages/http/ryelock/http/framing.py
+++ b/packages/http/ryelock/http/framing.py
@@ -37,14 +37,13 @@
         MalformedMessageError: a transfer coding in HTTP/1.0, or beside a length.
         NotImplementedByServerError: another transfer coding than chunked alone.
     """
-    codings = tokens(fields, b"transfer-encoding")
     if field(fields, b"transfer-encoding") is None:
         return False
     if minor == 0:
         raise MalformedMessageError("transfer coding in HTTP/1.0")
     if field(fields, b"content-length") is not None:
         raise MalformedMessageError("both a length and a transfer coding")
-    if codings != [b"chunked"]:
+    if tokens(fields, b"transfer-encoding") != [b"chunked"]:
         raise NotImplementedByServerError("unknown transfer coding")
     return True
 
--- a/packages/replicated_state/ryelock/replicated_state/__init__.py
+++ b/packages/replicated_state/ryelock/replicated_state/__init__.py
@@ -23,7 +23,7 @@
     derived_targets,
     derived_watches,
 )
-from ryelock.replicated_state.drain import Drain
+from ryelock.replicated_state.drain import ZONE_PREFIX, Drain
 from ryelock.replicated_state.errors import (
     Fault,
     InvalidConfigurationError,
@@ -41,6 +41,7 @@
 
 __all__ = [
     "MAX_DERIVED_WATCHES",
+    "ZONE_PREFIX",
     "CallerLimits",
     "CommandKind",
     "CommandStatus",
--- a/packages/replicated_state/ryelock/replicated_state/drain.py
+++ b/packages/replicated_state/ryelock/replicated_state/drain.py
@@ -4,6 +4,9 @@
 
 from ryelock.replicated_state.errors import MalformedSnapshotError
 
+ZONE_PREFIX = "zone:"
+"""Before a zone's name among drained targets; an edge's name stands alone."""
+
 
 class Drain(TypedDict):
     """Why an edge or a zone is drained, in the form that snapshots and the control API have.
