--- a/packages/rate_limit/ryelock/rate_limit/__init__.py
+++ b/packages/rate_limit/ryelock/rate_limit/__init__.py
@@ -1,9 +1,9 @@
-"""A rate for a service, spent by many edges.
+"""Distributed rate limiting: many edges together keep to the rate of a service.
 
-The leader divides the rate (`quota_allocator`, with the arithmetic in `rates`), or grants whole
-requests of a narrow service one by one (`shared_bucket`). A share counts as spent until it was
-given back or has expired. An edge spends its share through a `token_bucket`, and retries through a
-`retry_budget`.
+The leader divides the rate into quota shares (`quota_allocator`, with the arithmetic in `rates`).
+The rate of a low-rate service is too low to divide, so that the leader grants single requests of it
+(`shared_bucket`). A share counts against the rate until the edge returns it or it expires. An edge
+admits requests through a `token_bucket`, and retries through a `retry_budget`.
 """
 
 from ryelock.rate_limit.quota_allocator import OutstandingShares, QuotaAllocator, QuotaRequest
--- a/packages/rate_limit/ryelock/rate_limit/retry_budget.py
+++ b/packages/rate_limit/ryelock/rate_limit/retry_budget.py
@@ -1,43 +1,43 @@
-"""A retry budget: retries are a bounded part of the requests, also while servers fail."""
+"""Retry budgets: limit retries to a fraction of first attempts, also while servers fail."""
 
-EARNING_FACTOR = 0.9
-"""Requests earn a little less than the share, so that rounding is safe in any window."""
+RATIO_SAFETY_FACTOR = 0.9
+"""Keeps retries below the ratio in any window, despite rounding."""
 
 
 class RetryBudget:
-    """Retries that one edge may send to one service.
+    """The retry budget of one edge for one service.
 
     Attributes:
-        share: retries earned by each first attempt, as a fraction.
-        allowance: most retries that may be saved up.
-        tokens: retries that may be sent now.
+        ratio: tokens added for each first attempt.
+        allowance: maximum tokens.
+        tokens: number of retries that may be sent now.
     """
 
-    __slots__ = ("allowance", "share", "tokens")
+    __slots__ = ("allowance", "ratio", "tokens")
 
-    def __init__(self, share: float, allowance: float) -> None:
-        """Create a budget that has one retry at most.
+    def __init__(self, ratio: float, allowance: float) -> None:
+        """Create a budget that starts with at most one token.
 
         Args:
-            share: retries allowed per first attempt, as a fraction.
-            allowance: most retries that may be saved up.
+            ratio: retries allowed per first attempt.
+            allowance: maximum tokens.
         """
-        self.share = share * EARNING_FACTOR
+        self.ratio = ratio * RATIO_SAFETY_FACTOR
         self.allowance = allowance
         self.tokens = min(1.0, allowance)
 
-    def resize(self, share: float, allowance: float) -> None:
-        """Take a new share and allowance; tokens above the new allowance are lost."""
-        self.share = share * EARNING_FACTOR
+    def resize(self, ratio: float, allowance: float) -> None:
+        """Set a new ratio and allowance; tokens above the new allowance are dropped."""
+        self.ratio = ratio * RATIO_SAFETY_FACTOR
         self.allowance = allowance
         self.tokens = min(self.tokens, max(allowance, 0.0))
 
     def record_request(self) -> None:
-        """Earn a part of a retry: a first attempt was sent."""
-        self.tokens = min(self.allowance, self.tokens + self.share)
+        """Add the tokens for a first attempt that was sent."""
+        self.tokens = min(self.allowance, self.tokens + self.ratio)
 
     def try_retry(self) -> bool:
-        """Take a token for one retry; False where there is none."""
+        """Take a token for one retry; return False if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/packages/rate_limit/ryelock/rate_limit/token_bucket.py
+++ b/packages/rate_limit/ryelock/rate_limit/token_bucket.py
@@ -1,7 +1,7 @@
-"""The edge's side of rate limits: a token bucket that fills by the edge's quota share.
+"""The edge's side of rate limiting: a token bucket that is refilled at the edge's quota share.
 
-A bucket starts empty, so that an edge that starts again brings no fresh burst. For a narrow
-service it has no share but grants of whole requests, each of which expires.
+A bucket starts empty, so that a restart of the edge does not allow another burst. For a low-rate
+service it has grants of single requests instead of a share; each grant expires.
 """
 
 from ryelock.rate_limit.shared_bucket import Grant
@@ -10,19 +10,19 @@
 
 
 class TokenBucket:
-    """Requests that one edge may send to one service; all, where the service is not limited.
+    """The token bucket of one edge for one service.
 
     Attributes:
-        limited: whether the service has a rate.
-        filled_at: monotonic time up to which it is filled, in seconds.
-        burst_seconds: seconds of its share that the bucket may save up.
-        share: requests per second that may be sent.
+        limited: False if the service has no rate limit, so that every request is allowed.
+        filled_at: monotonic time of the last refill, in seconds.
+        burst_seconds: capacity in seconds of the share.
+        share: refill rate in requests per second.
         share_expires_at: monotonic time at which the share expires, in seconds.
-        tokens: requests that may be sent at once.
-        uses_grants: whether the service is narrow, so that grants count and no share does.
-        grants: monotonic times at which the granted requests expire, oldest first.
-        expected_rate: granted requests per second that may be expected.
-        expected_tokens: requests that may be expected to be granted at once.
+        tokens: number of requests that may be sent now under the share.
+        uses_grants: True for a low-rate service, which is limited by grants and not by a share.
+        grants: monotonic time at which each unused grant expires, oldest first.
+        expected_rate: predicted rate of further grants, in requests per second.
+        expected_tokens: predicted number of requests that the next renewal grants at once.
     """
 
     __slots__ = (
@@ -43,8 +43,8 @@
 
         Args:
             now: monotonic time in seconds.
-            burst_seconds: seconds of its share that the bucket may save up.
-            limited: False for a service without a rate, for which every request is allowed.
+            burst_seconds: capacity in seconds of the share.
+            limited: False for a service without a rate limit.
         """
         self.limited = limited
         self.filled_at = now
@@ -58,7 +58,7 @@
         self.expected_tokens = 0.0
 
     def fill(self, now: float) -> None:
-        """Add what came up to now; nothing comes after the share expired."""
+        """Refill the bucket up to now, or up to the time at which the share expired."""
         until = min(now, self.share_expires_at)
         if until > self.filled_at:
             self.tokens += self.share * (until - self.filled_at)
@@ -66,11 +66,11 @@
         self.tokens = min(self.tokens, self.capacity())
 
     def capacity(self) -> float:
-        """Return the most tokens that the bucket may save up: one at least."""
+        """Return the capacity in tokens, at least 1."""
         return max(1.0, self.burst_seconds * self.share)
 
     def assign_share(self, share: float, expires_at: float, now: float) -> None:
-        """Replace the share: requests per second that may be sent until `expires_at`."""
+        """Set the share, in requests per second, until `expires_at`; grants are dropped."""
         self.fill(now)
         if self.uses_grants:
             self.uses_grants, self.grants, self.tokens = False, [], 0.0
@@ -79,7 +79,7 @@
         self.tokens = min(self.tokens, self.capacity())
 
     def add_grants(self, grant: Grant, expires_at: float) -> None:
-        """Add granted requests that may be sent until `expires_at`; there is no share any more."""
+        """Add grants that expire at `expires_at`; the share is dropped."""
         if not self.uses_grants:
             self.uses_grants, self.tokens, self.share = True, 0.0, 0.0
         self.grants += [expires_at] * grant.granted
@@ -87,16 +87,16 @@
         self.expected_tokens = grant.expected_tokens
 
     def count_grants(self, now: float) -> int:
-        """Drop expired grants and count the requests that may still be sent."""
+        """Drop expired grants and count the others."""
         self.grants = [expires_at for expires_at in self.grants if expires_at > now]
         return len(self.grants)
 
     def current_share(self, now: float) -> float:
-        """Return the share in requests per second, 0 once it has expired."""
+        """Return the share in requests per second, 0 if it has expired."""
         return self.share if now < self.share_expires_at else 0.0
 
     def allow(self, now: float) -> bool:
-        """Take a token for one request; False where there is none."""
+        """Take a token or grant for one request; return False if there is none."""
         if not self.limited:
             return True
         if self.uses_grants:
@@ -111,7 +111,7 @@
         return True
 
     def wait_for(self, now: float, ahead: int) -> float:
-        """Return the seconds until a request behind so many others may be sent; perhaps inf."""
+        """Return the seconds until a request may be sent after `ahead` others; perhaps infinite."""
         if not self.limited:
             return 0.0
         if self.uses_grants:
--- a/packages/replicated_state/ryelock/replicated_state/__init__.py
+++ b/packages/replicated_state/ryelock/replicated_state/__init__.py
@@ -1,10 +1,11 @@
-"""The state that the consensus group agrees on, the same on every node that applied the same log.
+"""The replicated state machine of the consensus group, the same on every node at one log index.
 
-`state` is the state machine: commands of the log change it, on control nodes and on every edge. A
-command and its kind are in `commands`, what it came to in `outcomes`. `configuration` is what
-operators set: `parsing` reads it, `validation` checks it, `change` merges a change into it and
-`plan` shows what that would do. `derived` has the watches that no operator wrote, `purge`, `drain`
-and `claims` the other parts of the state, `vector` the versions that a node has of each source.
+`state` is the state machine: control nodes and edges apply the commands of the log to it.
+`commands` defines the commands and `outcomes` their results. `configuration` is what operators set:
+`parsing` and `validation` read and check it, `change` merges a change into it and `plan` previews a
+change. `derived` has the health checks that are derived from served objects; `purge`, `drain` and
+`claims` are the other parts of the state. `vector` has the versions of each source of state that a
+node has received.
 """
 
 from ryelock.replicated_state.change import merge_change
--- a/packages/replicated_state/ryelock/replicated_state/change.py
+++ b/packages/replicated_state/ryelock/replicated_state/change.py
@@ -1,7 +1,7 @@
-"""What an operator's change makes of the present configuration.
+"""Merging an operator's change into the current configuration.
 
-A change names the version it was made against (`base`). It puts and removes items, replaces the
-whole (`whole`), or is a JSON Patch (RFC 6902).
+A change names the version that it is based on (`base`). It puts and removes items, replaces the
+complete configuration (`whole`), or is a JSON Patch (RFC 6902).
 """
 
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 from ryelock.replicated_state.parsing import parse_configuration
 
 CHANGE_FIELDS = ("id", "base", "put", "remove", "whole", "patch", "version")
-FIELDS_BESIDE_NO_PATCH = ("put", "remove", "whole")
+FIELDS_EXCLUDED_BY_PATCH = ("put", "remove", "whole")
 MAX_ID_LENGTH = 200
 MAX_VERSION = 1 << 62
 MAX_PATCH_FAULT_LENGTH = 300
@@ -23,14 +23,14 @@
 
 
 def merge_change(current: Configuration, change: object) -> ParsedChange:
-    """Return the configuration that a change makes of the current one, or every fault."""
+    """Return the configuration after a change, or every fault of the change."""
     if not isinstance(change, dict):
         return Error(InvalidConfigurationError([Fault("", "not an object")]))
     faults = list(check_change_header(change))
     if "patch" in change:
         faults += [
             Fault(key, "does not go with a patch")
-            for key in FIELDS_BESIDE_NO_PATCH
+            for key in FIELDS_EXCLUDED_BY_PATCH
             if key in change
         ]
         if faults:
@@ -43,7 +43,7 @@
 
 
 def check_change_header(change: dict[object, object]) -> Iterator[Fault]:
-    """Yield the faults of a change's field names, id, base and version."""
+    """Yield the faults in a change's field names, id, base and version."""
     yield from (Fault(str(key), "unknown field") for key in change if key not in CHANGE_FIELDS)
     identity = change.get("id")
     if not isinstance(identity, str) or not 0 < len(identity) <= MAX_ID_LENGTH:
@@ -53,17 +53,17 @@
         yield Fault("base", "not the version the change was made against")
     version = change.get("version", MAX_VERSION)
     if isinstance(version, bool) or not isinstance(version, int) or not isinstance(base, int):
-        in_order = False
+        is_above_base = False
     else:
-        in_order = base < version <= MAX_VERSION
-    if not in_order:
+        is_above_base = base < version <= MAX_VERSION
+    if not is_above_base:
         yield Fault("version", "not a number above the version it was made against")
 
 
 def merge_items(
     current: Configuration, change: dict[object, object], faults: list[Fault]
 ) -> MergedSections:
-    """Return the sections after removals and then puts, and add what is wrong to the faults."""
+    """Return the sections after first removing and then putting items; append to the faults."""
     replace_all = change.get("whole", False)
     if not isinstance(replace_all, bool):
         faults.append(Fault("whole", "neither true nor false"))
@@ -80,7 +80,7 @@
 def object_field(
     change: dict[object, object], key: str, faults: list[Fault]
 ) -> dict[object, object]:
-    """Return a field that is an object; an empty one, with a fault added, where it is none."""
+    """Return a field that is an object; append a fault and return an empty one if it is not."""
     value = change.get(key, {})
     if isinstance(value, dict):
         return value
@@ -89,7 +89,7 @@
 
 
 def remove_items(merged: MergedSections, remove: dict[object, object], faults: list[Fault]) -> None:
-    """Remove named items; one that is not there is a fault."""
+    """Remove named items; an unknown name is a fault."""
     for section, names in remove.items():
         path = f"remove.{section}"
         if not isinstance(section, str) or section not in merged:
@@ -103,7 +103,7 @@
 
 
 def put_items(merged: MergedSections, put: dict[object, object], faults: list[Fault]) -> None:
-    """Add items, in place of those of their name."""
+    """Add items, or replace existing ones of the same name."""
     for section, items in put.items():
         path = f"put.{section}"
         if not isinstance(section, str) or section not in merged:
@@ -115,9 +115,9 @@
 
 
 def apply_patch(current: Configuration, patch: object) -> ParsedChange:
-    """Return the configuration that a JSON Patch (RFC 6902) makes of the current one, or faults.
+    """Return the configuration after a JSON Patch (RFC 6902), or the faults of the patch.
 
-    The library is loaded at the first patch: edges and most control nodes never see one.
+    The library is imported here because most processes never apply a patch.
     """
     import jsonpatch
     import jsonpointer
@@ -140,23 +140,25 @@
         return Error(InvalidConfigurationError([Fault("patch", reason)]))
     if not isinstance(after, dict):
         return Error(InvalidConfigurationError([Fault("patch", "does not leave an object")]))
-    return parse_configuration(with_unchanged_items(current, before, after))
+    return parse_configuration(reuse_unchanged_items(current, before, after))
 
 
-def with_unchanged_items(
+def reuse_unchanged_items(
     current: Configuration, before: dict[str, object], after: dict[str, object]
 ) -> dict[str, object]:
-    """Return the patched sections with the current items where a patch left them as they were.
+    """Return the patched sections with the current objects for all items that did not change.
 
-    Who compares items by identity sees no change of those, and they are not parsed again.
+    Unchanged items are not parsed again, and code that compares items by identity sees no change.
     """
     merged = dict(after)
     for section in SECTIONS:
         items, old_items = after.get(section), before[section]
-        known = current.section(section)
+        current_items = current.section(section)
         if isinstance(items, dict) and isinstance(old_items, dict):
             merged[section] = {
-                name: known[name] if name in known and old_items[name] == item else item
+                name: current_items[name]
+                if name in current_items and old_items[name] == item
+                else item
                 for name, item in items.items()
             }
     return merged
--- a/packages/replicated_state/ryelock/replicated_state/claims.py
+++ b/packages/replicated_state/ryelock/replicated_state/claims.py
@@ -1,6 +1,6 @@
-"""Claims of idempotency keys: which request may run under a key of its caller.
+"""Claims of idempotency keys: the request that may run under each key.
 
-A claim is a command of the log, so that two edges never run one key's request both.
+Claims go through the log, so that two edges never both run a request with the same key.
 """
 
 from collections import OrderedDict
@@ -12,16 +12,16 @@
 
 
 class Claims:
-    """The newest claims: key and the request that owns it, oldest first."""
+    """The newest claims: the id of the request that owns each key, oldest first."""
 
     __slots__ = ("owners",)
 
     def __init__(self) -> None:
-        """Create a table without claims."""
+        """Create an empty table."""
         self.owners: OrderedDict[bytes, str] = OrderedDict()
 
     def claim(self, key: bytes, request: str) -> str:
-        """Claim a key for a request; return the request that owns the key, perhaps an earlier one.
+        """Claim a key for a request unless an earlier request owns it; return the owner.
 
         The oldest claims are dropped above MAX_CLAIMS.
         """
@@ -31,39 +31,39 @@
         return owner
 
     def release(self, key: bytes, request: object) -> None:
-        """Give a key back, where the request owns it: it certainly did not run."""
+        """Release a key if the request owns it; the caller makes sure that it did not run."""
         if self.owners.get(key) == request:
             del self.owners[key]
 
     def to_wire(self) -> list[tuple[bytes, str]]:
-        """Return the form in which a snapshot holds it; see `from_wire`."""
+        """Return the form used by snapshots; see `from_wire`."""
         return list(self.owners.items())
 
     @classmethod
     def from_wire(cls, data: object) -> "Claims":
-        """Return claims from a snapshot.
+        """Parse the claims of a snapshot.
 
         Raises:
-            MalformedSnapshotError: they are no list of pairs.
+            MalformedSnapshotError: the data is not a list of pairs.
         """
         if not isinstance(data, list | tuple):
-            raise MalformedSnapshotError("claims", "not a list")
+            raise MalformedSnapshotError("claims", f"expected a list, got {type(data).__name__}")
         claims = cls()
         for item in data:
             match item:
                 case [key, owner]:
                     claims.owners[key] = owner
                 case _:
-                    raise MalformedSnapshotError("claims", "not a key and a request")
+                    raise MalformedSnapshotError("claims", f"expected [key, request], got {item!r}")
         return claims
 
 
 def claim_key(value: object) -> bytes:
-    """Return the key of a claim.
+    """Validate the idempotency key of a claim and return it.
 
     Raises:
-        MalformedCommandError: it is no key of 1 to MAX_KEY_BYTES bytes.
+        MalformedCommandError: the value is not a byte string of 1 to MAX_KEY_BYTES bytes.
     """
     if not isinstance(value, bytes) or not 0 < len(value) <= MAX_KEY_BYTES:
-        raise MalformedCommandError("key", f"not 1 to {MAX_KEY_BYTES} bytes")
+        raise MalformedCommandError("key", f"expected 1 to {MAX_KEY_BYTES} bytes")
     return value
--- a/packages/replicated_state/ryelock/replicated_state/commands.py
+++ b/packages/replicated_state/ryelock/replicated_state/commands.py
@@ -1,26 +1,26 @@
-"""Commands: the entries of the log that the state machine applies."""
+"""Commands: log entries that the state machine applies."""
 
 from enum import StrEnum
 
 import cbor2
 
 KIND_FIELD = "word"
-"""Field of a stored command that has its kind."""
+"""Field that holds the kind of a stored command."""
 CommandFields = dict[str, object]
-"""A command as it was decoded, its kind included."""
+"""The fields of a decoded command, including its kind."""
 
 
 class CommandKind(StrEnum):
-    """What a command does; the values are stored."""
+    """The kinds of commands; the values are stored in the log."""
 
     CHANGE = "change"
     """Change the configuration."""
     PURGE = "purge"
-    """Stop serving cached responses."""
+    """Invalidate cached responses."""
     DRAIN = "drain"
-    """Drain an edge or a zone, or recover it."""
+    """Drain an edge or a zone, or end its drain."""
     ASSIGN_ROLE = "duty"
-    """Give a singleton role to a node."""
+    """Assign a singleton role to a node."""
     RECORD_VERDICT = "decision"
     """Record the health verdict of the aggregator."""
     DERIVE_WATCHES = "derived"
@@ -28,19 +28,19 @@
     CLAIM = "claim"
     """Claim an idempotency key for a request."""
     RELEASE = "release"
-    """Give an idempotency key back."""
+    """Release an idempotency key."""
 
 
 def encode_command(kind: str, **fields: object) -> bytes:
-    """Return a command as the log stores it.
+    """Encode a command for the log.
 
-    Raises what cbor2 raises for values that it cannot encode: ValueError, TypeError,
-    OverflowError or RecursionError.
+    Raises:
+        ValueError, TypeError, OverflowError, RecursionError: cbor2 cannot encode a value.
     """
     return cbor2.dumps({KIND_FIELD: str(kind), **fields})
 
 
 def decode_command(data: bytes) -> CommandFields | None:
-    """Return the fields of a stored command; None where it is no map."""
+    """Decode a stored command; return None if it is not a map."""
     command = cbor2.loads(data)
     return command if isinstance(command, dict) else None
--- a/packages/replicated_state/ryelock/replicated_state/configuration.py
+++ b/packages/replicated_state/ryelock/replicated_state/configuration.py
@@ -1,34 +1,34 @@
 """The configuration that operators set: services, routes, watches and limits of callers.
 
-The names of classes and fields are outside names: the control API and stored snapshots carry the
-fields, and the fingerprint of a watch is taken from its `repr`.
+The names of fields are part of the control API and of stored snapshots. The name of `Watch` may not
+change either: the fingerprint of a watch is computed from its `repr`.
 """
 
 from dataclasses import asdict, dataclass, field
 
 SECTIONS = ("services", "routes", "watches", "limits")
-"""The parts of a configuration, in the order in which they are stored and shown."""
+"""The sections of a configuration, in the order in which they are stored and shown."""
 MAX_NAME_LENGTH = 100
 MAX_ANNOTATION_LENGTH = 20_000
 DATINGS = ("last-modified", "date", "etag", "none")
-"""How the age of a watched object is judged; see `Watch.dating`."""
+"""Where the age of a watched object is read from; see `Watch.dating`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A kind of server, and how much it may be sent.
+    """A pool of servers and the limits on the traffic that they are sent.
 
     Attributes:
-        rate: requests per second that it may be sent.
-        burst_seconds: seconds of the rate that may be saved up.
-        flight: requests that may be in flight to one server.
-        queue: requests that one edge queues for it.
-        answer_seconds: time within which a server has to answer.
-        repeat_share: retries allowed as a fraction of first attempts.
-        repeat_allowance: retries that may be saved up.
-        limited: whether the rate holds.
-        links: most connections that one server takes from all callers together, 0 where unknown.
-        annotation: the operator's own text, kept and given back as it came.
+        rate: rate limit in requests per second, over all edges.
+        burst_seconds: token bucket capacity, in seconds of the rate.
+        flight: maximum requests in flight to one server.
+        queue: maximum requests that one edge queues for the service.
+        answer_seconds: response timeout of a server.
+        repeat_share: retry budget as a fraction of first attempts.
+        repeat_allowance: maximum retries saved up in the budget.
+        limited: False if the rate limit does not apply.
+        links: maximum connections that one server accepts from all callers together, 0 if unknown.
+        annotation: free text of the operator, stored and returned unchanged.
     """
 
     rate: float
@@ -45,22 +45,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which service, and what may be done with them.
+    """A mapping of requests to a service, with rules for caching, retries and overload.
 
     Attributes:
-        path: prefix of the request's path.
-        service: service that serves it.
-        host: host that it holds for, empty for every host.
-        once: whether its requests run at most once.
-        cached: whether its responses may be cached.
-        lifetime_seconds: how long a cached response is fresh, 0 where the response says it.
-        share: fraction of the service's capacity that its requests may take.
-        deadline_seconds: time within which a request is answered, 0 for the service's own.
-        target_seconds: latency target (SLO): up to it an answer has its full value.
-        priority: rank under overload, 0 first.
-        attempts: most servers that one request may be sent to.
-        split: weights of several services that share its requests; `service` is one of them.
-        annotation: the operator's own text, kept and given back as it came.
+        path: path prefix that requests must match.
+        service: name of the service that requests are sent to.
+        host: host that requests must match, empty for any host.
+        once: True if a request runs at most once.
+        cached: True if responses may be cached.
+        lifetime_seconds: freshness lifetime of a cached response, 0 to use the response's own.
+        share: maximum fraction of the service's capacity that the route's requests may use.
+        deadline_seconds: deadline of a request, 0 to use the listener's deadline.
+        target_seconds: latency target (SLO).
+        priority: rank under overload; 0 is served first.
+        attempts: maximum servers that one request may be sent to.
+        split: weights of the services that the requests are split over, `service` included; empty
+            for no split.
+        annotation: free text of the operator, stored and returned unchanged.
     """
 
     path: str
@@ -78,20 +79,20 @@
     annotation: str = ""
 
     def allows(self, service: str) -> bool:
-        """Whether this route's requests may go to a service."""
+        """Return True if this route's requests may be sent to a service."""
         return self.split.get(service, 0) > 0 if self.split else service == self.service
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send and how long they may take; 0: as the process's own settings say.
+    """Limits on requests and connections of callers; 0 for the limit of the process's settings.
 
     Attributes:
-        head_bytes: most bytes of a request's head.
-        body_bytes: most bytes of a request's body.
-        head_seconds: time within which a head has to arrive.
-        idle_seconds: time after which an idle connection is closed.
-        annotation: the operator's own text, kept and given back as it came.
+        head_bytes: maximum size of a request head.
+        body_bytes: maximum size of a request body.
+        head_seconds: timeout for receiving a request head.
+        idle_seconds: timeout after which an idle connection is closed.
+        annotation: free text of the operator, stored and returned unchanged.
     """
 
     head_bytes: int = 0
@@ -103,16 +104,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """The object that proves that a route is served, and how its age is judged.
+    """A health check of a route: an object that probers fetch, and when it counts as stale.
 
     Attributes:
         route: name of the route.
         object: path of the object.
-        manifest: path that is fetched uncached first, empty for the object itself.
-        host: host that is asked for, empty for the edge's address.
-        marker: text that the manifest starts with, empty where any will do.
-        dating: one of DATINGS.
-        stale_seconds: age above which the object is stale, 0 for the deployment's own.
+        manifest: path that is fetched first, bypassing caches; empty for the object itself.
+        host: value of the Host header, empty for the edge's address.
+        marker: text that the manifest must start with, empty for any text.
+        dating: where the object's age is read from, one of DATINGS.
+        stale_seconds: age above which the object is stale, 0 for the settings' value.
     """
 
     route: str
@@ -129,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of all that operators set, each section by name."""
+    """One version of the operators' configuration; each section maps names to items."""
 
     services: dict[str, Service] = field(default_factory=dict)
     routes: dict[str, Route] = field(default_factory=dict)
@@ -137,11 +138,11 @@
     limits: dict[str, CallerLimits] = field(default_factory=dict)
 
     def section(self, name: str) -> dict[str, Item]:
-        """Return a new map of the items of one of SECTIONS."""
+        """Return a copy of one of SECTIONS."""
         return dict(getattr(self, name))
 
     def to_wire(self) -> dict[str, object]:
-        """Return the form in which it is stored and shown; see `parse_configuration`."""
+        """Return the form used by snapshots and the control API; see `parse_configuration`."""
         return {
             section: {name: asdict(item) for name, item in self.section(section).items()}
             for section in SECTIONS
--- a/packages/replicated_state/ryelock/replicated_state/derived.py
+++ b/packages/replicated_state/ryelock/replicated_state/derived.py
@@ -1,8 +1,8 @@
-"""Watches that no operator wrote: which routes may have one, and what it fetches.
+"""Derived watches: health checks of services that no configured watch covers.
 
-A watch is derived from an object that an edge really served, for one cached route of each service
-that no operator's watch names. All of this follows from the configuration and from commands alone,
-so that every replica derives the same.
+A watch is derived from an object that an edge served, for one cached route of each such service.
+Derived watches depend on the configuration and on commands only, so that they are the same on every
+replica.
 """
 
 from ryelock.replicated_state.configuration import Configuration, Route, Watch
@@ -12,17 +12,17 @@
 MAX_DERIVED_WATCHES = 4
 DERIVED_NAME_PREFIX = "derived "
 STALE_SLACK_SECONDS = 30.0
-"""Age beyond the route's lifetime from which a derived watch's object is stale."""
+"""Tolerance above the route's freshness lifetime before a derived watch's object is stale."""
 MAX_STALE_SECONDS = 1e6
 
 
 def derived_name(route: str) -> str:
-    """Return a derived watch's name; no operator's watch has one with a space in it."""
+    """Return the name of a route's derived watch; configured names cannot contain its space."""
     return DERIVED_NAME_PREFIX + route
 
 
 def derivable_routes(configuration: Configuration, derived: dict[str, Watch]) -> frozenset[str]:
-    """Return the cached routes of services without a watch; none once there are enough watches."""
+    """Return the cached routes of services without a watch; none at MAX_DERIVED_WATCHES."""
     if len(derived) >= MAX_DERIVED_WATCHES:
         return frozenset()
     routes = configuration.routes
@@ -34,14 +34,15 @@
 
 
 def watched_services(configuration: Configuration) -> set[str]:
-    """Return the services that the operators' watches fetch from."""
+    """Return the services that configured watches cover."""
     return {configuration.routes[watch.route].service for watch in configuration.watches.values()}
 
 
 def derive_watch(configuration: Configuration, name: str, target: str, host: str) -> Watch | None:
-    """Return a watch of an object under a route; None where it is no object of that route.
+    """Return a watch of an object of a route; None if the route does not match the object.
 
-    A cached response may be as old as the route's lifetime allows, and is stale only beyond that.
+    A cached response may get as old as the route's freshness lifetime, so that it counts as stale
+    only above that.
     """
     route = configuration.routes.get(name)
     if route is None or (route.host and host != route.host):
@@ -50,39 +51,43 @@
     watch = Watch(
         name, target, host=host, dating="etag", stale_seconds=min(MAX_STALE_SECONDS, stale)
     )
-    sound = next(check_watch(name, watch, configuration), None) is None
-    return watch if sound else None
+    is_valid = next(check_watch(name, watch, configuration), None) is None
+    return watch if is_valid else None
 
 
 def derived_watches(configuration: Configuration, targets: object) -> dict[str, Watch]:
-    """Return the watches by route that host and path in a command or snapshot give.
+    """Return the derived watches by route for the targets in a command or snapshot.
 
-    Targets of routes that may have no watch are left out.
+    Targets of routes that may not have a derived watch are left out.
+
+    Args:
+        configuration: the current configuration.
+        targets: [host, path] of the watched object by the name of the route.
 
     Raises:
-        MalformedCommandError: the targets are no map of routes to host and path.
+        MalformedCommandError: the targets have another form.
     """
     if not isinstance(targets, dict):
-        raise MalformedCommandError("places", "not a map")
-    found: dict[str, Watch] = {}
+        raise MalformedCommandError("places", f"expected a map, got {type(targets).__name__}")
+    watches: dict[str, Watch] = {}
     for name, target in sorted(targets.items()):
         match target:
             case [str(host), str(path)]:
                 watch = derive_watch(configuration, name, path, host)
-                if watch is not None and name in derivable_routes(configuration, found):
-                    found[name] = watch
+                if watch is not None and name in derivable_routes(configuration, watches):
+                    watches[name] = watch
             case _:
-                raise MalformedCommandError("places", f"{name!r} has no host and path")
-    return found
+                raise MalformedCommandError("places", f"expected [host, path] for {name!r}")
+    return watches
 
 
 def derived_targets(derived: dict[str, Watch]) -> dict[str, list[str]]:
-    """Return host and path of each derived watch by route, for commands and snapshots."""
+    """Return [host, path] of each derived watch by route, as commands and snapshots store it."""
     return {name: [watch.host, watch.object] for name, watch in sorted(derived.items())}
 
 
 def watch_basis(route: Route) -> tuple[object, ...]:
-    """Return what a derived watch of a route rests on; where it changes the watch ends."""
+    """Return the fields of a route that end its derived watch when they change."""
     return (
         route.path,
         route.host,
@@ -96,7 +101,7 @@
 def retained_watches(
     derived: dict[str, Watch], before: Configuration, after: Configuration
 ) -> dict[str, Watch]:
-    """Return the derived watches that a change of the configuration leaves."""
+    """Return the derived watches that stay valid after a change of the configuration."""
     watched = watched_services(after)
     return {
         name: watch
--- a/packages/replicated_state/ryelock/replicated_state/drain.py
+++ b/packages/replicated_state/ryelock/replicated_state/drain.py
@@ -1,20 +1,20 @@
-"""Drains: edges and zones that take no new traffic."""
+"""Drains: edges and zones that get no new traffic."""
 
 from typing import TypedDict
 
 from ryelock.replicated_state.errors import MalformedSnapshotError
 
 ZONE_PREFIX = "zone:"
-"""Before a zone's name among drained targets; an edge's name stands alone."""
+"""Prefix of a zone's name among drained targets; edges have no prefix."""
 
 
 class Drain(TypedDict):
-    """Why an edge or a zone is drained, in the form that snapshots and the control API have.
+    """A drain of an edge or a zone, in the form used by snapshots and the control API.
 
     Attributes:
         index: log index of the command.
-        reason: the operator's reason.
-        forced: whether the operator overrode the control plane, which had spoken against it.
+        reason: reason given by the operator.
+        forced: True if the operator overrode the control plane's objection to the drain.
     """
 
     index: int
@@ -23,13 +23,15 @@
 
 
 def drain_from_wire(data: object) -> Drain:
-    """Return a drain from a snapshot.
+    """Parse a drain of a snapshot.
 
     Raises:
-        MalformedSnapshotError: it has another form.
+        MalformedSnapshotError: a field is missing or of another type.
     """
     match data:
         case {"index": int(index), "reason": str(reason), "forced": bool(forced)}:
             return Drain(index=index, reason=reason, forced=forced)
         case _:
-            raise MalformedSnapshotError("drains", f"not a drain: {data!r}")
+            raise MalformedSnapshotError(
+                "drains", f"expected index, reason and forced, got {data!r}"
+            )
--- a/packages/replicated_state/ryelock/replicated_state/outcomes.py
+++ b/packages/replicated_state/ryelock/replicated_state/outcomes.py
@@ -1,7 +1,7 @@
-"""Outcomes of commands that carry an id, so that a command sent again gets its first outcome.
+"""Stored outcomes of commands with an id, so that a retried command gets its first outcome.
 
-Each kind of command has a limit of its own: a stream of purges does not push out the outcome of a
-change. The outcome of the change that made the present version is never forgotten.
+The number of outcomes is limited for each kind of command, so that many purges do not evict the
+outcome of a change. The outcome of the change that made the current version is never evicted.
 """
 
 from collections import OrderedDict
@@ -11,7 +11,7 @@
 from ryelock.replicated_state.errors import Fault, MalformedSnapshotError, faults_to_wire
 
 Outcome = dict[str, object]
-"""What a command came to, as the control API shows it: a `status` and fields beside it."""
+"""The result of a command in the form of the control API: a `status` and further fields."""
 MAX_OUTCOMES_PER_KIND = 2000
 
 
@@ -20,21 +20,21 @@
 
     ACCEPTED = "accepted"
     INVALID = "invalid"
-    """It has faults, which stand beside."""
+    """The command has faults, listed in `faults`."""
     CONFLICT = "conflict"
-    """It was made against another version, the present one stands beside."""
+    """The change is based on another version than the current one, which is in `version`."""
     MALFORMED = "malformed"
-    """No replica can read it."""
+    """The command cannot be decoded, or a field is malformed."""
     FENCED = "fenced"
-    """It bears an older fencing token, or comes from a node that does not own the role."""
+    """The fencing token is stale, or the sender does not own the singleton role."""
     CLAIMED = "claimed"
-    KNOWN = "known"
+    ALREADY_CLAIMED = "known"
     """Another request has claimed the idempotency key."""
     RELEASED = "released"
 
 
 def make_outcome(status: CommandStatus, **fields: object) -> Outcome:
-    """Return an outcome with the fields in the order in which they are stored."""
+    """Return an outcome; the order of the fields is the order in which they are stored."""
     return {"status": status.value, **fields}
 
 
@@ -44,57 +44,59 @@
 
 
 class Outcomes:
-    """Outcomes by kind and id; the same on every replica that applied the same commands."""
+    """Outcomes by the kind and id of the command, limited in number for each kind."""
 
     __slots__ = ("by_kind", "pinned")
 
     def __init__(self) -> None:
-        """Create an empty memory."""
+        """Create an empty table."""
         self.by_kind: dict[str, OrderedDict[str, Outcome]] = {}
         self.pinned: tuple[str, str] = ("", "")
 
     def find(self, kind: str, identity: str) -> Outcome | None:
-        """Return the first outcome of a command; None where it is not known."""
-        known = self.by_kind.get(kind)
-        return None if known is None else known.get(identity)
-
-    def remember(self, kind: str, identity: str, outcome: Outcome) -> None:
-        """Keep an outcome; the oldest of its kind gives way, but never the pinned one."""
-        known = self.by_kind.setdefault(kind, OrderedDict())
-        known[identity] = outcome
-        if len(known) <= MAX_OUTCOMES_PER_KIND:
+        """Return the first outcome of a command; None if it was never recorded or was evicted."""
+        outcomes = self.by_kind.get(kind)
+        return None if outcomes is None else outcomes.get(identity)
+
+    def record(self, kind: str, identity: str, outcome: Outcome) -> None:
+        """Store an outcome; at the limit, evict the oldest of its kind that is not pinned."""
+        outcomes = self.by_kind.setdefault(kind, OrderedDict())
+        outcomes[identity] = outcome
+        if len(outcomes) <= MAX_OUTCOMES_PER_KIND:
             return
-        oldest = next(other for other in known if (kind, other) != self.pinned)
-        del known[oldest]
+        oldest = next(other for other in outcomes if (kind, other) != self.pinned)
+        del outcomes[oldest]
 
     def pin(self, kind: str, identity: str) -> None:
-        """Keep the outcome of one command for as long as no other is pinned in its place."""
+        """Protect one outcome from eviction, in place of the one pinned before."""
         self.pinned = (kind, identity)
 
     def to_wire(self) -> list[object]:
-        """Return the form in which a snapshot holds it; see `from_wire`."""
-        kinds = [[kind, list(known.items())] for kind, known in sorted(self.by_kind.items())]
+        """Return the form used by snapshots; see `from_wire`."""
+        kinds = [[kind, list(stored.items())] for kind, stored in sorted(self.by_kind.items())]
         return [list(self.pinned), kinds]
 
     @classmethod
     def from_wire(cls, data: object) -> "Outcomes":
-        """Return outcomes from a snapshot.
+        """Parse the outcomes of a snapshot.
 
-        Snapshots of earlier versions, which had one list for all kinds, are read too.
+        Snapshots of older versions have one list of outcomes for all kinds.
 
         Raises:
-            MalformedSnapshotError: it is neither form.
+            MalformedSnapshotError: the data has neither form.
         """
         outcomes = cls()
         match data:
             case [[str(kind), str(identity)], list(kinds)]:
                 outcomes.pinned = (kind, identity)
-                for name, known in kinds:
-                    outcomes.by_kind[name] = OrderedDict((one, outcome) for one, outcome in known)
-            case list(joined):
-                for key, outcome in joined:
+                for name, stored in kinds:
+                    outcomes.by_kind[name] = OrderedDict((key, outcome) for key, outcome in stored)
+            case list(all_kinds):
+                for key, outcome in all_kinds:
                     kind, _, identity = str(key).partition(":")
                     outcomes.by_kind.setdefault(kind, OrderedDict())[identity] = outcome
             case _:
-                raise MalformedSnapshotError("outcomes", "not a list")
+                raise MalformedSnapshotError(
+                    "outcomes", f"expected a list, got {type(data).__name__}"
+                )
         return outcomes
--- a/packages/replicated_state/ryelock/replicated_state/parsing.py
+++ b/packages/replicated_state/ryelock/replicated_state/parsing.py
@@ -1,7 +1,7 @@
-"""Reading a configuration from maps, as the control API and snapshots carry it.
+"""Parsing of configurations from the maps that the control API and snapshots contain.
 
-Types are checked by dacite. An unknown field is a fault, and so is a wrong type; an integer may
-stand where a fraction is allowed. Rules between items are checked only when all types are right.
+dacite checks the types. An unknown field or a wrong type is a fault; an integer is accepted for a
+float. The rules in `validation` are checked only if all types are right.
 """
 
 from dataclasses import fields
@@ -24,13 +24,13 @@
 
 ItemType = TypeVar("ItemType", Service, Route, Watch, CallerLimits)
 MAX_CONVERTED_INTEGER = 1e15
-"""Integers from here on are no fractions: a float would not hold each of them exactly."""
+"""Larger integers are not accepted for a float, which could not represent all of them exactly."""
 
 
 def parse_configuration(data: object) -> Result[Configuration, InvalidConfigurationError]:
-    """Return a whole configuration, or every fault in it.
+    """Parse a complete configuration; return every fault if it is invalid.
 
-    Items that are already of their class are taken as they are.
+    Items that are already parsed are used unchanged.
     """
     if not isinstance(data, dict):
         return Error(InvalidConfigurationError([Fault("", "not an object")]))
@@ -49,12 +49,12 @@
 def parse_section(
     item_type: type[ItemType], section: str, data: dict[object, object], faults: list[Fault]
 ) -> dict[str, ItemType]:
-    """Return the sound items of a section by name, and add what is wrong with others."""
+    """Return the valid items of a section by name; append to the faults for the others."""
     items = data.get(section, {})
     if not isinstance(items, dict):
         faults.append(Fault(section, "not an object"))
         return {}
-    found: dict[str, ItemType] = {}
+    parsed_items: dict[str, ItemType] = {}
     for name, value in items.items():
         path = f"{section}.{name}"
         if not is_item_name(name):
@@ -62,31 +62,31 @@
             continue
         item = parse_item(item_type, path, value, faults)
         if item is not None:
-            found[name] = item
-    return found
+            parsed_items[name] = item
+    return parsed_items
 
 
 def is_item_name(name: object) -> bool:
-    """Tell whether a key of a section may be the name of an item."""
+    """Return True if a key of a section is a valid name of an item."""
     return isinstance(name, str) and bool(name) and is_printable_ascii(name, MAX_NAME_LENGTH)
 
 
 def parse_item(
     item_type: type[ItemType], path: str, data: object, faults: list[Fault]
 ) -> ItemType | None:
-    """Return one item; None, with what is wrong added to the faults, where it is none."""
+    """Parse one item; append to the faults and return None if it is invalid."""
     if isinstance(data, item_type):
         return data
     if not isinstance(data, dict) or not all(isinstance(key, str) for key in data):
         faults.append(Fault(path, "not an object"))
         return None
-    known = {field.name for field in fields(item_type)}
-    faults.extend(Fault(f"{path}.{key}", "unknown field") for key in data if key not in known)
-    values = {key: value for key, value in data.items() if key in known}
+    field_names = {field.name for field in fields(item_type)}
+    faults.extend(Fault(f"{path}.{key}", "unknown field") for key in data if key not in field_names)
+    values = {key: value for key, value in data.items() if key in field_names}
     try:
         return dacite.from_dict(
             item_type,
-            integers_as_fractions(item_type, values),
+            convert_integers(item_type, values),
             dacite.Config(strict=True, check_types=True),
         )
     except dacite.MissingValueError as error:
@@ -98,17 +98,17 @@
     return None
 
 
-def integers_as_fractions(item_type: type, values: dict[str, object]) -> dict[str, object]:
-    """Return the values with integers made floats where the field is a float."""
-    fractions = {field.name for field in fields(item_type) if field.type in (float, "float")}
+def convert_integers(item_type: type, values: dict[str, object]) -> dict[str, object]:
+    """Return the values with integers converted to floats for fields of that type."""
+    float_fields = {field.name for field in fields(item_type) if field.type in (float, "float")}
     return {
-        key: float(value) if key in fractions and is_exact_integer(value) else value
+        key: float(value) if key in float_fields and is_convertible_integer(value) else value
         for key, value in values.items()
     }
 
 
-def is_exact_integer(value: object) -> TypeGuard[int]:
-    """Tell whether a value is an integer, no bool, that a float holds exactly."""
+def is_convertible_integer(value: object) -> TypeGuard[int]:
+    """Return True for an integer, except bool, that a float represents exactly."""
     if isinstance(value, bool) or not isinstance(value, int):
         return False
     return abs(value) < MAX_CONVERTED_INTEGER
--- a/packages/replicated_state/ryelock/replicated_state/plan.py
+++ b/packages/replicated_state/ryelock/replicated_state/plan.py
@@ -1,4 +1,4 @@
-"""What a change would do, shown to an operator before it is made."""
+"""Preview of a configuration change, for operators to review before they apply it."""
 
 from dataclasses import fields
 
@@ -6,7 +6,7 @@
 
 
 def plan_change(current: Configuration, after: Configuration) -> dict[str, object]:
-    """Return the names added, removed and changed in each section, as the control API shows it."""
+    """Return the differences of each section in the form of the control API."""
     return {
         section: plan_section(current.section(section), after.section(section))
         for section in SECTIONS
@@ -14,7 +14,7 @@
 
 
 def plan_section(before: dict[str, Item], after: dict[str, Item]) -> dict[str, object]:
-    """Return the names added, removed and changed, and each changed field's old and new value."""
+    """Return the added and removed names, and the changed fields by name."""
     return {
         "added": sorted(name for name in after if name not in before),
         "removed": sorted(name for name in before if name not in after),
@@ -27,7 +27,7 @@
 
 
 def changed_fields(before: Item, after: Item) -> dict[str, list[object]]:
-    """Return the old and the new value of each field that differs."""
+    """Return [old value, new value] of each field that differs."""
     return {
         field.name: [getattr(before, field.name), getattr(after, field.name)]
         for field in fields(after)
--- a/packages/replicated_state/ryelock/replicated_state/purge.py
+++ b/packages/replicated_state/ryelock/replicated_state/purge.py
@@ -1,4 +1,4 @@
-"""Purges: which cached responses may not be served any more."""
+"""Purges: invalidation of cached responses."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,12 +8,12 @@
 from ryelock.replicated_state.errors import Fault, MalformedSnapshotError
 
 MAX_SCOPES = 1000
-"""Scopes in one purge command."""
+"""Maximum scopes in one purge command."""
 HOST_FIELD = "host"
 
 
 class PurgeKind(StrEnum):
-    """What a purge's text names; the values are stored and shown."""
+    """How a purge selects responses; the values are stored and shown."""
 
     ROUTE = "route"
     PREFIX = "prefix"
@@ -21,17 +21,17 @@
     LABEL = "label"
 
 
-KINDS_OF_PATHS = (PurgeKind.PREFIX, PurgeKind.PATH)
+PATH_KINDS = (PurgeKind.PREFIX, PurgeKind.PATH)
 
 
 @dataclass(frozen=True, slots=True)
 class PurgeScope:
-    """What one purge covers.
+    """The set of cached responses that a purge invalidates.
 
     Attributes:
-        kind: what the text names.
-        host: host that it holds for, empty for every host.
-        text: a route's name, a prefix of paths, one path, or a label of responses.
+        kind: how `text` selects responses.
+        host: host of the responses, empty for any host.
+        text: name of a route, path prefix, path, or label, depending on `kind`.
     """
 
     kind: PurgeKind
@@ -41,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """One agreed purge.
+    """A committed purge of one scope.
 
     Attributes:
-        number: grows by one with every purge.
-        kind: what the text names.
-        host: host that it holds for, empty for every host.
-        text: a route's name, a prefix of paths, one path, or a label of responses.
+        number: sequence number, one higher than that of the previous purge.
+        kind: how `text` selects responses.
+        host: host of the responses, empty for any host.
+        text: name of a route, path prefix, path, or label, depending on `kind`.
     """
 
     number: int
@@ -56,25 +56,27 @@
     text: str
 
     def to_wire(self) -> list[object]:
-        """Return the form in which a snapshot holds it; see `from_wire`."""
+        """Return the form used by snapshots; see `from_wire`."""
         return [self.number, self.kind.value, self.host, self.text]
 
     @classmethod
     def from_wire(cls, data: object) -> "Purge":
-        """Return a purge from a snapshot.
+        """Parse a purge of a snapshot.
 
         Raises:
-            MalformedSnapshotError: it has another form or is of an unknown kind.
+            MalformedSnapshotError: the data has another form or an unknown kind.
         """
         match data:
             case [int(number), str(kind), str(host), str(text)] if kind in tuple(PurgeKind):
                 return cls(number, PurgeKind(kind), host, text)
             case _:
-                raise MalformedSnapshotError("purges", f"not a purge: {data!r}")
+                raise MalformedSnapshotError(
+                    "purges", f"expected [number, kind, host, text], got {data!r}"
+                )
 
 
 def parse_purge_scopes(data: object) -> Result[list[PurgeScope], Fault]:
-    """Return the scopes of a purge command, or its first fault."""
+    """Parse the scopes of a purge command; return the first fault if there is one."""
     if not isinstance(data, list) or not 0 < len(data) <= MAX_SCOPES:
         return Error(Fault("scopes", "not a list of 1 to 1000 scopes"))
     scopes: list[PurgeScope] = []
@@ -87,7 +89,7 @@
 
 
 def parse_purge_scope(data: object) -> Result[PurgeScope, Fault]:
-    """Return one scope of a purge command, or its fault."""
+    """Parse one scope of a purge command; return the fault if it is invalid."""
     if not isinstance(data, dict) or set(data) - {*PurgeKind, HOST_FIELD}:
         reason = "a scope has a route, a prefix, a path or a label, and perhaps a host"
         return Error(Fault("scopes", reason))
@@ -95,6 +97,6 @@
     if len(kinds) != 1 or not all(isinstance(value, str) for value in data.values()):
         return Error(Fault("scopes", "a scope has exactly one of route, prefix, path and label"))
     kind = kinds[0]
-    if kind in KINDS_OF_PATHS and not data[kind].startswith("/"):
+    if kind in PATH_KINDS and not data[kind].startswith("/"):
         return Error(Fault("scopes", "a path starts with '/'"))
     return Ok(PurgeScope(kind, data.get(HOST_FIELD, ""), data[kind]))
--- a/packages/replicated_state/ryelock/replicated_state/state.py
+++ b/packages/replicated_state/ryelock/replicated_state/state.py
@@ -1,8 +1,8 @@
-"""The state machine behind the log of the consensus group, and its replica on every edge.
+"""The replicated state machine, which control nodes and every edge apply the log to.
 
-Applying a command gives its outcome; the outcome of a command with an id is remembered, so that the
-same command sent again gets its first outcome. Applying has to be deterministic on every node: no
-clock, no randomness, no order of a set.
+Applying a command returns its outcome. The outcome of a command with an id is stored, so that a
+retry of the command gets the first outcome and is not applied twice. Applying must be deterministic
+on every node: no clock, no randomness, no iteration over a set.
 """
 
 from collections.abc import Callable
@@ -40,29 +40,30 @@
 from ryelock.singleton import SingletonRole
 
 MAX_PURGES = 2000
-"""Purges that are kept; an edge that missed older ones drops its whole cache."""
+"""Retained purges; an edge that missed an older one clears its cache."""
 MAX_DECISIONS = 500
-"""Past drains and verdicts that are kept for the record."""
+"""Retained records of past drains, recoveries and verdicts."""
 AGGREGATOR = "aggregator"
 """The singleton role whose owner records verdicts."""
 VerdictFields = dict[str, object]
-"""A verdict of the network as the aggregator proposed it; see ryelock.health."""
-Shape = TypeVar("Shape")
+"""A health verdict on the network as the aggregator proposed it; see ryelock.health."""
+FieldType = TypeVar("FieldType")
 
 
 class ReplicatedState:
-    """Configuration, purges, drains, singleton roles and decisions, all at one log index.
+    """Configuration, purges, drains, singleton roles and health verdicts, all at one log index.
 
     Attributes:
-        index: log index up to which commands are applied.
+        index: log index of the last applied entry.
         version: version of the configuration.
-        configuration: what operators set.
+        configuration: services, routes, watches and limits that operators set.
         purge_number: number of the newest purge.
         purges: the newest purges, oldest first.
-        drains: drained edges by name and zones by `zone:NAME`.
+        drains: drained edges by name and drained zones by `zone:NAME`.
         singletons: singleton roles by name.
-        decisions: past drains and verdicts as the control API shows them, oldest first.
-        verdict: the newest verdict; empty where there was none.
+        decisions: past drains, recoveries and verdicts as the control API returns them, oldest
+            first.
+        verdict: the newest health verdict; empty before the first one.
         derived: derived watches by the name of their route.
         derivable: names of the routes that may get a derived watch.
         outcomes: outcomes of commands with an id.
@@ -86,7 +87,7 @@
     )
 
     def __init__(self) -> None:
-        """Create the state before the first command."""
+        """Create the state at log index 0."""
         self.index = 0
         self.version = 0
         self.configuration = Configuration()
@@ -103,12 +104,15 @@
 
     @property
     def watches(self) -> dict[str, Watch]:
-        """The derived watches and those of operators, by name."""
+        """Derived and configured watches by name."""
         derived = {derived_name(name): watch for name, watch in sorted(self.derived.items())}
         return {**derived, **self.configuration.watches}
 
     def apply(self, index: int, data: bytes) -> Outcome:
-        """Apply one log entry; the outcome tells whether it was accepted, and why not."""
+        """Apply one log entry and return its outcome.
+
+        A retry of a command with an id gets the stored outcome, marked with `again`.
+        """
         self.index = index
         command = decode_command(data)
         if command is None:
@@ -120,17 +124,17 @@
         identity = command.get("id")
         if not isinstance(identity, str):
             return self.apply_guarded(handler, command)
-        known = self.outcomes.find(kind, identity)
-        if known is not None:
-            return {**known, "again": True}
+        first_outcome = self.outcomes.find(kind, identity)
+        if first_outcome is not None:
+            return {**first_outcome, "again": True}
         outcome = self.apply_guarded(handler, command)
         if kind == CommandKind.CHANGE and outcome.get("status") == CommandStatus.ACCEPTED:
             self.outcomes.pin(kind, identity)
-        self.outcomes.remember(kind, identity, outcome)
+        self.outcomes.record(kind, identity, outcome)
         return outcome
 
     def handlers(self) -> dict[str, Callable[[CommandFields], Outcome]]:
-        """Return what applies each kind of command."""
+        """Return the method that applies each kind of command."""
         return {
             CommandKind.CHANGE: self.apply_change,
             CommandKind.PURGE: self.apply_purge,
@@ -145,7 +149,7 @@
     def apply_guarded(
         self, handler: Callable[[CommandFields], Outcome], command: CommandFields
     ) -> Outcome:
-        """Apply a command; one that no node can read changes the state of none."""
+        """Apply a command; a malformed one leaves the state unchanged on every node."""
         try:
             return handler(command)
         except (KeyError, TypeError, ValueError, AttributeError, RecursionError):
@@ -153,7 +157,7 @@
             return make_outcome(CommandStatus.MALFORMED, faults=faults)
 
     def apply_change(self, command: CommandFields) -> Outcome:
-        """Change the configuration, where the change was made against the present version."""
+        """Change the configuration, unless the change is based on another version of it."""
         change = command.get("change")
         base = change.get("base") if isinstance(change, dict) else None
         if isinstance(base, int) and base != self.version:
@@ -169,7 +173,7 @@
         return make_outcome(CommandStatus.ACCEPTED, version=self.version, index=self.index)
 
     def apply_purge(self, command: CommandFields) -> Outcome:
-        """Number the scopes of a purge and keep them for the edges."""
+        """Number the scopes of a purge and add them to the purges that edges carry out."""
         scopes = parse_purge_scopes(command.get("scopes"))
         if scopes.is_error():
             return invalid_outcome([scopes.error])
@@ -180,7 +184,7 @@
         return make_outcome(CommandStatus.ACCEPTED, purge=self.purge_number, index=self.index)
 
     def apply_drain(self, command: CommandFields) -> Outcome:
-        """Drain an edge or a zone, or recover it."""
+        """Drain an edge or a zone, or end its drain."""
         target = str(command.get("target"))
         draining = command.get("on") is True
         if draining:
@@ -201,7 +205,7 @@
         return make_outcome(CommandStatus.ACCEPTED, index=self.index)
 
     def assign_role(self, command: CommandFields) -> Outcome:
-        """Give a singleton role to a node, unless its fencing token is older than the present."""
+        """Assign a singleton role to a node, unless the fencing token is stale."""
         name, owner = str(command["name"]), str(command["holder"])
         fencing_token = command["epoch"]
         current = self.singletons.get(name)
@@ -214,7 +218,7 @@
         return make_outcome(CommandStatus.ACCEPTED, index=self.index)
 
     def record_verdict(self, command: CommandFields) -> Outcome:
-        """Record a verdict, taken only from the present owner of the aggregator's role."""
+        """Record a health verdict; one from a former owner of the aggregator role is fenced off."""
         role = self.singletons.get(AGGREGATOR)
         owner, fencing_token = command.get("holder"), command.get("epoch")
         if role is None or not isinstance(fencing_token, int):
@@ -224,7 +228,7 @@
         verdict = command.get("verdict")
         if not isinstance(verdict, dict):
             return make_outcome(CommandStatus.MALFORMED)
-        before = self.verdict
+        previous = self.verdict
         self.verdict = {
             **verdict,
             "index": self.index,
@@ -232,35 +236,35 @@
             "holder": owner,
             "wall": command.get("wall"),
         }
-        if is_other_verdict(before, verdict):
+        if verdict_differs(previous, verdict):
             self.add_decision({**self.verdict, "kind": "verdict"})
         return make_outcome(CommandStatus.ACCEPTED, index=self.index)
 
     def replace_derived_watches(self, command: CommandFields) -> Outcome:
-        """Replace all derived watches by those of the objects that the command names."""
+        """Replace all derived watches by watches of the objects that the command names."""
         self.derived = derived_watches(self.configuration, command["places"])
         self.derivable = derivable_routes(self.configuration, self.derived)
         return make_outcome(CommandStatus.ACCEPTED, index=self.index)
 
     def apply_claim(self, command: CommandFields) -> Outcome:
-        """Claim a key for a request; the outcome names the request that owns the key."""
+        """Claim an idempotency key; the outcome names the request that owns the key."""
         key, request = claim_key(command["key"]), str(command["order"])
         owner = self.claims.claim(key, request)
-        status = CommandStatus.CLAIMED if owner == request else CommandStatus.KNOWN
+        status = CommandStatus.CLAIMED if owner == request else CommandStatus.ALREADY_CLAIMED
         return make_outcome(status, order=owner)
 
     def apply_release(self, command: CommandFields) -> Outcome:
-        """Give a key back; the request that claimed it certainly did not run."""
+        """Release an idempotency key whose request certainly did not run."""
         self.claims.release(claim_key(command["key"]), command["order"])
         return make_outcome(CommandStatus.RELEASED)
 
     def add_decision(self, record: dict[str, object]) -> None:
-        """Add a drain or verdict to the record."""
+        """Record a drain, a recovery or a verdict; the oldest records are dropped."""
         self.decisions.append(record)
         del self.decisions[:-MAX_DECISIONS]
 
     def snapshot(self) -> bytes:
-        """Return all of it, as the consensus group's disks keep it; see `restore`."""
+        """Return the complete state in the form that control nodes store; see `restore`."""
         fields = {
             **self.shared_fields(),
             "decisions": self.decisions,
@@ -270,11 +274,11 @@
         return cbor2.dumps(fields)
 
     def edge_snapshot(self) -> bytes:
-        """Return what edges need of it: no outcomes, past decisions or claims; see `restore`."""
+        """Return the state for edges, without outcomes, decisions and claims; see `restore`."""
         return cbor2.dumps({**self.shared_fields(), "outcomes": [], "decisions": []})
 
     def shared_fields(self) -> dict[str, object]:
-        """Return the fields that snapshots of control nodes and of edges have, in their order."""
+        """Return the fields of both control node and edge snapshots, in the stored order."""
         return {
             "index": self.index,
             "version": self.version,
@@ -288,15 +292,17 @@
         }
 
     def singletons_to_wire(self) -> dict[str, object]:
-        """Return the singleton roles by name, as snapshots and the control API have them."""
+        """Return the singleton roles by name in the form of snapshots and the control API."""
         return {name: role.to_wire() for name, role in self.singletons.items()}
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot's; fields that came later may be missing.
+        """Replace the complete state by a snapshot.
+
+        Snapshots of older versions lack the fields `derived` and `claims`.
 
         Raises:
-            ReplicatedStateError: it is no snapshot; the state may be incomplete then.
-            MalformedRoleError: a singleton role has another form; so it may be then.
+            ReplicatedStateError: the snapshot is malformed. The state may be partly replaced.
+            MalformedRoleError: a singleton role is malformed. The state may be partly replaced.
         """
         fields = cbor2.loads(data)
         if not isinstance(fields, dict):
@@ -321,30 +327,33 @@
         self.claims = Claims.from_wire(fields.get("claims", ()))
 
 
-def required_field(fields: dict[str, object], name: str, kind: type[Shape]) -> Shape:
+def required_field(fields: dict[str, object], name: str, kind: type[FieldType]) -> FieldType:
     """Return a field of a snapshot.
 
     Raises:
-        MalformedSnapshotError: it is missing or of another type.
+        MalformedSnapshotError: the field is missing or of another type.
     """
     value = fields.get(name)
     if not isinstance(value, kind):
-        raise MalformedSnapshotError(name, f"not of type {kind.__name__}")
+        actual = type(value).__name__
+        raise MalformedSnapshotError(name, f"expected {kind.__name__}, got {actual}")
     return value
 
 
-def is_other_verdict(before: VerdictFields, after: VerdictFields) -> bool:
-    """Tell whether a verdict finds the network or a zone otherwise than the one before."""
+def verdict_differs(before: VerdictFields, after: VerdictFields) -> bool:
+    """Return True if the health status of the network or of a zone changed."""
     return before.get("network") != after.get("network") or zone_verdicts(before) != zone_verdicts(
         after
     )
 
 
 def zone_verdicts(verdict: VerdictFields) -> dict[str, object]:
-    """Return what each zone is found to be."""
+    """Return the health status of each zone in a verdict."""
     zones = verdict.get("zones")
     if not isinstance(zones, dict):
         return {}
     return {
-        str(zone): found.get("verdict") for zone, found in zones.items() if isinstance(found, dict)
+        str(zone): fields.get("verdict")
+        for zone, fields in zones.items()
+        if isinstance(fields, dict)
     }
--- a/packages/replicated_state/ryelock/replicated_state/validation.py
+++ b/packages/replicated_state/ryelock/replicated_state/validation.py
@@ -1,4 +1,4 @@
-"""Rules that a configuration has to keep as a whole; each check yields every fault it finds."""
+"""Validation rules of a configuration; each check yields every fault that it finds."""
 
 from collections.abc import Iterator
 
@@ -16,29 +16,29 @@
 MAX_PATH_LENGTH = 2000
 MAX_HOST_LENGTH = 255
 MAX_MARKER_BYTES = 64
-"""The probe looks at so many bytes of a manifest."""
-CALLERS = "callers"
-"""The only name in the section of limits."""
+"""The prober compares at most this many bytes of a manifest."""
+CALLER_LIMITS_NAME = "callers"
+"""The only item that the section of limits may have."""
 
 
 def is_printable_ascii(text: str, max_length: int = MAX_PATH_LENGTH) -> bool:
-    """Tell whether a text is short enough and has no spaces, controls or letters beyond ASCII."""
+    """Return True for printable ASCII without spaces, up to the maximum length."""
     return len(text) <= max_length and all(33 <= ord(character) < 127 for character in text)
 
 
-def check_range(path: str, value: float, lowest: float, highest: float) -> Iterator[Fault]:
-    """Yield a fault where a value is outside its bounds, which are both allowed."""
-    if not lowest <= value <= highest:
-        yield Fault(path, f"not between {lowest:g} and {highest:g}")
+def check_range(path: str, value: float, minimum: float, maximum: float) -> Iterator[Fault]:
+    """Yield a fault if a value is outside the inclusive range."""
+    if not minimum <= value <= maximum:
+        yield Fault(path, f"not between {minimum:g} and {maximum:g}")
 
 
 def check_annotation(path: str, annotation: str) -> Iterator[Fault]:
-    """Yield a fault where the operator's own text is too long."""
+    """Yield a fault if an annotation is too long."""
     yield from check_range(f"{path}.annotation", len(annotation), 0, MAX_ANNOTATION_LENGTH)
 
 
 def check_configuration(configuration: Configuration) -> Iterator[Fault]:
-    """Yield every fault of a configuration whose items each have the right types."""
+    """Yield every fault of a configuration whose fields all have the right types."""
     for name, service in configuration.services.items():
         yield from check_service(f"services.{name}", service)
     owners: dict[tuple[str, str], str] = {}
@@ -85,7 +85,7 @@
 
 
 def check_route_match(path: str, route: Route) -> Iterator[Fault]:
-    """Yield the faults of what a route matches: its path and host."""
+    """Yield the faults of a route's path and host."""
     if not route.path.startswith("/") or not is_printable_ascii(route.path):
         yield Fault(f"{path}.path", "not a path of plain characters from '/'")
     if any(character in route.path for character in "?#"):
@@ -97,7 +97,7 @@
 
 
 def check_route_services(path: str, route: Route, configuration: Configuration) -> Iterator[Fault]:
-    """Yield the faults of where a route's requests go: its service and its split."""
+    """Yield the faults of a route's service and split."""
     if route.service not in configuration.services:
         yield Fault(f"{path}.service", f"no service {route.service!r}")
     for name, weight in route.split.items():
@@ -130,7 +130,7 @@
 
 
 def check_watched_path(path: str, target: str, route: Route | None) -> Iterator[Fault]:
-    """Yield the faults of a path that a watch fetches; the route is None where there is none."""
+    """Yield the faults of a path that a watch fetches; `route` is None if the route is unknown."""
     if not target.startswith("/") or not is_printable_ascii(target):
         yield Fault(path, "not a path of plain characters from '/'")
     elif route is not None and not target.startswith(route.path):
@@ -138,8 +138,8 @@
 
 
 def check_limits(path: str, name: str, limits: CallerLimits) -> Iterator[Fault]:
-    """Yield every fault of the limits of callers."""
-    if name != CALLERS:
+    """Yield every fault of an item of the section of limits."""
+    if name != CALLER_LIMITS_NAME:
         yield Fault(path, "only 'callers' have limits")
     yield from check_range(f"{path}.head_bytes", limits.head_bytes, 0, 1 << 20)
     yield from check_range(f"{path}.body_bytes", limits.body_bytes, 0, 1 << 30)
