--- a/packages/control_plane/ryelock/control_plane/quota_shares.py
+++ b/packages/control_plane/ryelock/control_plane/quota_shares.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from ryelock.control_plane.edge_leases import EdgeLeases
-from ryelock.rate_limit import Grant, QuotaAllocator, QuotaRequest, is_narrow
+from ryelock.rate_limit import Grant, QuotaAllocator, QuotaRequest, is_low_rate
 from ryelock.replicated_state import ReplicatedState
 from ryelock.rpc import Message
 from ryelock.settings import Settings
@@ -96,7 +96,7 @@
                 current_share=holding.get(name, 0.0),
                 queued=waiting.get(name, 0),
             )
-            if is_narrow(service.rate, service.burst_seconds, len(edges)):
+            if is_low_rate(service.rate, service.burst_seconds, len(edges)):
                 takeover_is_complete = self.leases.takeover_is_complete(now)
                 grants[name] = self.allocator.grant(request, now, takeover_is_complete)
             else:
@@ -141,7 +141,7 @@
         return (
             service is not None
             and service.limited
-            and is_narrow(service.rate, service.burst_seconds, edge_count)
+            and is_low_rate(service.rate, service.burst_seconds, edge_count)
         )
 
     def is_shared(self, name: str, edge_count: int) -> bool:
@@ -150,7 +150,7 @@
         return (
             service is not None
             and service.limited
-            and not is_narrow(service.rate, service.burst_seconds, edge_count)
+            and not is_low_rate(service.rate, service.burst_seconds, edge_count)
         )
 
     def forget(self, edge: str) -> None:
--- a/packages/edge/ryelock/edge/admission_queue.py
+++ b/packages/edge/ryelock/edge/admission_queue.py
@@ -160,7 +160,7 @@
         if not self.waiting and self.has_capacity(route, share) and self.bucket.allow(now):
             self.take_slot(route)
             return None
-        wait = self.bucket.wait_for(now, self.waiting)
+        wait = self.bucket.seconds_until_allowed(now, self.waiting)
         queue_timeout = min(queue_timeout, self.queue_timeout())
         if not goes_first and (wait > queue_timeout or self.is_full(route, share)):
             return wait
@@ -175,7 +175,7 @@
         finally:
             queued.abandoned = True
         if admitted is None:
-            return self.bucket.wait_for(self.scheduler.now(), self.waiting)
+            return self.bucket.seconds_until_allowed(self.scheduler.now(), self.waiting)
         return None
 
     def is_full(self, route: str, share: float) -> bool:
@@ -209,7 +209,7 @@
         try:
             while not self.bucket.allow(self.scheduler.now()):
                 now = self.scheduler.now()
-                wait = self.bucket.wait_for(now, self.waiting)
+                wait = self.bucket.seconds_until_allowed(now, self.waiting)
                 if now >= until or now + wait > until:
                     return False
                 await self.scheduler.sleep(
@@ -246,7 +246,7 @@
             if self.in_flight >= self.service.flight:
                 await self.capacity_changed.get(IN_FLIGHT_WAIT_SECONDS)
                 continue
-            wait = self.bucket.wait_for(now, 0)
+            wait = self.bucket.seconds_until_allowed(now, 0)
             if wait > 0:
                 await self.capacity_changed.get(
                     min(IN_FLIGHT_WAIT_SECONDS, max(TOKEN_WAIT_SECONDS_LEAST, wait))
--- a/packages/edge/ryelock/edge/quota_shares.py
+++ b/packages/edge/ryelock/edge/quota_shares.py
@@ -9,7 +9,7 @@
 
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.edge.member import EdgeSession
-from ryelock.rate_limit import GRANT_LIFETIME_SECONDS, Grant, is_narrow, leaderless_share
+from ryelock.rate_limit import GRANT_LIFETIME_SECONDS, Grant, is_low_rate, leaderless_share
 from ryelock.runtime import Scheduler
 
 
@@ -49,7 +49,7 @@
         shares = self.held()
         for name, queue in self.admission_queues.items():
             service = queue.service
-            if queue.bucket.uses_grants or is_narrow(service.rate, service.burst_seconds, edges):
+            if queue.bucket.uses_grants or is_low_rate(service.rate, service.burst_seconds, edges):
                 shares[name] = leaderless_share(service.rate, service.burst_seconds, edges)
         return shares
 
--- a/packages/rate_limit/ryelock/rate_limit/__init__.py
+++ b/packages/rate_limit/ryelock/rate_limit/__init__.py
@@ -7,7 +7,7 @@
 """
 
 from ryelock.rate_limit.quota_allocator import OutstandingShares, QuotaAllocator, QuotaRequest
-from ryelock.rate_limit.rates import GRANT_LIFETIME_SECONDS, is_narrow, leaderless_share
+from ryelock.rate_limit.rates import GRANT_LIFETIME_SECONDS, is_low_rate, leaderless_share
 from ryelock.rate_limit.retry_budget import RetryBudget
 from ryelock.rate_limit.shared_bucket import Grant
 from ryelock.rate_limit.token_bucket import TokenBucket
@@ -20,6 +20,6 @@
     "QuotaRequest",
     "RetryBudget",
     "TokenBucket",
-    "is_narrow",
+    "is_low_rate",
     "leaderless_share",
 ]
--- a/packages/rate_limit/ryelock/rate_limit/rates.py
+++ b/packages/rate_limit/ryelock/rate_limit/rates.py
@@ -25,7 +25,7 @@
 """Subtracted from the refill, so that rounding errors never exceed the limit."""
 
 
-def is_narrow(rate: float, burst_seconds: float, edges: int) -> bool:
+def is_low_rate(rate: float, burst_seconds: float, edges: int) -> bool:
     """Return True if the rate is too low to divide into shares for this number of edges."""
     return usable_rate(rate, burst_seconds, edges) < MIN_USABLE_FRACTION * rate
 
--- a/packages/rate_limit/ryelock/rate_limit/token_bucket.py
+++ b/packages/rate_limit/ryelock/rate_limit/token_bucket.py
@@ -110,7 +110,7 @@
         self.tokens -= 1.0
         return True
 
-    def wait_for(self, now: float, ahead: int) -> float:
+    def seconds_until_allowed(self, now: float, ahead: int) -> float:
         """Return the seconds until a request may be sent after `ahead` others; perhaps infinite."""
         if not self.limited:
             return 0.0
--- a/packages/replicated_state/ryelock/replicated_state/configuration.py
+++ b/packages/replicated_state/ryelock/replicated_state/configuration.py
@@ -10,7 +10,7 @@
 """The sections of a configuration, in the order in which they are stored and shown."""
 MAX_NAME_LENGTH = 100
 MAX_ANNOTATION_LENGTH = 20_000
-DATINGS = ("last-modified", "date", "etag", "none")
+DATING_METHODS = ("last-modified", "date", "etag", "none")
 """Where the age of a watched object is read from; see `Watch.dating`."""
 
 
@@ -112,7 +112,7 @@
         manifest: path that is fetched first, bypassing caches; empty for the object itself.
         host: value of the Host header, empty for the edge's address.
         marker: text that the manifest must start with, empty for any text.
-        dating: where the object's age is read from, one of DATINGS.
+        dating: where the object's age is read from, one of DATING_METHODS.
         stale_seconds: age above which the object is stale, 0 for the settings' value.
     """
 
--- a/packages/replicated_state/ryelock/replicated_state/state.py
+++ b/packages/replicated_state/ryelock/replicated_state/state.py
@@ -298,7 +298,7 @@
     def restore(self, data: bytes) -> None:
         """Replace the complete state by a snapshot.
 
-        Snapshots of older versions lack the fields `derived` and `claims`.
+        Edge snapshots lack `claims`; those of older versions may also lack `derived`.
 
         Raises:
             ReplicatedStateError: the snapshot is malformed. The state may be partly replaced.
--- a/packages/replicated_state/ryelock/replicated_state/validation.py
+++ b/packages/replicated_state/ryelock/replicated_state/validation.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from ryelock.replicated_state.configuration import (
-    DATINGS,
+    DATING_METHODS,
     MAX_ANNOTATION_LENGTH,
     CallerLimits,
     Configuration,
@@ -124,8 +124,8 @@
         yield Fault(f"{path}.host", "not a host")
     if len(watch.marker.encode()) > MAX_MARKER_BYTES:
         yield Fault(f"{path}.marker", "longer than the 64 bytes that are looked at")
-    if watch.dating not in DATINGS:
-        yield Fault(f"{path}.dating", f"not one of {', '.join(DATINGS)}")
+    if watch.dating not in DATING_METHODS:
+        yield Fault(f"{path}.dating", f"not one of {', '.join(DATING_METHODS)}")
     yield from check_range(f"{path}.stale_seconds", watch.stale_seconds, 0, 1e6)
 
 
--- a/tests/golden/test_golden_lists.py
+++ b/tests/golden/test_golden_lists.py
@@ -140,7 +140,7 @@
         "control API": [[*place, kind] for place, kind in control_api.PATHS.items()],
         "statuses": control_api.STATUSES,
         "roles": session.ROLES,
-        "dating": register_configuration.DATINGS,
+        "dating": register_configuration.DATING_METHODS,
         "parts": register_configuration.SECTIONS,
         "fields of a change": configuration_change.CHANGE_FIELDS,
     }
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -194,7 +194,7 @@
 
 def no_service_is_narrow() -> list[Patch]:
     return [
-        mock.patch(f"ryelock.{place}.is_narrow", always(False))
+        mock.patch(f"ryelock.{place}.is_low_rate", always(False))
         for place in ("control_plane.quota_shares", "edge.quota_shares")
     ]
 
