--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -1,6 +1,8 @@
-"""Watches that nobody wrote: made up of what edges served, probed by two machines a zone, and what
-their verdicts change. The fleet is set up as the users' platform is: its configuration names only
-routes, servers seal their successes, edges are the probers."""
+"""Derived watches: created from served objects, probed by two machines per zone, used for steering.
+
+The simulated deployment is set up like the users' platform: the configuration has no watches,
+servers add a seal to successful responses, and edges are the probers.
+"""
 
 from typing import Any
 from unittest import mock
@@ -30,7 +32,7 @@
 from ryelock.testing.simulated import SimNode, World
 from ryelock.testing.stand_ins.servers import ServerBehavior, ServerStandIn
 
-DIALECT = ProtocolProfile(
+PROFILE = ProtocolProfile(
     identity=b"X-Order-Identity",
     deadline=b"Deadline-Remaining",
     seal=b"Server-Seal",
@@ -39,7 +41,7 @@
     labels=b"Object-Labels",
     fractions=True,
 )
-PLATFORM: dict[str, object] = {
+PLATFORM_SETTINGS: dict[str, object] = {
     "probe": True,
     "probers_chosen": 2,
     "derive_watches": True,
@@ -59,41 +61,43 @@
 SERVICES = CONFIGURATION["services"]
 ROUTES: dict[str, Any] = CONFIGURATION["routes"]  # type: ignore[assignment]
 WATCH = Watch("r", "/r/1")
-build = World.build
-plain_fields = ServerStandIn.fields
-plain_serve = ServerStandIn.serve
+original_build = World.build
+original_fields = ServerStandIn.fields
+original_serve = ServerStandIn.serve
 
 
-def speaking_build(world: World, node: SimNode, role: str, settings: Any) -> Any:
+def build_with_profile(world: World, node: SimNode, role: str, settings: Any) -> Any:
     if role == "core":
-        return build(world, node, role, settings)
-    return TrafficNode(role, settings, node.scheduler, node.network, node.log, node.random, DIALECT)
+        return original_build(world, node, role, settings)
+    return TrafficNode(role, settings, node.scheduler, node.network, node.log, node.random, PROFILE)
 
 
 def sealed_fields(server: ServerStandIn, target: str, revision: int) -> Fields:
-    """An answer bears its seal and its order's name, where a caller gave it one."""
-    named = server.history[-1].identity.encode()
+    """Return response fields with a seal, and with the identity of the request if it has one."""
+    identity = server.history[-1].identity.encode()
     return [
-        *plain_fields(server, target, revision),
+        *original_fields(server, target, revision),
         (b"Server-Seal", b"1"),
-        *([(b"X-Order-Identity", named)] if named else []),
+        *([(b"X-Order-Identity", identity)] if identity else []),
     ]
 
 
-class Derived:
-    """A fleet whose operator writes no watches."""
+class WatchlessDeployment:
+    """A running deployment whose configuration has no watches."""
 
     def __init__(self, seed: int, edges: int = 3, callers: int = 8, **settings: object) -> None:
-        self.scenario = Scenario(seed, edges=edges, probers=0, settings={**PLATFORM, **settings})
+        self.scenario = Scenario(
+            seed, edges=edges, probers=0, settings={**PLATFORM_SETTINGS, **settings}
+        )
         scenario, world = self.scenario, self.scenario.world
         scenario.start_all()
         assert world.run_until(lambda: bool(scenario.leader()), 30)
-        found = world.task(
+        response = world.task(
             scenario.operators,
             scenario.change("setup", 0, {"services": SERVICES, "routes": ROUTES}),
             30,
         )
-        assert found.status == 200, found.status
+        assert response.status == 200, response.status
         assert world.run_until(
             lambda: all(scenario.node(name).traffic.ready for name in scenario.edges), 30
         )
@@ -108,25 +112,25 @@
         zones: Any = self.replicated_state.verdict.get("zones", {})
         return str(zones.get(zone, {}).get("verdict", ""))
 
-    def until(self, done: Any, seconds: float) -> bool:
+    def run_until(self, condition: Any, seconds: float) -> bool:
         return self.scenario.world.run_until(
-            lambda: bool(self.scenario.leader()) and done(), seconds
+            lambda: bool(self.scenario.leader()) and condition(), seconds
         )
 
     def change(self, **parts: object) -> None:
         version = self.replicated_state.version
-        status, answer = self.scenario.ask_now(
+        status, body = self.scenario.ask_now(
             "POST", "/changes", {"id": f"derived-{version}", "base": version, **parts}
         )
-        assert status == 200, answer
+        assert status == 200, body
 
-    def rows(self) -> list[tuple[str, ProbeResult]]:
-        found = []
+    def probe_results(self) -> list[tuple[str, ProbeResult]]:
+        results = []
         for name in self.scenario.edges:
             prober = self.scenario.node(name).traffic.prober
             assert prober is not None
-            found += [(name, row) for row in prober.results]
-        return found
+            results += [(name, result) for result in prober.results]
+        return results
 
     def cut_off_servers(self, zone: int, edges: int) -> None:
         servers = [
@@ -136,53 +140,57 @@
             for server in servers:
                 self.scenario.world.cut(name, server)
 
-    def served_share(self, seconds: float) -> float:
-        """The share of readers' orders for covers that were answered whole from now on."""
+    def served_fraction(self, seconds: float) -> float:
+        """Run for a time; return the fraction of requests for covers with a complete response."""
         since = self.scenario.world.time
         self.scenario.world.run(seconds)
-        told = [
-            note
-            for note in self.scenario.notes
-            if note.sent_at >= since and note.target.startswith("/covers")
+        records = [
+            record
+            for record in self.scenario.notes
+            if record.sent_at >= since and record.target.startswith("/covers")
         ]
-        return sum(note.status == 200 and note.complete for note in told) / max(1, len(told))
+        return sum(record.status == 200 and record.complete for record in records) / max(
+            1, len(records)
+        )
 
 
 class DerivedCase(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         for patch in (
-            mock.patch.object(World, "build", speaking_build),
+            mock.patch.object(World, "build", build_with_profile),
             mock.patch.object(ServerStandIn, "fields", sealed_fields),
         ):
             patch.start()
             self.addCleanup(patch.stop)
 
-    def holds(self, fleet: Derived) -> None:
-        self.assertEqual([], fleet.scenario.world.faults)
+    def assert_no_faults(self, deployment: WatchlessDeployment) -> None:
+        self.assertEqual([], deployment.scenario.world.faults)
 
 
 class DerivedWatchTests(DerivedCase):
-    def test_a_watch_is_made_up_of_what_was_served(self) -> None:
-        fleet = Derived(1)
-        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
-        watch = fleet.replicated_state.derived["covers"]
+    def test_a_watch_is_derived_from_a_served_object(self) -> None:
+        deployment = WatchlessDeployment(1)
+        self.assertTrue(deployment.run_until(lambda: deployment.replicated_state.derived, 10))
+        watch = deployment.replicated_state.derived["covers"]
         self.assertEqual(("covers", "etag"), (watch.route, watch.dating))
         self.assertTrue(watch.object.startswith("/covers/"))
-        self.assertEqual(["covers"], list(fleet.replicated_state.derived))
+        self.assertEqual(["covers"], list(deployment.replicated_state.derived))
         self.assertTrue(
-            fleet.until(
+            deployment.run_until(
                 lambda: (
-                    fleet.zone_verdict("zone0") == "healthy"
-                    and fleet.zone_verdict("zone1") == "healthy"
+                    deployment.zone_verdict("zone0") == "healthy"
+                    and deployment.zone_verdict("zone1") == "healthy"
                 ),
                 20,
             )
         )
-        fleet.scenario.world.run(1)
+        deployment.scenario.world.run(1)
         nodes = [
-            fleet.scenario.node(name)
-            for name in fleet.scenario.alive(fleet.scenario.cores + fleet.scenario.edges)
+            deployment.scenario.node(name)
+            for name in deployment.scenario.alive(
+                deployment.scenario.cores + deployment.scenario.edges
+            )
         ]
         self.assertEqual(
             1,
@@ -194,43 +202,43 @@
                 }
             ),
         )
-        for name in fleet.scenario.edges:
-            handler = fleet.scenario.node(name).traffic.handler
+        for name in deployment.scenario.edges:
+            handler = deployment.scenario.node(name).traffic.handler
             assert handler is not None
             self.assertEqual([], handler.served_objects.report())
-        self.assertTrue(all(row.error == "" for _, row in fleet.rows()))
-        nameless = [ran.target for ran in fleet.scenario.history if not ran.identity]
-        self.assertGreater(len(nameless), 2)
-        self.assertEqual({watch.object}, set(nameless))
-        self.holds(fleet)
-
-    def test_nothing_is_made_up_where_it_is_not_wanted(self) -> None:
-        fleet = Derived(2, derive_watches=False)
-        fleet.scenario.world.run(8)
-        self.assertEqual({}, fleet.replicated_state.derived)
-        self.assertEqual([], fleet.rows())
-        self.holds(fleet)
-
-    def test_a_watch_ends_with_its_route_and_gives_way_to_an_operators(self) -> None:
-        fleet = Derived(3)
-        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
-        first = watch_fingerprint(fleet.replicated_state.derived["covers"])
-        fleet.change(put={"routes": {"plain": {**ROUTES["plain"], "share": 0.9}}})
-        self.assertEqual(first, watch_fingerprint(fleet.replicated_state.derived["covers"]))
-        fleet.change(put={"routes": {"covers": {**ROUTES["covers"], "lifetime_seconds": 3}}})
-        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
-        self.assertNotEqual(first, watch_fingerprint(fleet.replicated_state.derived["covers"]))
-        fleet.change(put={"watches": {"own": {"route": "plain", "object": "/plain/1"}}})
-        fleet.scenario.world.run(3)
-        self.assertEqual(["own"], list(fleet.replicated_state.watches))
-        fleet.change(remove={"watches": ["own"]})
-        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
-        fleet.change(put={"routes": {"covers": {"path": "/covers", "service": "pages"}}})
-        fleet.scenario.world.run(3)
-        self.assertEqual({}, fleet.replicated_state.watches)
-        self.holds(fleet)
-
-    def test_an_object_that_is_gone_is_replaced_and_no_zone_is_down(self) -> None:
+        self.assertTrue(all(result.error == "" for _, result in deployment.probe_results()))
+        probed = [request.target for request in deployment.scenario.history if not request.identity]
+        self.assertGreater(len(probed), 2)
+        self.assertEqual({watch.object}, set(probed))
+        self.assert_no_faults(deployment)
+
+    def test_no_watch_is_derived_if_the_setting_is_off(self) -> None:
+        deployment = WatchlessDeployment(2, derive_watches=False)
+        deployment.scenario.world.run(8)
+        self.assertEqual({}, deployment.replicated_state.derived)
+        self.assertEqual([], deployment.probe_results())
+        self.assert_no_faults(deployment)
+
+    def test_a_derived_watch_ends_with_its_route_or_for_a_configured_watch(self) -> None:
+        deployment = WatchlessDeployment(3)
+        self.assertTrue(deployment.run_until(lambda: deployment.replicated_state.derived, 10))
+        first = watch_fingerprint(deployment.replicated_state.derived["covers"])
+        deployment.change(put={"routes": {"plain": {**ROUTES["plain"], "share": 0.9}}})
+        self.assertEqual(first, watch_fingerprint(deployment.replicated_state.derived["covers"]))
+        deployment.change(put={"routes": {"covers": {**ROUTES["covers"], "lifetime_seconds": 3}}})
+        self.assertTrue(deployment.run_until(lambda: deployment.replicated_state.derived, 10))
+        self.assertNotEqual(first, watch_fingerprint(deployment.replicated_state.derived["covers"]))
+        deployment.change(put={"watches": {"own": {"route": "plain", "object": "/plain/1"}}})
+        deployment.scenario.world.run(3)
+        self.assertEqual(["own"], list(deployment.replicated_state.watches))
+        deployment.change(remove={"watches": ["own"]})
+        self.assertTrue(deployment.run_until(lambda: deployment.replicated_state.derived, 10))
+        deployment.change(put={"routes": {"covers": {"path": "/covers", "service": "pages"}}})
+        deployment.scenario.world.run(3)
+        self.assertEqual({}, deployment.replicated_state.watches)
+        self.assert_no_faults(deployment)
+
+    def test_a_watch_of_a_deleted_object_is_replaced_without_a_zone_being_down(self) -> None:
         gone: set[str] = set()
 
         async def serve(server: ServerStandIn, exchange: HttpExchange) -> None:
@@ -239,119 +247,140 @@
                 named = [(b"X-Order-Identity", identity)] if identity else []
                 await exchange.respond(404, named, b"")
                 return
-            await plain_serve(server, exchange)
+            await original_serve(server, exchange)
 
         with mock.patch.object(ServerStandIn, "serve", serve):
-            fleet = Derived(4)
-            self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
-            gone.add(fleet.replicated_state.derived["covers"].object)
+            deployment = WatchlessDeployment(4)
             self.assertTrue(
-                fleet.until(
+                deployment.run_until(lambda: deployment.zone_verdict("zone0") == "healthy", 20)
+            )
+            gone.add(deployment.replicated_state.derived["covers"].object)
+            self.assertTrue(
+                deployment.run_until(
                     lambda: (
-                        fleet.replicated_state.derived
-                        and fleet.replicated_state.derived["covers"].object not in gone
+                        deployment.replicated_state.derived
+                        and deployment.replicated_state.derived["covers"].object not in gone
                     ),
                     30,
                 )
             )
-            self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
-        self.assertEqual([], fleet.scenario.downs)
+            self.assertTrue(
+                deployment.run_until(lambda: deployment.zone_verdict("zone0") == "healthy", 20)
+            )
+        self.assertEqual([], deployment.scenario.downs)
         numbers = [
             number
-            for name in fleet.scenario.cores
-            for number, _ in fleet.scenario.node(name).log.records
+            for name in deployment.scenario.cores
+            for number, _ in deployment.scenario.node(name).log.records
             if number in (WATCH_DERIVED.number, WATCH_ENDED.number)
         ]
         self.assertEqual([1703, 1703, 1704], sorted(numbers))
-        self.holds(fleet)
+        self.assert_no_faults(deployment)
 
     def test_a_success_without_a_seal_is_invalid(self) -> None:
-        fleet = Derived(5)
-        self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
-        since = fleet.scenario.world.time
-        for name in fleet.scenario.edges:
-            prober = fleet.scenario.node(name).traffic.prober
+        deployment = WatchlessDeployment(5)
+        self.assertTrue(
+            deployment.run_until(lambda: deployment.zone_verdict("zone0") == "healthy", 20)
+        )
+        since = deployment.scenario.world.time
+        for name in deployment.scenario.edges:
+            prober = deployment.scenario.node(name).traffic.prober
             assert prober is not None
             prober.profile = ProtocolProfile(seal=b"Another-Seal")
-        fleet.scenario.world.run(6)
-        late = [
-            row
-            for name, row in fleet.rows()
-            if row.started_at - fleet.scenario.node(name).clock.zero > since + 1
+        deployment.scenario.world.run(6)
+        late_results = [
+            result
+            for name, result in deployment.probe_results()
+            if result.started_at - deployment.scenario.node(name).clock.zero > since + 1
         ]
-        self.assertTrue(late)
+        self.assertTrue(late_results)
         self.assertEqual(
             {(True, False, "no server's seal")},
-            {(row.reachable, row.manifest_valid, row.error) for row in late},
+            {(result.reachable, result.manifest_valid, result.error) for result in late_results},
         )
 
-    def test_a_crowd_at_the_servers_makes_no_zone_down(self) -> None:
+    def test_rejections_of_overloaded_servers_make_no_zone_down(self) -> None:
         async def serve(server: ServerStandIn, exchange: HttpExchange) -> None:
             if server.behavior != ServerBehavior.FAILING:
-                await plain_serve(server, exchange)
+                await original_serve(server, exchange)
                 return
             identity = field(exchange.head.fields, b"x-order-identity") or b""
             named = [(b"X-Order-Identity", identity)] if identity else []
             await exchange.respond(503, [*named, (b"Not-Executed", b"1")], b"")
 
-        for tells, wanted in ((True, "healthy"), (False, "down")):
+        for detects_overload, expected in ((True, "healthy"), (False, "down")):
             with (
                 mock.patch.object(ServerStandIn, "serve", serve),
                 mock.patch.object(
                     RejectionResponder,
                     "is_crowded",
-                    RejectionResponder.is_crowded if tells else lambda *_arguments: False,
+                    RejectionResponder.is_crowded
+                    if detects_overload
+                    else lambda *_arguments: False,
                 ),
             ):
-                fleet = Derived(8)
-                fleet.scenario.world.run(12)
-                self.assertEqual("healthy", fleet.zone_verdict("zone0"))
-                for server in fleet.scenario.servers.values():
+                deployment = WatchlessDeployment(8)
+                deployment.scenario.world.run(12)
+                self.assertEqual("healthy", deployment.zone_verdict("zone0"))
+                for server in deployment.scenario.servers.values():
                     server.behavior = ServerBehavior.FAILING
-                fleet.scenario.world.run(20)
-                self.assertEqual(wanted, fleet.zone_verdict("zone0"))
-
-    def test_what_is_not_cached_is_not_probed_in_the_servers_words(self) -> None:
-        fleet = Derived(9)
-        self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
-        for name in fleet.scenario.edges:
-            prober = fleet.scenario.node(name).traffic.prober
+                deployment.scenario.world.run(20)
+                self.assertEqual(expected, deployment.zone_verdict("zone0"))
+
+    def test_probes_of_an_uncached_route_reach_no_server(self) -> None:
+        deployment = WatchlessDeployment(9)
+        self.assertTrue(
+            deployment.run_until(lambda: deployment.zone_verdict("zone0") == "healthy", 20)
+        )
+        for name in deployment.scenario.edges:
+            prober = deployment.scenario.node(name).traffic.prober
             assert prober is not None
             prober.list_targets = lambda name=name: [  # type: ignore[misc]
                 ProbeTarget(
                     "zone0",
                     edge,
-                    fleet.scenario.node(edge).traffic.session.request_address,
+                    deployment.scenario.node(edge).traffic.session.request_address,
                     "lookups",
                     Watch("lookups", "/lookups/77777"),
                     False,
                 )
-                for edge in fleet.scenario.edges
+                for edge in deployment.scenario.edges
                 if edge != name
             ]
-        fleet.scenario.world.run(5)
-        self.assertTrue([row for _, row in fleet.rows() if row.watch == "lookups"])
+        deployment.scenario.world.run(5)
+        self.assertTrue(
+            [result for _, result in deployment.probe_results() if result.watch == "lookups"]
+        )
         self.assertEqual(
-            [], [ran for ran in fleet.scenario.history if ran.target == "/lookups/77777"]
+            [],
+            [
+                request
+                for request in deployment.scenario.history
+                if request.target == "/lookups/77777"
+            ],
         )
 
-    def test_a_copy_that_is_never_renewed_is_found_to_be_stale(self) -> None:
-        def never_ends(_copy: object, _route: object, fields: Fields, _now: float) -> bool:
+    def test_a_cached_response_that_is_never_revalidated_makes_a_zone_stale(self) -> None:
+        def may_reuse_without_cache_control(
+            _copy: object, _route: object, fields: Fields, _now: float
+        ) -> bool:
             return field(fields, b"cache-control") is None
 
-        fleet = Derived(6, stale_seconds=4.0)
-        fleet.change(
+        deployment = WatchlessDeployment(6, stale_seconds=4.0)
+        deployment.change(
             put={"routes": {"covers": {"path": "/covers", "service": "pages", "cached": True}}}
         )
-        for server in fleet.scenario.servers.values():
+        for server in deployment.scenario.servers.values():
             server.lifetime = "max-age=3"
-        self.assertTrue(fleet.until(lambda: fleet.replicated_state.derived, 10))
-        target = fleet.replicated_state.derived["covers"].object
-        fleet.scenario.world.run(8)
-        self.assertNotEqual("stale", fleet.zone_verdict("zone0"))
-        with mock.patch("ryelock.edge.cache_lookup.may_reuse", never_ends):
-            fleet.scenario.objects["pages"].change(target, fleet.scenario.world.time)
-            self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "stale", 30))
+        self.assertTrue(deployment.run_until(lambda: deployment.replicated_state.derived, 10))
+        target = deployment.replicated_state.derived["covers"].object
+        deployment.scenario.world.run(8)
+        self.assertNotEqual("stale", deployment.zone_verdict("zone0"))
+        with mock.patch("ryelock.edge.cache_lookup.may_reuse", may_reuse_without_cache_control):
+            deployment.scenario.objects["pages"].change(target, deployment.scenario.world.time)
+            self.assertTrue(
+                deployment.run_until(lambda: deployment.zone_verdict("zone0") == "stale", 30)
+            )
 
 
 class ReplicatedStateTests(testtools.TestCase):
@@ -383,7 +412,7 @@
         )
         return replicated_state
 
-    def test_a_command_comes_to_the_same_everywhere(self) -> None:
+    def test_replicas_derive_the_same_watches(self) -> None:
         places = {
             "covers": ["", "/covers/1"],
             "albums": ["", "/albums/2"],
@@ -427,7 +456,7 @@
         with mock.patch.object(
             ReplicatedState,
             "shared_fields",
-            lambda _register: {key: value for key, value in shared().items() if key != "derived"},
+            lambda _state: {key: value for key, value in shared().items() if key != "derived"},
         ):
             snapshot = replicated_state.snapshot()
         replicated_state.restore(snapshot)
@@ -437,9 +466,11 @@
         )
 
 
-class JudgeTests(testtools.TestCase):
-    def row(self, number: int, edge: str, error: str, outside: bool = False) -> ProbeResult:
-        row = ProbeResult(
+class EvaluationTests(testtools.TestCase):
+    def probe_result(
+        self, number: int, edge: str, error: str, outside: bool = False
+    ) -> ProbeResult:
+        result = ProbeResult(
             f"p{number % 2}",
             f"m{number % 2}",
             number,
@@ -450,22 +481,25 @@
             0.0,
             watch_fingerprint(WATCH),
         )
-        row.started_at = float(number)
-        row.reachable = True
-        row.manifest_valid = row.object_fetchable = not error
-        row.error = error
-        return row
+        result.started_at = float(number)
+        result.reachable = True
+        result.manifest_valid = result.object_fetchable = not error
+        result.error = error
+        return result
 
-    def history(self, *rows: ProbeResult) -> History:
+    def history(self, *results: ProbeResult) -> History:
         history = History(600.0)
-        for row in rows:
-            history.add(row)
+        for result in results:
+            history.add(result)
         return history
 
-    def test_rows_of_other_zones_take_no_room(self) -> None:
+    def test_cross_zone_results_do_not_fill_the_window(self) -> None:
         history = self.history(
-            self.row(0, "e", ""),
-            *(self.row(number, "e", "manifest status 503", number > 4) for number in range(1, 12)),
+            self.probe_result(0, "e", ""),
+            *(
+                self.probe_result(number, "e", "manifest status 503", number > 4)
+                for number in range(1, 12)
+            ),
         )
 
         def found() -> str:
@@ -488,135 +522,150 @@
             History,
             "window",
             lambda history, target, now, count, own_zone_only=False: [
-                row
-                for row in window(history, target, now, count)
-                if not (own_zone_only and row.cross_zone)
+                result
+                for result in window(history, target, now, count)
+                if not (own_zone_only and result.cross_zone)
             ],
         ):
             self.assertNotEqual("down", found())
 
-    def test_an_object_is_gone_only_where_no_edge_fetches_it(self) -> None:
-        lost = "manifest status 404"
+    def test_a_watch_is_gone_only_if_no_edge_can_fetch_its_object(self) -> None:
+        not_found = "manifest status 404"
         watches = {"w": WATCH}
-        rows = [self.row(number, "ef"[number % 2], lost) for number in range(4)]
+        results = [self.probe_result(number, "ef"[number % 2], not_found) for number in range(4)]
         self.assertEqual(
             {"w": watch_fingerprint(WATCH)},
-            find_gone_watches(watches, self.history(*rows), EvaluationRules(), 9.0),
+            find_gone_watches(watches, self.history(*results), EvaluationRules(), 9.0),
         )
         self.assertEqual(
-            {}, find_gone_watches(watches, self.history(*rows[:2]), EvaluationRules(), 9.0)
+            {}, find_gone_watches(watches, self.history(*results[:2]), EvaluationRules(), 9.0)
         )
         self.assertEqual(
             {},
             find_gone_watches(
-                watches, self.history(*rows, self.row(5, "g", "")), EvaluationRules(), 9.0
+                watches,
+                self.history(*results, self.probe_result(5, "g", "")),
+                EvaluationRules(),
+                9.0,
             ),
         )
         self.assertEqual(
             {},
             find_gone_watches(
-                {"w": Watch("r", "/r/2")}, self.history(*rows), EvaluationRules(), 9.0
+                {"w": Watch("r", "/r/2")}, self.history(*results), EvaluationRules(), 9.0
             ),
         )
 
 
-class ProbersTests(DerivedCase):
+class ProberAssignmentTests(DerivedCase):
     def session(self, name: str, zone: str = "a", machine: str = "", ready: bool = True) -> Session:
         session = Session()
         session.name, session.zone, session.machine = name, zone, machine or name
         session.role, session.probes, session.ready = "edge", True, ready
         return session
 
-    def probing(self, *sessions: Session) -> ProberAssignment:
+    def assignment(self, *sessions: Session) -> ProberAssignment:
         return ProberAssignment(list(reversed(sessions)))
 
-    def test_two_machines_probe_an_edge_and_the_next_takes_over(self) -> None:
+    def test_two_machines_probe_an_edge_and_others_replace_them(self) -> None:
         first, second, third, fourth = (self.session(name) for name in ("e1", "e2", "e3", "e4"))
-        everyone = self.probing(first, second, third, fourth)
-        self.assertEqual(["e1", "e2"], everyone.probers_of(fourth, 2))
-        self.assertEqual(["e2", "e3"], everyone.probers_of(first, 2))
-        self.assertEqual(["e2", "e3"], self.probing(second, third, fourth).probers_of(fourth, 2))
+        all_edges = self.assignment(first, second, third, fourth)
+        self.assertEqual(["e1", "e2"], all_edges.probers_of(fourth, 2))
+        self.assertEqual(["e2", "e3"], all_edges.probers_of(first, 2))
+        self.assertEqual(["e2", "e3"], self.assignment(second, third, fourth).probers_of(fourth, 2))
         second.ready = False
         self.assertEqual(
-            ["e1", "e3"], self.probing(first, second, third, fourth).probers_of(fourth, 2)
+            ["e1", "e3"], self.assignment(first, second, third, fourth).probers_of(fourth, 2)
         )
 
-    def test_one_machine_counts_once_and_other_zones_stand_in(self) -> None:
+    def test_a_machine_counts_once_and_other_zones_fill_up(self) -> None:
         twins = [self.session("e1", machine="m"), self.session("e2", machine="m")]
         others = [self.session(name, "b") for name in ("f1", "f2", "f3")]
         edge = self.session("e3")
-        self.assertEqual(["e1", "f1", "f2"], self.probing(*twins, *others).probers_of(edge, 2))
-        self.assertEqual(["f1", "f2"], self.probing(*twins, *others).probers_of(twins[0], 2))
+        self.assertEqual(["e1", "f1", "f2"], self.assignment(*twins, *others).probers_of(edge, 2))
+        self.assertEqual(["f1", "f2"], self.assignment(*twins, *others).probers_of(twins[0], 2))
 
-    def test_those_that_are_not_ready_probe_where_no_other_can(self) -> None:
+    def test_edges_that_are_not_ready_probe_if_there_are_no_others(self) -> None:
         sessions = [self.session(f"e{number}", ready=False) for number in (1, 2, 3)]
-        self.assertEqual(["e1", "e2"], self.probing(*sessions).probers_of(sessions[2], 2))
+        self.assertEqual(["e1", "e2"], self.assignment(*sessions).probers_of(sessions[2], 2))
 
-    def test_two_of_four_probe_and_others_take_over(self) -> None:
-        fleet = Derived(7, edges=4)
-        self.assertTrue(fleet.until(lambda: fleet.zone_verdict("zone0") == "healthy", 20))
-        edges = fleet.scenario.edges[:4]
+    def test_two_of_four_edges_probe_and_another_replaces_a_lost_one(self) -> None:
+        deployment = WatchlessDeployment(7, edges=4)
+        self.assertTrue(
+            deployment.run_until(lambda: deployment.zone_verdict("zone0") == "healthy", 20)
+        )
+        edges = deployment.scenario.edges[:4]
         of_last = {
-            name for name, row in fleet.rows() if row.edge == edges[3] and not row.cross_zone
+            name
+            for name, result in deployment.probe_results()
+            if result.edge == edges[3] and not result.cross_zone
         }
         self.assertEqual(set(edges[:2]), of_last)
-        self.assertEqual([], [row for name, row in fleet.rows() if name == edges[3]])
-        fleet.scenario.world.kill(edges[0])
-        fleet.scenario.world.run(8)
+        self.assertEqual(
+            [], [result for name, result in deployment.probe_results() if name == edges[3]]
+        )
+        deployment.scenario.world.kill(edges[0])
+        deployment.scenario.world.run(8)
         of_last = {
-            name for name, row in fleet.rows() if row.edge == edges[3] and not row.cross_zone
+            name
+            for name, result in deployment.probe_results()
+            if result.edge == edges[3] and not result.cross_zone
         }
         self.assertIn(edges[2], of_last)
-        self.assertEqual("healthy", fleet.zone_verdict("zone0"))
-        self.holds(fleet)
-
-
-class DecidesTests(DerivedCase):
-    """The edges of a zone reach no server; what they say of themselves is that all is well."""
-
-    def readers_served(self, seed: int, edges: int, derives: bool = True) -> float:
-        fleet = Derived(seed, edges=edges, derive_watches=derives)
-        fleet.scenario.world.run(12)
-        fleet.cut_off_servers(0, edges)
-        fleet.scenario.world.run(20)
-        share = fleet.served_share(10)
-        self.assertEqual(derives, fleet.zone_verdict("zone0") == "down")
-        self.assertNotEqual("down", fleet.zone_verdict("zone1"))
-        ready = [fleet.scenario.node(name).traffic.ready for name in fleet.scenario.edges]
-        self.assertEqual([fleet.zone_verdict("zone0") != "down"] * edges + [True] * edges, ready)
-        fleet.scenario.world.heal()
+        self.assertEqual("healthy", deployment.zone_verdict("zone0"))
+        self.assert_no_faults(deployment)
+
+
+class SteeringTests(DerivedCase):
+    """The edges of a zone cannot reach any server, which only derived watches reveal."""
+
+    def served_fraction_after_cut(self, seed: int, edges: int, derives: bool = True) -> float:
+        deployment = WatchlessDeployment(seed, edges=edges, derive_watches=derives)
+        deployment.scenario.world.run(12)
+        deployment.cut_off_servers(0, edges)
+        deployment.scenario.world.run(20)
+        fraction = deployment.served_fraction(10)
+        self.assertEqual(derives, deployment.zone_verdict("zone0") == "down")
+        self.assertNotEqual("down", deployment.zone_verdict("zone1"))
+        ready = [deployment.scenario.node(name).traffic.ready for name in deployment.scenario.edges]
+        self.assertEqual(
+            [deployment.zone_verdict("zone0") != "down"] * edges + [True] * edges, ready
+        )
+        deployment.scenario.world.heal()
         self.assertTrue(
-            fleet.until(
+            deployment.run_until(
                 lambda: all(
-                    fleet.scenario.node(name).traffic.ready for name in fleet.scenario.edges
+                    deployment.scenario.node(name).traffic.ready
+                    for name in deployment.scenario.edges
                 ),
                 30,
             )
         )
-        self.holds(fleet)
-        return share
+        self.assert_no_faults(deployment)
+        return fraction
 
-    def test_callers_are_steered_by_a_verdict_of_a_derived_watch(self) -> None:
+    def test_verdicts_of_derived_watches_steer_callers(self) -> None:
         for seed, edges in ((10, 3), (11, 2)):
-            self.assertGreater(self.readers_served(seed, edges), 0.98)
+            self.assertGreater(self.served_fraction_after_cut(seed, edges), 0.98)
 
     def test_without_derived_watches_callers_are_not_steered(self) -> None:
-        self.assertLess(self.readers_served(10, 3, derives=False), 0.8)
+        self.assertLess(self.served_fraction_after_cut(10, 3, derives=False), 0.8)
 
-    def test_servers_of_a_down_zone_are_picked_last_over_a_region_too(self) -> None:
+    def test_servers_of_a_down_zone_are_picked_last(self) -> None:
         for spread in (True, False):
             self.assertEqual(
-                {"near", "other"}, self.picked({"b": "unknown", "c": "unknown"}, spread, "b", "c")
+                {"near", "other"},
+                self.picked_servers({"b": "unknown", "c": "unknown"}, spread, "b", "c"),
             )
             self.assertEqual(
-                {"other"}, self.picked({"b": "down", "c": "healthy"}, spread, "b", "c")
+                {"other"}, self.picked_servers({"b": "down", "c": "healthy"}, spread, "b", "c")
             )
-            self.assertEqual({"near"}, self.picked({"b": "down"}, spread, "b"))
+            self.assertEqual({"near"}, self.picked_servers({"b": "down"}, spread, "b"))
         self.assertEqual(
-            {"near", "other"}, self.picked({"b": "unknown", "c": "healthy"}, True, "b", "c")
+            {"near", "other"}, self.picked_servers({"b": "unknown", "c": "healthy"}, True, "b", "c")
         )
 
-    def picked(self, verdicts: dict[str, str], spread: bool, *zones: str) -> set[str]:
+    def picked_servers(self, verdicts: dict[str, str], spread: bool, *zones: str) -> set[str]:
         settings = read_settings(
             "edge",
             "",
@@ -648,9 +697,9 @@
                 valid_until=1e9,
             )
         )
-        found = set()
+        picked = set()
         for _ in range(40):
             state = servers.pick("pages", set(), verdicts, None)
             assert state is not None
-            found.add(names[state.server.address])
-        return found
+            picked.add(names[state.server.address])
+        return picked
--- a/tests/replicated_state/test_outcomes.py
+++ b/tests/replicated_state/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What came of a change is known as long as that change stands, whatever else was agreed on."""
+"""The outcome of the current change is never evicted, so that a retry of it is recognized."""
 
 import testtools
 
@@ -22,44 +22,44 @@
         self.assertEqual("accepted", outcome["status"])
         return replicated_state
 
-    def assert_known(self, replicated_state: ReplicatedState, index: int) -> None:
-        again = replicated_state.apply(index, change_command("the change", 0))
+    def assert_retry_recognized(self, replicated_state: ReplicatedState, index: int) -> None:
+        outcome = replicated_state.apply(index, change_command("the change", 0))
         self.assertEqual(
-            ("accepted", 1, True), (again["status"], again["version"], again.get("again"))
+            ("accepted", 1, True), (outcome["status"], outcome["version"], outcome.get("again"))
         )
 
-    def test_a_stream_of_purges_does_not_push_out_the_standing_change(self) -> None:
+    def test_purges_do_not_evict_the_current_change(self) -> None:
         replicated_state = self.replicated_state_with_change()
         for number in range(MAX_OUTCOMES_PER_KIND + 1):
             replicated_state.apply(
                 2 + number, encode_command("purge", id=f"purge {number}", scopes=PURGE)
             )
-        self.assert_known(replicated_state, 3 + MAX_OUTCOMES_PER_KIND)
+        self.assert_retry_recognized(replicated_state, 3 + MAX_OUTCOMES_PER_KIND)
 
-    def test_refused_changes_do_not_push_it_out_either(self) -> None:
+    def test_conflicting_changes_do_not_evict_the_current_change(self) -> None:
         replicated_state = self.replicated_state_with_change()
         for number in range(MAX_OUTCOMES_PER_KIND + 1):
             outcome = replicated_state.apply(2 + number, change_command(f"late {number}", 0))
             self.assertEqual("conflict", outcome["status"])
-        self.assert_known(replicated_state, 3 + MAX_OUTCOMES_PER_KIND)
+        self.assert_retry_recognized(replicated_state, 3 + MAX_OUTCOMES_PER_KIND)
 
-    def test_a_snapshot_keeps_it(self) -> None:
+    def test_a_restored_snapshot_does_not_evict_the_current_change(self) -> None:
         replicated_state = self.replicated_state_with_change()
-        copy = ReplicatedState()
-        copy.restore(replicated_state.snapshot())
+        restored = ReplicatedState()
+        restored.restore(replicated_state.snapshot())
         for number in range(MAX_OUTCOMES_PER_KIND + 1):
-            copy.apply(2 + number, change_command(f"late {number}", 0))
-        self.assert_known(copy, 3 + MAX_OUTCOMES_PER_KIND)
+            restored.apply(2 + number, change_command(f"late {number}", 0))
+        self.assert_retry_recognized(restored, 3 + MAX_OUTCOMES_PER_KIND)
 
-    def test_outcomes_of_a_snapshot_written_before_are_read(self) -> None:
+    def test_outcomes_of_an_older_snapshot_are_read(self) -> None:
         outcomes = Outcomes.from_wire([["change:one", {"status": "accepted"}], ["purge:two", {}]])
         self.assertEqual({"status": "accepted"}, outcomes.find("change", "one"))
         self.assertEqual({}, outcomes.find("purge", "two"))
 
-    def test_what_is_no_list_of_outcomes_is_refused(self) -> None:
+    def test_malformed_outcomes_are_rejected(self) -> None:
         self.assertRaises(MalformedSnapshotError, Outcomes.from_wire, {"change": 1})
 
-    def test_room_is_bounded_for_each_kind(self) -> None:
+    def test_the_number_of_outcomes_is_limited_for_each_kind(self) -> None:
         replicated_state = self.replicated_state_with_change()
         for number in range(MAX_OUTCOMES_PER_KIND + 10):
             replicated_state.apply(2 + number, change_command(f"late {number}", 0))
