--- a/packages/rate_limit/ryelock/rate_limit/token_bucket.py
+++ b/packages/rate_limit/ryelock/rate_limit/token_bucket.py
@@ -111,7 +111,7 @@
         return True
 
     def seconds_until_allowed(self, now: float, ahead: int) -> float:
-        """Return the seconds until a request may be sent after `ahead` others; perhaps infinite."""
+        """Return the seconds until a request may be sent after `ahead` others, or infinity."""
         if not self.limited:
             return 0.0
         if self.uses_grants:
