--- a/packages/control_plane/ryelock/control_plane/edge_leases.py
+++ b/packages/control_plane/ryelock/control_plane/edge_leases.py
@@ -1,8 +1,8 @@
-"""Leases given to edges by this leader, and which edges may still serve without a configuration.
+"""Leases that this leader granted to edges, and the log indexes the edges have applied.
 
-An edge serves callers only under a lease. Each lease is recorded with the log index that the edge
-was brought up to when the lease was granted. A log entry is in force at all edges once each lease
-granted below its index was either renewed by an edge that has applied the entry, or expired.
+An edge serves callers only under a lease. Each lease is recorded with the log index whose state was
+sent with it. A log entry is in force at all edges once every lease granted at a lower index has
+expired, or its edge has acknowledged the entry.
 """
 
 from dataclasses import dataclass
@@ -11,20 +11,21 @@
 from ryelock.runtime import Scheduler
 from ryelock.settings import Settings
 
-CLOCK_MARGIN = 1.05
-"""An edge's clock may run slower than the leader's by this factor: a lease counts for longer."""
+CLOCK_DRIFT_FACTOR = 1.05
+"""The leader counts leases as longer by this factor, since an edge's clock may run slower."""
 ACKNOWLEDGEMENT_POLL_SECONDS = 0.01
 EdgeRun = tuple[str, str]
-"""Name and incarnation of an edge: a restarted edge holds no lease of its earlier run."""
+"""Name and incarnation of an edge; a restarted edge holds no lease of its earlier run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """One lease granted to an edge.
+    """A lease granted to an edge.
 
     Attributes:
-        index: log index that the edge gets with the lease.
-        expires_at: monotonic time of the leader at which it has certainly expired, in seconds.
+        index: log index whose state is sent with the lease.
+        expires_at: the leader's monotonic time in seconds, by which the lease has expired also
+            by the edge's clock.
     """
 
     index: int
@@ -32,7 +33,7 @@
 
 
 class LeaseTable:
-    """Unexpired leases, and the log index that each edge has acknowledged, by run of an edge."""
+    """Unexpired leases and acknowledged log indexes, by run of an edge."""
 
     __slots__ = ("acknowledged", "leases")
 
@@ -42,7 +43,11 @@
         self.acknowledged: dict[EdgeRun, int] = {}
 
     def grant(self, edge: EdgeRun, lease: Lease, now: float) -> None:
-        """Record a lease; an older one with the same index is superseded by it."""
+        """Record a lease; it replaces an older one of the same index.
+
+        Leases of lower indexes stay until they expire: the response with the new lease may get
+        lost, and the edge then serves on under the older one.
+        """
         unexpired = [
             other
             for other in self.leases.get(edge, ())
@@ -51,7 +56,7 @@
         self.leases[edge] = [*unexpired, lease]
 
     def revoke(self, edge: EdgeRun) -> None:
-        """Drop the leases of an edge that has stopped serving."""
+        """Drop the leases of an edge that no longer serves."""
         self.leases.pop(edge, None)
 
     def acknowledge(self, edge: EdgeRun, index: int) -> None:
@@ -59,7 +64,10 @@
         self.acknowledged[edge] = max(index, self.acknowledged.get(edge, 0))
 
     def lagging_edges(self, index: int, now: float) -> list[EdgeRun]:
-        """Return the edges that may still serve without the log entry at an index."""
+        """Return the edges that may still serve without the log entry at an index.
+
+        Leases that have expired are dropped.
+        """
         lagging: list[EdgeRun] = []
         for edge, leases in list(self.leases.items()):
             unexpired = [lease for lease in leases if lease.expires_at > now]
@@ -74,12 +82,12 @@
 
 
 class EdgeLeases:
-    """The leases of the present Raft term, with the durations that follow from the settings."""
+    """Leases of the current Raft term, with the durations that follow from the settings."""
 
     __slots__ = ("consensus", "scheduler", "settings", "table", "term")
 
     def __init__(self, settings: Settings, scheduler: Scheduler, consensus: Consensus) -> None:
-        """Create a record without leases."""
+        """Create an empty lease table."""
         self.settings = settings
         self.scheduler = scheduler
         self.consensus = consensus
@@ -87,7 +95,7 @@
         self.term = 0
 
     def begin_term(self) -> bool:
-        """Forget the leases of an earlier Raft term; True where this node leads in a new one."""
+        """Drop the leases of an earlier Raft term; return True if the term has changed."""
         if self.term == self.consensus.term:
             return False
         self.term = self.consensus.term
@@ -96,35 +104,36 @@
 
     @property
     def lease_seconds(self) -> float:
-        """How long a lease counts as unexpired after it was granted."""
-        return self.settings.term_seconds * CLOCK_MARGIN
+        """Time after its grant until the leader counts a lease as expired, in seconds."""
+        return self.settings.term_seconds * CLOCK_DRIFT_FACTOR
 
     @property
     def takeover_seconds(self) -> float:
-        """How long after its election a leader can't know what an earlier leader's edges hold.
+        """Time after its election until a leader knows what edges hold from earlier leaders.
 
-        Where edges serve on after their lease has expired nothing ends by itself: there, how long
-        edges that are in contact need to report what they hold.
+        By then leases of earlier leaders have expired. With the `serve_lapsed` setting, edges go
+        on serving after their lease; the time is then at most `settle_seconds`, in which edges in
+        contact report what they hold.
         """
         if self.settings.serve_lapsed:
             return min(self.lease_seconds, self.settings.settle_seconds)
         return self.lease_seconds
 
     def takeover_is_complete(self, now: float) -> bool:
-        """Tell whether all that an earlier leader granted is expired or reported."""
+        """Return True if all grants of earlier leaders have expired or were reported."""
         return now >= self.consensus.settled_at + self.takeover_seconds
 
     def grant(self, edge: EdgeRun, now: float) -> None:
-        """Grant a lease that comes with everything applied here."""
+        """Record a lease at the log index that this node has applied."""
         lease = Lease(self.consensus.applied_index, now + self.lease_seconds)
         self.table.grant(edge, lease, now)
 
     async def wait_until_in_force(self, index: int) -> None:
         """Wait until no edge can still serve without the log entry at an index.
 
-        Leases granted by earlier leaders are unknown here, so a whole lease must have passed since
-        this leader's election. A leader that is deposed meanwhile waits a whole lease instead: by
-        then its own leases have expired, and those of its successor come with the entry.
+        Leases granted by earlier leaders are unknown here, so a full lease must have passed since
+        this leader's election. A leader that loses leadership meanwhile waits a full lease: by then
+        its own leases have expired, and those of its successor are sent with the entry.
         """
         started = self.scheduler.now()
         term = self.consensus.term
--- a/packages/control_plane/ryelock/control_plane/failed_callers.py
+++ b/packages/control_plane/ryelock/control_plane/failed_callers.py
@@ -11,7 +11,7 @@
 
 MAX_FAILED_CALLERS = 1000
 """So many are kept by the leader, and taken from one edge at once."""
-CALLER_BYTES = 16
+DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/control_plane/ryelock/control_plane/lease_renewal.py
+++ b/packages/control_plane/ryelock/control_plane/lease_renewal.py
@@ -1,8 +1,8 @@
-"""The leader's side of lease renewal: sessions, and what each node lacks of the soft state.
+"""Session and lease renewal at the leader, with the state updates sent in the responses.
 
-A lease is granted only while the leader's own contact with a majority is younger than the shortest
-silence after which a voter could take part in an election (Raft, section 6.4.1 of Ongaro's
-dissertation), and it lasts one lease less that age.
+A lease is granted only if a majority of the voters answered this leader within the minimum election
+timeout, during which they grant no vote to another candidate (Raft, section 6.4.1 of Ongaro's
+dissertation). The lease duration counts from that contact.
 """
 
 from ryelock.consensus import Consensus
@@ -29,16 +29,16 @@
 from ryelock.runtime import Queue, Scheduler
 from ryelock.settings import NodeRole, Settings
 
-MAX_MAJORITY_AGE = 0.9
-"""No lease is granted on a majority contact older than this part of the election timeout."""
-MISSING_SHARE_SECONDS = 0.1
-"""An edge without a share of a service is answered after so long at the latest."""
+MAX_MAJORITY_AGE_RATIO = 0.9
+"""Maximum age of the majority contact for a lease, as a fraction of the election timeout."""
+MAX_HOLD_WITHOUT_SHARE_SECONDS = 0.1
+"""Maximum hold of a response to an edge that has no share of a service yet."""
 MAX_HOLD_SECONDS = 5.0
-"""A response is held back for so long at most while there is nothing new."""
+"""Maximum time that a response is held until there is new state to send."""
 
 
 class LeaseRenewals:
-    """Answers renewals of sessions, and ends the sessions that were not renewed."""
+    """Answers renewal requests and expires the sessions that were not renewed."""
 
     __slots__ = (
         "configuration_updates",
@@ -67,7 +67,18 @@
         platform: PlatformReader,
         source: str,
     ) -> None:
-        """Create the answering side; `source` names this run's membership in nodes' versions."""
+        """Create the service without sessions.
+
+        Args:
+            settings: the node's settings.
+            scheduler: clock and tasks.
+            log: the event log.
+            consensus: this node's member of the consensus group.
+            replicated_state: the replicated state of this node.
+            membership: sessions of all nodes.
+            platform: reader of the platform's server list.
+            source: name of this run's membership in the versions that nodes keep.
+        """
         self.scheduler = scheduler
         self.log = log
         self.consensus = consensus
@@ -82,13 +93,13 @@
         self.served_objects: dict[str, CachedObject] = {}
         self.waiting_renewals: dict[int, Queue[bool]] = {}
 
-    def wake_waiting(self) -> None:
-        """There is something new: let all renewals that wait look for it."""
+    def notify_waiting_renewals(self) -> None:
+        """Wake the renewals that wait for new state, so that they check for it."""
         for wakeups in self.waiting_renewals.values():
             wakeups.put(True)
 
     async def renew(self, message: Message, reply: Reply) -> None:
-        """Answer one node's renewal, held back a little while there is nothing new for it."""
+        """Answer one node's renewal; the response is held until there is new state for the node."""
         if not self.consensus.settled:
             reply(NotLeaderResponse(self.consensus.leader_address).to_wire())
             return
@@ -102,19 +113,19 @@
         if self.is_outdated(request):
             reply(RejectedRenewalResponse("an older ask").to_wire())
             return
-        self.record(request)
+        self.record_report(request)
         await self.wait_for_update(request)
-        # This leader may have been deposed while the renewal waited.
+        # This node may have lost leadership while the renewal waited.
         if not self.consensus.settled or self.leases.term != self.consensus.term:
             reply(NotLeaderResponse(self.consensus.leader_address).to_wire())
             return
-        reply(self.respond(request))
+        reply(self.build_response(request))
 
     def is_outdated(self, request: RenewalRequest) -> bool:
-        """Tell whether a later request of the same run of the node was taken already.
+        """Return True if a later request of the same run of the node was already processed.
 
-        Requests may overtake each other on the way: what an older one reports as held was given
-        back since.
+        Requests may arrive out of order. An older one may report quota as held that the node has
+        returned since.
         """
         session = self.membership.sessions.get(request.session.name)
         return (
@@ -123,25 +134,27 @@
             and request.sequence <= session.sequence
         )
 
-    def record(self, request: RenewalRequest) -> None:
-        """Take over what a node reports of itself."""
+    def record_report(self, request: RenewalRequest) -> None:
+        """Record the session, applied index, demand and failures that a node reports."""
         session = request.session
         session.sequence = request.sequence
         if self.membership.renew(session):
             self.log.write(
                 SESSION_STARTED, member=session.name, zone=session.zone, role=session.role
             )
-        self.leases.table.acknowledge(request.node, request.applied_index)
+        self.leases.table.acknowledge(request.node_run, request.applied_index)
         self.served_objects.update(
             (route, served)
             for route, served in request.served_objects.items()
             if route in self.replicated_state.derivable
         )
         self.failed_callers.report(session.name, request.failed_callers)
-        self.quota.report(session.name, request.demand, request.waiting, self.scheduler.now())
+        self.quota.report_demand(
+            session.name, request.demand, request.waiting, self.scheduler.now()
+        )
 
     async def wait_for_update(self, request: RenewalRequest) -> None:
-        """Wait until there is something new for a node, for the time that it allows at most."""
+        """Wait until there is new state or quota for a node, at most as long as it allows."""
         until = self.scheduler.now() + min(MAX_HOLD_SECONDS, max(0.0, request.hold_seconds))
         received_at = until - request.hold_seconds
         wakeups: Queue[bool] = Queue(self.scheduler)
@@ -156,15 +169,15 @@
             del self.waiting_renewals[id(wakeups)]
 
     def seconds_until_quota(self, request: RenewalRequest, received_at: float) -> float:
-        """Return seconds until a node may get quota that it waits for; infinite for never."""
+        """Return the seconds until a node may get quota; infinite if it waits for none."""
         now, edge_count = self.scheduler.now(), len(self.edges())
         pause = self.quota.seconds_until_grant(request.waiting, edge_count, now)
         if self.quota.lacks_share(request.holding, edge_count):
-            pause = min(pause, received_at + MISSING_SHARE_SECONDS - now)
+            pause = min(pause, received_at + MAX_HOLD_WITHOUT_SHARE_SECONDS - now)
         return pause
 
     def has_update(self, versions: dict[str, int]) -> bool:
-        """Tell whether a node with these versions lacks something that is worth waking it for."""
+        """Return True if a node with these versions lacks state that it should get at once."""
         server_list = self.platform.current_list(self.scheduler.now())
         return (
             versions.get(STATE_SOURCE, 0) < self.consensus.applied_command_index
@@ -176,18 +189,21 @@
         )
 
     def edges(self) -> list[str]:
-        """Return the names of all edges with a session here, sorted."""
+        """Return the sorted names of the edges that have a session with this node."""
         return sorted(
             name
             for name, session in self.membership.sessions.items()
             if session.role == NodeRole.EDGE
         )
 
-    def respond(self, request: RenewalRequest) -> Message:
-        """Return the response to a request, with a lease where this leader is certain to lead."""
+    def build_response(self, request: RenewalRequest) -> Message:
+        """Return the response to a request.
+
+        It grants a lease only if a recent majority contact proves that there is no newer leader.
+        """
         now = self.scheduler.now()
         age = max(0.0, now - self.consensus.majority_contact_at())
-        if age >= MAX_MAJORITY_AGE * self.consensus.settings.election_timeout:
+        if age >= MAX_MAJORITY_AGE_RATIO * self.consensus.settings.election_timeout:
             return UnconfirmedRenewalResponse(age, request.applied_index).to_wire()
         return RenewalResponse(
             majority_age_seconds=age,
@@ -199,32 +215,35 @@
         ).to_wire()
 
     def grant_lease(self, request: RenewalRequest, now: float) -> EdgeQuota:
-        """Record a lease for an edge and return what the edge may spend under it."""
-        self.leases.grant(request.node, now)
+        """Record a lease for an edge and return the quota that comes with it."""
+        self.leases.grant(request.node_run, now)
         return self.quota.allocate(
             request.session.name, self.edges(), request.holding, request.waiting, now
         )
 
     def members_for(self, versions: dict[str, int]) -> Message | None:
-        """Return the members for a node; None where it has the present version."""
+        """Return the membership update for a node; None if it has the current version."""
         version = versions.get(self.membership_changes.source)
         if version == self.membership_changes.refresh():
             return None
         return self.membership_changes.update_since(version)
 
     def leave(self, message: Message, reply: Reply) -> None:
-        """End the session of a node that stops: it serves no more, so its quota is free."""
+        """End the session of a node that shuts down.
+
+        The node serves no more requests, so its quota and its leases are released at once.
+        """
         name, incarnation = str(message.get("name")), str(message.get("incarnation"))
         left = self.membership.leave(name, incarnation)
         if left:
-            self.quota.release(name)
+            self.quota.release_edge(name)
             self.leases.table.revoke((name, incarnation))
             self.membership_changes.refresh()
         reply({"ok": left})
 
     def expire_sessions(self) -> None:
-        """End the sessions that were not renewed in time."""
+        """Expire the sessions that were not renewed in time."""
         for session in self.membership.expire():
-            self.quota.forget(session.name)
+            self.quota.remove_edge(session.name)
             self.log.write(SESSION_ENDED, member=session.name, zone=session.zone, role=session.role)
         self.membership_changes.refresh()
--- a/packages/control_plane/ryelock/control_plane/membership_changes.py
+++ b/packages/control_plane/ryelock/control_plane/membership_changes.py
@@ -1,4 +1,4 @@
-"""Versions of the membership, and the difference between two of them for a node that has one."""
+"""Versions of the membership, and incremental updates between them."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -7,20 +7,20 @@
 from ryelock.rpc import Message
 
 MAX_CHANGES = 1000
-"""A node that is further behind than so many versions is sent all members."""
-MemberState = tuple[object, ...]
+"""Number of versions kept; a node that is further behind gets all members."""
+VersionedFields = tuple[object, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """The names of the members that joined, left or changed with one version."""
+    """The names of the members that joined, left or changed in one version."""
 
     version: int
     names: frozenset[str]
 
 
-def state_of(session: Session) -> MemberState:
-    """Return what of a session other nodes act on; a change of it makes a new version."""
+def versioned_fields(session: Session) -> VersionedFields:
+    """Return the fields that other nodes depend on; a change of one makes a new version."""
     return (
         session.incarnation,
         session.zone,
@@ -31,48 +31,50 @@
 
 
 class MembershipChanges:
-    """Numbers the states of the membership and keeps the latest differences."""
+    """Numbers the versions of the membership and keeps the latest changes."""
 
-    __slots__ = ("changes", "known", "known_lost", "membership", "source", "version")
+    __slots__ = ("changes", "last_lost", "last_members", "membership", "source", "version")
 
     def __init__(self, membership: Membership, source: str) -> None:
-        """Create the first version, without members.
+        """Create version 0, without members.
 
         Args:
             membership: the members.
-            source: name under which nodes keep the version, unique to this run of the leader.
+            source: key of this version among those that a node keeps; unique to this run.
         """
         self.membership = membership
         self.source = source
         self.version = 0
-        self.known: dict[str, MemberState] = {}
-        self.known_lost: set[str] = set()
+        self.last_members: dict[str, VersionedFields] = {}
+        self.last_lost: set[str] = set()
         self.changes: deque[MembershipChange] = deque(maxlen=MAX_CHANGES)
 
     def refresh(self) -> int:
-        """Return the version of the present members, a new one where they have changed.
+        """Return the version of the current members, a new one if they have changed.
 
-        A new version wakes no waiting renewal: it comes with the next response, so that many
-        nodes that join together cost each node a few responses, not one for each other node.
+        A new version does not end the hold of a renewal: it is sent with the next response. So if
+        many nodes join together, each node gets a few responses, not one for each other node.
         """
-        members = {name: state_of(session) for name, session in self.membership.members().items()}
+        members = {
+            name: versioned_fields(session) for name, session in self.membership.members().items()
+        }
         lost = set(self.membership.lost())
-        if members != self.known or lost != self.known_lost:
+        if members != self.last_members or lost != self.last_lost:
             changed = frozenset(
                 name
-                for name in {*members, *self.known}
-                if members.get(name) != self.known.get(name)
+                for name in {*members, *self.last_members}
+                if members.get(name) != self.last_members.get(name)
             )
-            self.known, self.known_lost = members, lost
+            self.last_members, self.last_lost = members, lost
             self.version += 1
             self.changes.append(MembershipChange(self.version, changed))
         return self.version
 
     def update_since(self, version: int | None) -> Message:
-        """Return what a node with a version lacks: the changes since, or all members.
+        """Return the changes since a node's version, or all members if those are not kept.
 
         Args:
-            version: the version that the node has of this source; None where it has none.
+            version: the version that the node has of this source; None if it has none.
         """
         members = self.membership.members()
         update: Message = {
@@ -91,7 +93,7 @@
         }
 
     def names_changed_since(self, version: int | None) -> frozenset[str] | None:
-        """Return the members that changed since a version; None where that is forgotten."""
+        """Return the names of the members that changed since a version; None if not kept."""
         if version is None:
             return None
         changes = [change.names for change in self.changes if change.version > version]
--- a/packages/control_plane/ryelock/control_plane/operator_requests.py
+++ b/packages/control_plane/ryelock/control_plane/operator_requests.py
@@ -1,7 +1,7 @@
-"""Operators' requests at the leader: commit, wait until all edges follow, answer.
+"""Operators' requests at the leader.
 
-An answer says ACCEPTED only when the command is committed and no edge can still serve without it.
-NOT_TAKEN is certain; where the outcome is not, the answer says UNKNOWN.
+A change is answered with ACCEPTED once its command is committed and no edge can still serve without
+it. NOT_TAKEN means that the command is certainly not committed; UNKNOWN means that it may be.
 """
 
 from ryelock.consensus import Consensus, Role
@@ -22,13 +22,13 @@
 from ryelock.rpc import Message
 from ryelock.runtime import Scheduler
 
-MAX_ID_LENGTH = 200
+MAX_ID_CHARACTERS = 200
 CONFIRMATION_TIMEOUT_SECONDS = 2.0
-SHOWN_DECISIONS = 100
+MAX_SHOWN_DECISIONS = 100
 
 
 class OperatorRequests:
-    """Answers operators' requests where this node leads."""
+    """Answers operators' requests if this node leads."""
 
     __slots__ = (
         "consensus",
@@ -51,7 +51,7 @@
         leases: EdgeLeases,
         voters: VoterManager,
     ) -> None:
-        """Create the answering side of one node."""
+        """Create the request handler of one node."""
         self.scheduler = scheduler
         self.log = log
         self.consensus = consensus
@@ -62,7 +62,7 @@
         self.drain_policy = DrainPolicy(replicated_state, membership)
 
     async def serve(self, message: Message) -> Message:
-        """Answer one operator's request; ELSEWHERE where this node does not lead."""
+        """Answer one operator's request, with ELSEWHERE if this node does not lead."""
         if self.consensus.role != Role.LEADER:
             return {"status": OutcomeStatus.ELSEWHERE}
         try:
@@ -76,11 +76,11 @@
             return {"status": OutcomeStatus.NOT_TAKEN, "reason": str(error)}
 
     async def serve_request(self, request: OperatorRequest) -> Message:
-        """Commit what is to be committed; show the rest from state that is certainly the newest.
+        """Commit a change, or answer a read from state that is confirmed to be the newest.
 
         Raises:
-            InvalidRequestError: a field cannot be taken.
-            UnconfirmedLeadershipError: this node may have been deposed.
+            InvalidRequestError: a field is missing or malformed.
+            UnconfirmedLeadershipError: another leader may have been elected.
         """
         payload = request.payload
         match request.action:
@@ -94,10 +94,10 @@
             case OperatorAction.RECOVER:
                 return await self.drain(False, payload)
         await self.confirm_leadership()
-        return self.show(request)
+        return self.answer_read(request)
 
-    def show(self, request: OperatorRequest) -> Message:
-        """Return what a request asks to see."""
+    def answer_read(self, request: OperatorRequest) -> Message:
+        """Return the answer to a request that changes nothing."""
         match request.action:
             case OperatorAction.READ:
                 return self.show_configuration()
@@ -110,51 +110,59 @@
         return {"status": OutcomeStatus.MALFORMED, "fault": "unknown order"}
 
     async def confirm_leadership(self) -> None:
-        """Have a majority confirm that this node leads; raises UnconfirmedLeadershipError."""
+        """Have a majority confirm that this node still leads.
+
+        Raises:
+            UnconfirmedLeadershipError: no majority did so in time.
+        """
         if not await self.consensus.confirm_leadership(CONFIRMATION_TIMEOUT_SECONDS):
             raise UnconfirmedLeadershipError
 
-    # What is committed.
+    # Changes.
 
     async def commit(self, kind: str, payload: object, fields: Message) -> Message:
-        """Commit a command with the request's id, and wait until every edge follows it.
+        """Commit a command with the request's id, and wait until it is in force at all edges.
 
         Args:
             kind: kind of the command.
-            payload: the request's payload, with the id.
-            fields: further fields of the command.
+            payload: the request's payload, which has the id.
+            fields: the command's other fields.
         """
-        identity = id_of(payload)
+        request_id = parse_request_id(payload)
         try:
-            data = encode_command(kind, id=identity, wall=self.scheduler.clock.wall(), **fields)
+            data = encode_command(kind, id=request_id, wall=self.scheduler.clock.wall(), **fields)
         except (ValueError, TypeError, RecursionError, OverflowError):
             return {"status": OutcomeStatus.MALFORMED, "fault": "not readable"}
         outcome = await self.consensus.propose(data)
         if outcome.is_error():
             certain = outcome.error.certain
             status = OutcomeStatus.NOT_TAKEN if certain else OutcomeStatus.UNKNOWN
-            return {"status": status, "reason": outcome.error.reason, "id": identity}
+            return {"status": status, "reason": outcome.error.reason, "id": request_id}
         result = outcome.ok
         if not isinstance(result, dict):
-            return {"status": OutcomeStatus.MALFORMED, "id": identity}
+            return {"status": OutcomeStatus.MALFORMED, "id": request_id}
         if result.get("status") != OutcomeStatus.ACCEPTED:
-            self.log.write(CHANGE_REJECTED, id=identity, status=str(result.get("status")))
-            return {**result, "id": identity}
+            self.log.write(CHANGE_REJECTED, id=request_id, status=str(result.get("status")))
+            return {**result, "id": request_id}
         await self.leases.wait_until_in_force(int(str(result["index"])))
         self.log.write(
             PURGE_ACCEPTED if kind == "purge" else CHANGE_ACCEPTED,
-            id=identity,
+            id=request_id,
             version=result.get("version"),
             index=result["index"],
         )
-        return {**result, "id": identity}
+        return {**result, "id": request_id}
 
     async def drain(self, drains: bool, payload: object) -> Message:
-        """Drain or recover a node or a zone, unless the health decisions speak against it.
+        """Drain or recover a node or a zone, unless the drain policy objects.
 
         Args:
             drains: True to drain, False to recover.
-            payload: the target, `force` to override the policy, and the operator's reason.
+            payload: has the target, `force` to override the policy, and the operator's reason.
+
+        Raises:
+            InvalidRequestError: the id or the target is missing or malformed.
+            UnconfirmedLeadershipError: an objection may rest on outdated state.
         """
         target = payload.get("target") if isinstance(payload, dict) else None
         if not isinstance(payload, dict) or not isinstance(target, str) or not target:
@@ -162,7 +170,7 @@
         is_forced = payload.get("force") is True
         objection = self.drain_policy.objection(target, drains)
         if objection and not is_forced:
-            # A rejection is final: it may rest only on state that is certainly the newest.
+            # A rejection is final, so it must rest on state that is confirmed to be the newest.
             await self.confirm_leadership()
             objection = self.drain_policy.objection(target, drains)
         if objection and not is_forced:
@@ -175,10 +183,10 @@
         }
         return await self.commit("drain", payload, fields)
 
-    # What is shown.
+    # Reads.
 
     def plan(self, payload: object) -> Message:
-        """Return what a change would do to the present version, without doing it."""
+        """Return the effects of a change to the current version, without applying it."""
         change = dict(payload) if isinstance(payload, dict) else {"patch": payload}
         configuration = self.replicated_state.configuration
         version = self.replicated_state.version
@@ -193,7 +201,7 @@
         return {"base": version, "plan": plan_change(configuration, merged.ok)}
 
     def show_configuration(self) -> Message:
-        """Return the present configuration with its version."""
+        """Return the current configuration with its version."""
         return {
             "version": self.replicated_state.version,
             "index": self.replicated_state.index,
@@ -201,7 +209,7 @@
         }
 
     def show_members(self) -> Message:
-        """Return the members, and the consensus group as this leader sees it."""
+        """Return the members, and the consensus group as the leader knows it."""
         return {
             "members": self.member_records(),
             "voters": self.consensus.voters,
@@ -211,7 +219,7 @@
         }
 
     def member_records(self) -> dict[str, object]:
-        """Return the members by name, then the edges that are lost."""
+        """Return the members, then the lost edges, each sorted by name."""
         records: dict[str, object] = {}
         for name, session in sorted(self.membership.members().items()):
             records[name] = session.to_wire()
@@ -220,7 +228,7 @@
         return records
 
     def show_health(self) -> Message:
-        """Return health decisions next to the membership: the record of what was decided."""
+        """Return the health status, past decisions, roles and membership."""
         state = self.replicated_state
         return {
             "index": state.index,
@@ -229,7 +237,7 @@
             "drains": state.drains,
             "derived": derived_targets(state.derived),
             "duties": state.singletons_to_wire(),
-            "decisions": state.decisions[-SHOWN_DECISIONS:],
+            "decisions": state.decisions[-MAX_SHOWN_DECISIONS:],
             "members": self.member_records(),
             "voters": self.consensus.voters,
             "leader": self.consensus.name,
@@ -237,9 +245,9 @@
         }
 
 
-def id_of(payload: object) -> str:
+def parse_request_id(payload: object) -> str:
     """Return the id of an operator's request; raises InvalidRequestError."""
-    identity = payload.get("id") if isinstance(payload, dict) else None
-    if not isinstance(identity, str) or not 0 < len(identity) <= MAX_ID_LENGTH:
-        raise InvalidRequestError("id", f"not a name of 1 to {MAX_ID_LENGTH} characters")
-    return identity
+    request_id = payload.get("id") if isinstance(payload, dict) else None
+    if not isinstance(request_id, str) or not 0 < len(request_id) <= MAX_ID_CHARACTERS:
+        raise InvalidRequestError("id", f"not a name of 1 to {MAX_ID_CHARACTERS} characters")
+    return request_id
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -1,4 +1,4 @@
-"""A control node as a whole: the composition of its parts, its life cycle, and its state shown."""
+"""The control node: composition root and life cycle."""
 
 from dataclasses import replace
 from random import Random
@@ -34,15 +34,15 @@
 from ryelock.settings import NodeRole, Settings
 
 FINISH_SECONDS = 0.5
-"""Open requests on the control address get at least so long to be answered."""
+"""Minimum time for open requests on the control address to finish at shutdown."""
 MIN_SESSION_SECONDS = 3.0
-"""A session stands for so long at least without a renewal, and for two leases otherwise."""
+"""Lower bound of the session timeout, which is two leases otherwise."""
 MAINTENANCE_SECONDS = 0.4
 OWN_SESSION_SECONDS = 0.25
 
 
 class ControlNode:
-    """One control node: a disk, a member of the consensus group, and what the leader does."""
+    """One control node: a disk, a member of the consensus group, and the leader's tasks."""
 
     __slots__ = (
         "aggregator",
@@ -81,13 +81,13 @@
         disk: str,
         journal: Journal,
     ) -> None:
-        """Compose a node on an open disk and listen; nothing else runs before `start`.
+        """Compose a node on an open disk and listen; tasks run only after `start`.
 
         Args:
             settings: the node's settings.
             scheduler: clock and tasks.
-            network: where to listen and connect.
-            log: where events are written.
+            network: opens listeners and connections.
+            log: the event log.
             random: source of the incarnation and of election timeouts.
             disk: the disk's identity.
             journal: the disk's opened journal.
@@ -111,7 +111,7 @@
         )
         self.build_leader_parts(f"members@{source}")
         self.build_aggregator()
-        self.connect_notifications()
+        self.register_callbacks()
         self.control_api = self.build_control_api()
         self.rpc_handlers = self.build_rpc_handlers()
         self.departure = ConsensusDeparture(
@@ -122,7 +122,11 @@
     # Composition.
 
     def build_membership(self, source: str) -> Membership:
-        """Return a membership without sessions, told to peers under a name of this run."""
+        """Return a membership without sessions.
+
+        Args:
+            source: name of this run of the node, under which peers keep its sessions.
+        """
         session_seconds = max(MIN_SESSION_SECONDS, 2 * self.settings.term_seconds)
         return Membership(self.scheduler, source, session_seconds, self.settings.gone_seconds)
 
@@ -152,7 +156,11 @@
         )
 
     def build_leader_parts(self, members_source: str) -> None:
-        """Create what answers edges and operators, and what the leader maintains."""
+        """Create the components that answer edges and operators, and those of the leader.
+
+        Args:
+            members_source: name of this run's membership in the versions that nodes keep.
+        """
         settings, scheduler, log = self.settings, self.scheduler, self.log
         consensus, state, membership = self.consensus, self.replicated_state, self.membership
         self.renewals = LeaseRenewals(
@@ -178,7 +186,7 @@
         )
 
     def build_aggregator(self) -> None:
-        """Create what evaluates health, and the way of its decisions to the leader."""
+        """Create the aggregator and the component that submits its decisions to the leader."""
         self.soft_state = SoftStateExchange(self.scheduler, self.membership, self.platform)
         self.decisions = HealthDecisions(
             self.scheduler, self.log, self.clients, self.consensus, self.replicated_state
@@ -192,15 +200,15 @@
             self.soft_state.peer_clock,
         )
 
-    def connect_notifications(self) -> None:
-        """Let waiting renewals know what is new, and heartbeats carry the soft state."""
+    def register_callbacks(self) -> None:
+        """Attach soft state to heartbeats, and notify held renewals of new state."""
         self.consensus.payloads.heartbeat_payload = self.soft_state.payload
         self.consensus.payloads.on_payload = self.soft_state.receive
-        self.consensus.add_applied_listener(self.renewals.wake_waiting)
-        self.platform.on_change = self.renewals.wake_waiting
+        self.consensus.add_applied_listener(self.renewals.notify_waiting_renewals)
+        self.platform.on_change = self.renewals.notify_waiting_renewals
 
     def build_control_api(self) -> ControlApi:
-        """Return the control API, listening."""
+        """Return the control API, already listening."""
         return ControlApi(
             self.scheduler,
             self.network,
@@ -215,7 +223,7 @@
         )
 
     def build_rpc_handlers(self) -> RpcHandlers:
-        """Return the handlers of other processes' messages."""
+        """Return the dispatcher of requests from other processes."""
         return RpcHandlers(
             self.scheduler,
             self.log,
@@ -232,7 +240,7 @@
         )
 
     def build_session(self, incarnation: str, disk: str) -> Session:
-        """Return the session that this node keeps with itself."""
+        """Return this node's own session."""
         return Session(
             name=self.settings.name,
             role=NodeRole.CONTROL.value,
@@ -268,11 +276,11 @@
             self.tasks.append(create_task(self.platform.run(), name="platform"))
 
     def follow(self, settings: Settings) -> None:
-        """Take over changed settings: the seeds; all others stand for the life of the process."""
+        """Apply changed settings; only the seeds can change while the process runs."""
         self.consensus.seeds = settings.seeds
 
     async def stop(self) -> None:
-        """Hand over roles and the voter's place, answer what is open, then end."""
+        """Shut down: hand over roles and voter membership, then finish open requests."""
         until = self.scheduler.now() + min(self.settings.stop_seconds, MAX_DEPARTURE_SECONDS)
         self.readiness.stopping = True
         self.log.write(STOPPING)
@@ -291,12 +299,12 @@
             await self.scheduler.sleep(MAINTENANCE_SECONDS)
             if self.consensus.settled:
                 await self.role_assigner.assign_roles()
-            # The node may have been deposed while it waited for a commit.
+            # The node may have lost leadership while it waited for a commit.
             if self.consensus.settled:
                 await self.derived_watches.refresh()
 
     async def maintain_sessions(self) -> None:
-        """Renew this node's own session, and end those that were not renewed."""
+        """Renew this node's own session and expire the sessions that were not renewed."""
         while True:
             self.session.ready = not self.readiness.stopping
             self.session.applied = self.consensus.applied_index
@@ -304,21 +312,24 @@
             self.renewals.expire_sessions()
             await self.scheduler.sleep(OWN_SESSION_SECONDS)
 
-    # What other parts and processes ask.
+    # Callbacks of other components.
 
     def on_message(self, message: Message, reply: Reply) -> None:
-        """Answer a message of another process; the handlers are built after the listener."""
+        """Answer a request of another process.
+
+        The listener is created before `rpc_handlers`, which depend on its address.
+        """
         self.rpc_handlers.handle(message, reply)
 
     def reads_server_list(self) -> bool:
-        """Tell whether it is for this node to read the platform's list of servers."""
+        """Return True if this node should poll the platform's server list."""
         if not self.settings.reader_duty:
             return True
         role = self.replicated_state.singletons.get(SERVER_LIST_READER_ROLE)
         return role is not None and role.owner == self.settings.name
 
     def leader(self) -> str:
-        """Return the leader's address, LOCAL_LEADER, or "" where none is known."""
+        """Return the leader's address, LOCAL_LEADER if this node leads, or "" if unknown."""
         return leader_location(self.consensus)
 
     def other_control_nodes(self) -> list[str]:
@@ -331,5 +342,5 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the node should get operators' requests."""
+        """True if the node should receive operators' requests."""
         return self.readiness.ready
--- a/packages/control_plane/ryelock/control_plane/quota_shares.py
+++ b/packages/control_plane/ryelock/control_plane/quota_shares.py
@@ -1,4 +1,4 @@
-"""What each edge may spend of the services' rates: quota shares, or grants of whole requests."""
+"""Quota of each edge: shares of the services' rates, or grants of single requests."""
 
 import math
 from dataclasses import dataclass
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeQuota:
-    """What one edge may spend until its lease expires.
+    """An edge's quota until its lease expires.
 
     Attributes:
         shares: requests per second, by service.
-        grants: whole requests of services whose rate is too low to be shared, by service.
-        edge_count: number of edges that divide the rates.
+        grants: single requests, by service; for services whose rate is too low for shares.
+        edge_count: number of edges among which the rates are divided.
     """
 
     shares: dict[str, float]
@@ -25,7 +25,7 @@
     edge_count: int
 
     def to_wire(self) -> Message:
-        """Return the fields of a renewal's response."""
+        """Return the quota's fields of a renewal response."""
         return {
             "shares": self.shares,
             "grants": {name: grant.to_wire() for name, grant in self.grants.items()},
@@ -34,24 +34,24 @@
 
 
 class QuotaShares:
-    """Divides the rate of each limited service among the edges by their demand."""
+    """Divides the rates of limited services among the edges by demand."""
 
     __slots__ = ("allocator", "leases", "replicated_state", "settings")
 
     def __init__(
         self, settings: Settings, leases: EdgeLeases, replicated_state: ReplicatedState
     ) -> None:
-        """Create an allocator that knows no demand yet."""
+        """Create an allocator without demand."""
         self.settings = settings
         self.leases = leases
         self.replicated_state = replicated_state
         self.allocator = QuotaAllocator()
 
     def reset(self) -> None:
-        """Forget demand and shares: they belong to an earlier Raft term."""
+        """Drop demand and shares, which belong to an earlier Raft term."""
         self.allocator = QuotaAllocator()
 
-    def report(
+    def report_demand(
         self, edge: str, demand: dict[str, float], waiting: dict[str, int], now: float
     ) -> None:
         """Record an edge's demand.
@@ -74,12 +74,12 @@
         waiting: dict[str, int],
         now: float,
     ) -> EdgeQuota:
-        """Return what an edge may spend, beside all that the other edges may still be spending.
+        """Return an edge's quota; with the unexpired quota of all others it is within the rates.
 
         Args:
             edge: name of the edge.
             edges: names of all edges that are members.
-            holding: requests per second that the edge holds now, by service.
+            holding: shares that the edge holds now, in requests per second, by service.
             waiting: requests in the edge's queues by service.
             now: monotonic time in seconds.
         """
@@ -115,9 +115,10 @@
         )
 
     def seconds_until_grant(self, waiting: dict[str, int], edge_count: int, now: float) -> float:
-        """Return seconds until a service that an edge has waiting requests for can grant one.
+        """Return the seconds until a grant for one of an edge's queued requests.
 
-        Infinite where no grant is to be expected.
+        Infinite if no grant is expected: nothing is queued for a service with grants, or this
+        leader does not know yet what earlier leaders granted.
         """
         if not any(waiting.values()) or not self.leases.takeover_is_complete(now):
             return math.inf
@@ -126,17 +127,19 @@
             (
                 self.allocator.seconds_until_grant(name, services[name].rate, now)
                 for name in waiting
-                if self.is_granted_whole(name, edge_count)
+                if self.uses_grants(name, edge_count)
             ),
             default=math.inf,
         )
 
     def lacks_share(self, holding: dict[str, float], edge_count: int) -> bool:
-        """Tell whether an edge holds nothing of a service whose rate is shared."""
-        return any(held <= 0 and self.is_shared(name, edge_count) for name, held in holding.items())
+        """Return True if an edge holds no share of a service whose rate is divided into shares."""
+        return any(
+            share <= 0 and self.uses_shares(name, edge_count) for name, share in holding.items()
+        )
 
-    def is_granted_whole(self, name: str, edge_count: int) -> bool:
-        """Tell whether a service's rate is too low for shares among so many edges."""
+    def uses_grants(self, name: str, edge_count: int) -> bool:
+        """Return True if a service's rate is too low to be divided among the edges."""
         service = self.replicated_state.configuration.services.get(name)
         return (
             service is not None
@@ -144,8 +147,8 @@
             and is_narrow(service.rate, service.burst_seconds, edge_count)
         )
 
-    def is_shared(self, name: str, edge_count: int) -> bool:
-        """Tell whether a service has a rate that is divided into shares."""
+    def uses_shares(self, name: str, edge_count: int) -> bool:
+        """Return True if a service's rate is divided into shares."""
         service = self.replicated_state.configuration.services.get(name)
         return (
             service is not None
@@ -153,10 +156,10 @@
             and not is_narrow(service.rate, service.burst_seconds, edge_count)
         )
 
-    def forget(self, edge: str) -> None:
-        """Drop the demand of an edge that is lost; its shares run out by themselves."""
+    def remove_edge(self, edge: str) -> None:
+        """Drop the demand of a lost edge; its shares count until they expire."""
         self.allocator.remove_edge(edge)
 
-    def release(self, edge: str) -> None:
-        """Take back the shares of an edge that has stopped serving."""
+    def release_edge(self, edge: str) -> None:
+        """Drop the demand and shares of an edge that no longer serves."""
         self.allocator.release_edge(edge)
--- a/packages/control_plane/ryelock/control_plane/renewal_messages.py
+++ b/packages/control_plane/ryelock/control_plane/renewal_messages.py
@@ -1,38 +1,39 @@
-"""The messages of a lease renewal, to and from their form on the wire."""
+"""Messages of a lease renewal and their wire format."""
 
 from dataclasses import dataclass
 
 from ryelock.control_plane.configuration_updates import ConfigurationUpdate
 from ryelock.control_plane.errors import MalformedRenewalError
-from ryelock.control_plane.failed_callers import CALLER_BYTES, MAX_FAILED_CALLERS
+from ryelock.control_plane.failed_callers import DIGEST_BYTES, MAX_FAILED_CALLERS
 from ryelock.control_plane.quota_shares import EdgeQuota
 from ryelock.membership import Session
 from ryelock.replicated_state import MAX_DERIVED_WATCHES, vector_from_wire
 from ryelock.rpc import Message
 
 STATE_SOURCE = "register"
-"""Name under which a node keeps the log index that it has applied, among its versions."""
+"""Key of the applied log index among the versions that a node reports."""
 MAX_AMOUNT = 1e9
-MAX_OBJECT_CHARACTERS = 1000
-"""Host and target of an object are shorter than this together."""
+"""Exclusive upper bound of requests and of requests per second."""
+MAX_HOST_AND_TARGET_CHARACTERS = 1000
+"""Exclusive upper bound of the combined length of an object's host and target."""
 CachedObject = tuple[str, str]
 """Host and target of a request that a cached object answers."""
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalRequest:
-    """One node's request to renew its session, and its lease where it is an edge.
+    """A node's request to renew its session and, if it is an edge, its lease.
 
     Attributes:
-        session: what the node is.
-        versions: the version that the node has, by source.
-        sequence: grows with each request of one run of the node.
+        session: the node's report of itself.
+        versions: the version of each source's state that the node has, by source.
+        sequence: increases with each request of one run of the node.
         demand: requests per second that the node wants to send, by service.
         holding: requests per second that the node holds as quota shares, by service.
         waiting: requests in the node's queues, by service.
-        hold_seconds: how long the response may be held back while there is nothing new.
-        failed_callers: callers who got a failure from this node lately.
-        served_objects: an object that the node served lately, by route.
+        hold_seconds: how long the response may be held until there is new state.
+        failed_callers: digests of callers that recently got a failure from this node.
+        served_objects: an object that the node recently served, by route.
     """
 
     session: Session
@@ -47,7 +48,11 @@
 
     @classmethod
     def from_wire(cls, message: Message) -> "RenewalRequest":
-        """Return the request in a message; raises MalformedRenewalError."""
+        """Return the request in a message.
+
+        Raises:
+            MalformedRenewalError: a field is missing or malformed.
+        """
         try:
             return cls.parse(message)
         except (KeyError, TypeError, ValueError) as error:
@@ -55,7 +60,13 @@
 
     @classmethod
     def parse(cls, message: Message) -> "RenewalRequest":
-        """Return the request; raises KeyError, TypeError or ValueError with the first fault."""
+        """Return the request in a message.
+
+        Raises:
+            KeyError: a field is missing.
+            TypeError: a field has another type.
+            ValueError: a field is malformed or out of bounds.
+        """
         session = Session.from_wire(message["session"])
         versions = vector_from_wire(message["vector"])
         sequence = message["sequence"]
@@ -81,33 +92,33 @@
 
     @property
     def applied_index(self) -> int:
-        """The log index that the node has applied, 0 where it has nothing."""
+        """Log index that the node has applied; 0 if it has no state."""
         return self.versions.get(STATE_SOURCE, 0)
 
     @property
-    def node(self) -> tuple[str, str]:
+    def node_run(self) -> tuple[str, str]:
         """Name and incarnation of the node."""
         return self.session.name, self.session.incarnation
 
 
 def parse_callers(value: object) -> list[bytes]:
-    """Return digests of callers; raises ValueError."""
+    """Return the digests in a list of callers; raises ValueError."""
     if not isinstance(value, list) or len(value) > MAX_FAILED_CALLERS:
         raise ValueError("not callers")
-    if not all(isinstance(caller, bytes) and len(caller) == CALLER_BYTES for caller in value):
+    if not all(isinstance(caller, bytes) and len(caller) == DIGEST_BYTES for caller in value):
         raise ValueError("not callers")
     return value
 
 
 def parse_objects(value: object) -> dict[str, CachedObject]:
-    """Return host and target of an object by route; raises ValueError."""
+    """Return the host and target of an object by route; raises ValueError."""
     if not isinstance(value, list) or len(value) > MAX_DERIVED_WATCHES:
         raise ValueError("not objects")
     objects: dict[str, CachedObject] = {}
     for item in value:
         match item:
             case [str(route), str(host), str(target)] if (
-                len(host) + len(target) < MAX_OBJECT_CHARACTERS
+                len(host) + len(target) < MAX_HOST_AND_TARGET_CHARACTERS
             ):
                 objects[route] = (host, target)
             case _:
@@ -116,7 +127,7 @@
 
 
 def parse_amounts(value: object) -> dict[str, float]:
-    """Return numbers from 0 on by name; raises ValueError."""
+    """Return non-negative numbers by service; raises ValueError."""
     if not isinstance(value, dict):
         raise ValueError("not amounts")
     amounts: dict[str, float] = {}
@@ -131,16 +142,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalResponse:
-    """A renewed session, with a lease, and whatever the node lacks.
+    """A response that renews the session, grants a lease and updates the node's state.
 
     Attributes:
         majority_age_seconds: age of the leader's last contact with a majority; the lease counts
-            from then.
-        update: the configuration.
-        quota: what an edge may spend, None for other nodes.
-        server_list: the platform's servers, None where they are not known.
-        failed_callers: callers who got failures from other edges.
-        members: the membership, None where the node has the present version.
+            from that contact.
+        update: update of the replicated state.
+        quota: quota of an edge; None for other nodes.
+        server_list: update of the platform's server list; None if no recent list is known.
+        failed_callers: update of the callers that got failures from other edges.
+        members: update of the membership; None if the node has the current version.
     """
 
     majority_age_seconds: float
@@ -151,7 +162,7 @@
     members: Message | None
 
     def to_wire(self) -> Message:
-        """Return the response's form on the wire."""
+        """Return the response in wire format."""
         message: Message = {"ok": True, "age": self.majority_age_seconds, "term": True}
         message.update(self.update.to_wire())
         if self.quota is not None:
@@ -166,18 +177,18 @@
 
 @dataclass(frozen=True, slots=True)
 class UnconfirmedRenewalResponse:
-    """A response without a lease and without any state: another leader may have a newer one.
+    """A response without a lease or state, since another leader may have committed newer state.
 
     Attributes:
         majority_age_seconds: age of this leader's last contact with a majority.
-        applied_index: the log index that the node has anyway.
+        applied_index: log index that the node reported, sent back unchanged.
     """
 
     majority_age_seconds: float
     applied_index: int
 
     def to_wire(self) -> Message:
-        """Return the response's form on the wire."""
+        """Return the response in wire format."""
         return {
             "ok": True,
             "age": self.majority_age_seconds,
@@ -189,21 +200,25 @@
 
 @dataclass(frozen=True, slots=True)
 class NotLeaderResponse:
-    """This node does not lead; the address of the one that does, empty where it is unknown."""
+    """This node does not lead.
+
+    Attributes:
+        leader_address: address of the leader; empty if unknown.
+    """
 
     leader_address: str
 
     def to_wire(self) -> Message:
-        """Return the response's form on the wire."""
+        """Return the response in wire format."""
         return {"ok": False, "leader": self.leader_address}
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedRenewalResponse:
-    """The request is malformed, or older than one that was answered."""
+    """The request is malformed, or older than one that was already processed."""
 
     reason: str
 
     def to_wire(self) -> Message:
-        """Return the response's form on the wire."""
+        """Return the response in wire format."""
         return {"ok": False, "fault": self.reason}
--- a/packages/control_plane/ryelock/control_plane/singleton_roles.py
+++ b/packages/control_plane/ryelock/control_plane/singleton_roles.py
@@ -1,4 +1,4 @@
-"""The singleton roles: jobs that one control node does for the whole network."""
+"""Assignment of the singleton roles to control nodes."""
 
 from ryelock.consensus import Consensus, Role
 from ryelock.events import ROLE_ASSIGNED, Log
@@ -9,15 +9,15 @@
 from ryelock.singleton import SingletonRole, next_assignment
 
 AGGREGATOR_ROLE = "aggregator"
-"""Its owner evaluates the probes' results."""
+"""Role of the node that evaluates probe results."""
 SERVER_LIST_READER_ROLE = "reader"
-"""Its owner reads the platform's list of servers, where the settings give that to one node."""
-HAND_OVER_SECONDS = 1.5
-HAND_OVER_PAUSE_SECONDS = 0.1
+"""Role of the node that polls the platform's server list; used with the `reader_duty` setting."""
+HAND_OVER_TIMEOUT_SECONDS = 1.5
+HAND_OVER_POLL_SECONDS = 0.1
 
 
 class RoleAssigner:
-    """Gives each role to a control node; an assignment is a command in the replicated log."""
+    """Assigns each role to a control node by a command in the replicated log."""
 
     __slots__ = (
         "consensus",
@@ -46,7 +46,7 @@
         self.roles = roles
 
     async def assign_roles(self) -> None:
-        """Assign each role anew whose owner or successor is gone or shutting down."""
+        """Commit a new assignment for each role whose owner or successor is gone or leaving."""
         control_nodes = {
             name: session
             for name, session in self.membership.members().items()
@@ -54,13 +54,13 @@
         }
         leaving = [name for name, session in control_nodes.items() if not session.ready]
         for name in self.roles:
-            present = self.replicated_state.singletons.get(name)
-            assignment = next_assignment(present, name, control_nodes, leaving)
+            current = self.replicated_state.singletons.get(name)
+            assignment = next_assignment(current, name, control_nodes, leaving)
             if assignment is not None:
                 await self.commit(assignment)
 
     async def commit(self, assignment: SingletonRole) -> None:
-        """Have an assignment committed."""
+        """Commit an assignment."""
         outcome = await self.consensus.propose(encode_command("duty", **assignment.to_wire()))
         if outcome.is_ok():
             self.log.write(
@@ -72,12 +72,12 @@
             )
 
     async def hand_over(self, owner: str) -> None:
-        """Wait a while until a node that shuts down owns no role that has a successor.
+        """Wait until a node that shuts down owns no role with a successor, up to a timeout.
 
-        Where the node leads it commits the hand-over itself; elsewhere the leader does, since the
-        node's session says that it is not ready.
+        A leader commits the hand-over itself. For any other node the leader does so, since the
+        node's session is not ready.
         """
-        until = self.scheduler.now() + HAND_OVER_SECONDS
+        until = self.scheduler.now() + HAND_OVER_TIMEOUT_SECONDS
         while self.scheduler.now() < until:
             owned = [
                 role for role in self.replicated_state.singletons.values() if role.owner == owner
@@ -89,4 +89,4 @@
                     await self.commit(
                         SingletonRole(role.name, role.successor, role.fencing_token + 1, "")
                     )
-            await self.scheduler.sleep(HAND_OVER_PAUSE_SECONDS)
+            await self.scheduler.sleep(HAND_OVER_POLL_SECONDS)
--- a/packages/control_plane/ryelock/control_plane/voters.py
+++ b/packages/control_plane/ryelock/control_plane/voters.py
@@ -1,8 +1,8 @@
-"""The leader's management of the voters: lost ones are replaced, leaving ones released.
+"""Voter management at the leader: replaces lost voters and releases nodes that shut down.
 
-The decision is made in `ryelock.consensus.membership`; here is what it rests on: which voters had
-contact lately, which learners have caught up with the log, and who asked to leave. A node that
-shuts down sends `council.leave` repeatedly and ends once the answer says `may_end`.
+`ryelock.consensus.membership` decides on the next change. This module collects its input: voters
+without recent contact, learners that have caught up with the log, and nodes that shut down. Such a
+node sends `council.leave` repeatedly and ends once the answer has `may_end`.
 """
 
 from collections import Counter
@@ -18,56 +18,55 @@
 from ryelock.runtime import Scheduler
 
 RELEASE_REQUEST = "council.leave"
-"""Kind of the message by which a node that shuts down asks whether its disk is still needed."""
+"""Kind of the message in which a node that shuts down asks for the release of its disk."""
 LEARNER_TIMEOUT_SECONDS = 3.0
-"""A learner that has not asked to join for so long is forgotten."""
+"""Time after its last join request until a learner is dropped."""
 LEAVING_TIMEOUT_SECONDS = 3.0
-"""A node that has not asked to leave for so long is staying."""
+"""Time after its last release request until a node no longer counts as leaving."""
 LEARNER_DISCOVERY_SECONDS = 1.0
-"""A new leader knows of all learners after so long."""
+"""Time after its election until a leader knows of all learners."""
 MAX_LAG_ENTRIES = 16
-"""A learner has caught up with at most so many committed entries still on their way to it."""
-HEARTBEATS_AFTER_ELECTION = 4
-"""A new leader takes no voter for lost before so many heartbeats."""
-MAX_STEPS = 8
-"""So many changes of the voters are made in a row, at most."""
+"""Maximum number of committed entries that a learner that has caught up may lack."""
+ELECTION_GRACE_HEARTBEATS = 4
+"""Heartbeat intervals after its election in which a leader counts no voter as lost."""
+MAX_CHANGES_PER_CHECK = 8
 CHECK_SECONDS = 0.2
 
 
 class VoterManager:
-    """Adds and removes voters, one step after the other."""
+    """Adds and removes voters, one at a time."""
 
     __slots__ = ("consensus", "leaving", "membership", "scheduler")
 
     def __init__(self, scheduler: Scheduler, consensus: Consensus, membership: Membership) -> None:
-        """Create the management of one node's group; `membership` tells the voters' zones."""
+        """Create a manager; `membership` has the zones of the voters."""
         self.scheduler = scheduler
         self.consensus = consensus
         self.membership = membership
         self.leaving: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Check the voters for the life of the process, while this node leads."""
+        """Check the voters periodically; only the leader changes them."""
         while True:
             await self.scheduler.sleep(CHECK_SECONDS)
             if self.consensus.settled:
                 await self.change_voters()
 
     async def change_voters(self) -> None:
-        """Make all changes that can be made now, one voter after the other."""
-        for _ in range(MAX_STEPS):
+        """Commit the changes that can be made now, one voter at a time."""
+        for _ in range(MAX_CHANGES_PER_CHECK):
             if not self.consensus.settled:
                 return
             voter_set = self.voter_set()
             voters = next_voters(voter_set)
             if voters is None:
                 return
-            self.log_lost(voter_set, voters)
+            self.log_lost_voters(voter_set, voters)
             outcome = await self.consensus.change_voters(voters)
             if outcome.is_error():
                 return
 
-    def log_lost(self, voter_set: VoterSet, voters: Voters) -> None:
+    def log_lost_voters(self, voter_set: VoterSet, voters: Voters) -> None:
         """Write an event for each lost voter that a change removes."""
         for disk in voter_set.lost_voters:
             if disk not in voters:
@@ -75,20 +74,20 @@
                 self.consensus.log.write(VOTER_LOST, disk=disk, address=address)
 
     def replicas(self) -> list[Message]:
-        """Return every disk as this leader sees it, for operators."""
+        """Return the status of every disk as the leader knows it, for operators."""
         voter_set = self.voter_set()
         statuses = replica_statuses(self.consensus, voter_set.lost, voter_set.leaving)
         return [status.to_wire() for status in statuses]
 
     def voter_set(self) -> VoterSet:
-        """Return voters and learners as this leader sees them."""
+        """Return the voters and standbys as the leader knows them."""
         consensus = self.consensus
-        self.forget_silent()
-        recent = (
+        self.drop_silent_nodes()
+        recently_elected = (
             self.scheduler.now() - consensus.elected_at
-            <= consensus.settings.heartbeat_seconds * HEARTBEATS_AFTER_ELECTION
+            <= consensus.settings.heartbeat_seconds * ELECTION_GRACE_HEARTBEATS
         )
-        lost = [] if recent else [disk for disk in consensus.voters if self.is_lost(disk)]
+        lost = [] if recently_elected else [disk for disk in consensus.voters if self.is_lost(disk)]
         return VoterSet(
             dict(consensus.voters),
             consensus.disk,
@@ -98,18 +97,18 @@
             self.voters_by_zone(consensus.voters),
         )
 
-    def forget_silent(self) -> None:
-        """Drop learners and leaving nodes without contact for a while."""
+    def drop_silent_nodes(self) -> None:
+        """Drop learners and leaving nodes whose timeout has passed since their last request."""
         now = self.scheduler.now()
-        for disk, asked in list(self.leaving.items()):
-            if now - asked > LEAVING_TIMEOUT_SECONDS:
+        for disk, requested_at in list(self.leaving.items()):
+            if now - requested_at > LEAVING_TIMEOUT_SECONDS:
                 del self.leaving[disk]
-        for disk, (_, seen) in list(self.consensus.learners.items()):
-            if disk not in self.consensus.voters and now - seen > LEARNER_TIMEOUT_SECONDS:
+        for disk, (_, requested_at) in list(self.consensus.learners.items()):
+            if disk not in self.consensus.voters and now - requested_at > LEARNER_TIMEOUT_SECONDS:
                 self.consensus.drop_learner(disk)
 
     def standbys(self) -> list[Standby]:
-        """Return the disks that joined lately, are no voters and are not leaving."""
+        """Return the learners that are neither voters nor leaving."""
         return [
             Standby(disk, address)
             for disk, (address, _) in self.consensus.learners.items()
@@ -117,13 +116,13 @@
         ]
 
     def ready_standbys(self) -> list[Standby]:
-        """Return the standbys that have caught up, those in zones with the fewest voters first."""
+        """Return the standbys that have caught up, sorted by the number of voters in their zone."""
         ready = [standby for standby in self.standbys() if self.has_caught_up(standby.disk)]
         counts = self.voters_by_zone({standby.disk: standby.address for standby in ready})
         return sorted(ready, key=lambda standby: (counts[standby.disk], standby.disk))
 
     def has_caught_up(self, disk: str) -> bool:
-        """Tell whether a learner has nearly all of the log and had contact lately."""
+        """Return True if a learner has nearly all of the log and had recent contact."""
         consensus = self.consensus
         peer = consensus.peers.get(disk)
         return (
@@ -135,17 +134,17 @@
         )
 
     def voters_by_zone(self, disks: Voters) -> dict[str, int]:
-        """Return how many voters are in the zone of each disk."""
+        """Return the number of voters in the zone of each disk."""
         if not disks:
             return {}
         zones = {
             session.rpc_address: session.zone for session in self.membership.members().values()
         }
-        voting = Counter(zones.get(address) for address in self.consensus.voters.values())
-        return {disk: voting[zones.get(address, "")] for disk, address in disks.items()}
+        voter_counts = Counter(zones.get(address) for address in self.consensus.voters.values())
+        return {disk: voter_counts[zones.get(address, "")] for disk, address in disks.items()}
 
     def is_lost(self, disk: str) -> bool:
-        """Tell whether a voter has another disk now, or stored nothing for too long."""
+        """Return True if a voter's disk was replaced, or stored nothing for `replace_seconds`."""
         consensus = self.consensus
         peer = consensus.peers.get(disk)
         if disk == consensus.disk or peer is None:
@@ -157,7 +156,7 @@
     # Release of nodes that shut down.
 
     def on_release_request(self, message: Message) -> Message:
-        """Record that a node shuts down, and answer whether it may end now."""
+        """Record that a node shuts down; answer with `may_end` once its disk is not needed."""
         disk = str(message.get("disk"))
         if not self.consensus.settled:
             return {"ok": False, "may_end": False}
@@ -168,7 +167,11 @@
         return {"ok": True, "may_end": is_releasable, "epoch": self.consensus.term}
 
     def is_releasable(self, disk: str) -> bool:
-        """Tell whether no committed entry needs a disk and no standby could take its place."""
+        """Return True if a disk is no voter, or is a voter that can end without risk to the log.
+
+        A voter may end only if no standby could replace it and the other voters store all committed
+        entries on a majority. A new leader waits first, as it may not know of all standbys yet.
+        """
         consensus = self.consensus
         if consensus.changing_voters:
             return False
@@ -182,7 +185,7 @@
         return self.is_stored_without(disk)
 
     def is_stored_without(self, disk: str) -> bool:
-        """Tell whether a majority of the voters store all committed entries, one not counted."""
+        """Return True if a majority without this disk stores all committed entries."""
         consensus = self.consensus
         storing = [
             other
--- a/tests/control_plane/test_renewal_messages.py
+++ b/tests/control_plane/test_renewal_messages.py
@@ -31,7 +31,7 @@
 class RenewalRequestTests(testtools.TestCase):
     def test_a_request_has_its_fields_typed(self) -> None:
         request = RenewalRequest.from_wire(renewal())
-        self.assertEqual(("edge-0", "a1"), request.node)
+        self.assertEqual(("edge-0", "a1"), request.node_run)
         self.assertEqual(7, request.applied_index)
         self.assertEqual({"pages": 2.0}, request.demand)
         self.assertEqual({"pages": 4}, request.waiting)
