--- a/packages/control_plane/ryelock/control_plane/__init__.py
+++ b/packages/control_plane/ryelock/control_plane/__init__.py
@@ -1,7 +1,7 @@
-"""The control node: a disk, a member of the consensus group, and what the leader does for all.
+"""The control node: a disk, a member of the consensus group, and the leader's tasks.
 
-`process` composes it and `rpc_handlers` answers other processes. At the leader, `lease_renewal`
-answers nodes that renew, `operator_requests` commits what operators ask for, `voters` replaces lost
-disks and `singleton_roles` assigns the roles that one node has for all. `aggregator` evaluates the
-probes' results, `platform` reads the platform's list of servers, `identity` opens the disk.
+`process` is the composition root, and `rpc_handlers` answers other processes. On the leader,
+`lease_renewal` renews sessions and leases, `operator_requests` commits changes, `voters` replaces
+lost disks and `singleton_roles` assigns the singleton roles. `aggregator` evaluates probe results,
+`platform` polls the platform's server list, `identity` opens the disk.
 """
--- a/packages/control_plane/ryelock/control_plane/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -1,8 +1,8 @@
-"""The aggregator's role: take probe results, evaluate them, and have decisions committed.
+"""The aggregator: evaluates probe results and submits health decisions to the leader.
 
-Only the owner of the role, under its present fencing token, takes results and submits decisions. It
-starts without history: the probers send it all results that they keep. What it does not know yet is
-reported as unknown.
+Only the owner of the aggregator role accepts results and submits decisions, both under its current
+fencing token. A new owner starts without history; the probers send it all results that they keep.
+Until those arrive, health is reported as unknown.
 """
 
 from collections.abc import Callable
@@ -25,14 +25,14 @@
 from ryelock.settings import NodeRole, Settings
 from ryelock.singleton import SingletonRole
 
-REPEAT_SECONDS = 30.0
-"""An unchanged decision is committed again after so long."""
+RESUBMIT_SECONDS = 30.0
+"""Interval at which an unchanged decision is committed again."""
 SubmitDecision = Callable[[Message], TaskCoroutine[bool]]
 PeerClock = Callable[[], list[object]]
 
 
 class Aggregator:
-    """Evaluates health where this node owns the role."""
+    """Evaluates health while this node owns the aggregator role."""
 
     __slots__ = (
         "fencing_token",
@@ -44,8 +44,8 @@
         "scheduler",
         "settings",
         "submit",
-        "submitted",
         "submitted_at",
+        "submitted_decision",
         "weights",
     )
 
@@ -63,10 +63,10 @@
         Args:
             settings: the node's settings.
             scheduler: clock and tasks.
-            replicated_state: watches, and who owns the role.
-            membership: edges whose zones are evaluated.
-            submit: has a decision committed; False where it was not.
-            peer_clock: returns disk and clock of the leader's last heartbeat.
+            replicated_state: the watches and the owner of the role.
+            membership: the edges whose zones are evaluated.
+            submit: submits a decision and returns True if it was committed.
+            peer_clock: returns the disk and clock in the leader's last heartbeat.
         """
         self.settings = settings
         self.scheduler = scheduler
@@ -84,21 +84,21 @@
         self.fencing_token: int | None = None
         self.history = History(settings.verdict_span)
         self.weights = ZoneWeights(settings.weight_span)
-        self.submitted: tuple[object, ...] = ()
+        self.submitted_decision: tuple[object, ...] = ()
         self.submitted_at: float | None = None
 
     def owned_role(self) -> SingletonRole | None:
-        """Return the role where this node owns it."""
+        """Return the aggregator role if this node owns it, else None."""
         role = self.replicated_state.singletons.get(AGGREGATOR_ROLE)
         return role if role is not None and role.owner == self.settings.name else None
 
     def receive_results(self, message: Message) -> Message:
-        """Take a prober's results; rejected unless this node owns the role under their token."""
+        """Record a prober's results if this node owns the role under the token in the message."""
         role = self.owned_role()
         rows = message.get("rows")
         if role is None or message.get("epoch") != role.fencing_token or not isinstance(rows, list):
             return {"ok": False}
-        self.begin_tenure(role)
+        self.reset_on_new_token(role)
         now = self.scheduler.now()
         try:
             results = [decode_probe_result(row, now) for row in rows]
@@ -109,31 +109,33 @@
                 self.history.add(result)
         return {"ok": True}
 
-    def begin_tenure(self, role: SingletonRole) -> None:
-        """Start without history under a new fencing token: others have evaluated since."""
+    def reset_on_new_token(self, role: SingletonRole) -> None:
+        """Drop the history under a new fencing token, as another node may have evaluated since."""
         if role.fencing_token != self.fencing_token:
             self.fencing_token = role.fencing_token
             self.history = History(self.settings.verdict_span)
-            self.submitted = ()
+            self.submitted_decision = ()
 
     async def run(self) -> None:
-        """Evaluate for the life of the process, while this node owns the role."""
+        """Evaluate periodically while this node owns the role."""
         while True:
             await self.scheduler.sleep(self.settings.verdict_seconds)
             self.weights.sample(list(self.membership.members().values()), self.scheduler.now())
             role = self.owned_role()
             if role is not None:
-                self.begin_tenure(role)
-                await self.decide(role)
+                self.reset_on_new_token(role)
+                await self.evaluate_and_submit(role)
 
-    async def decide(self, role: SingletonRole) -> None:
-        """Evaluate, and submit the decision where it is a new one or due again."""
-        # Read before the evaluation: the decision is as old as the heartbeat it was made under.
+    async def evaluate_and_submit(self, role: SingletonRole) -> None:
+        """Evaluate, and submit the decision if it has changed or is due again."""
+        # Read before the evaluation, so that the decision's age is never underestimated.
         clock = self.peer_clock()
         evaluation = self.evaluate()
         now = self.scheduler.now()
-        decision = decision_of(evaluation)
-        if not evaluation.zones or (decision == self.submitted and not self.is_due_again(now)):
+        decision = decision_key(evaluation)
+        if not evaluation.zones or (
+            decision == self.submitted_decision and not self.is_due_again(now)
+        ):
             return
         message: Message = {
             "kind": DECISION_REQUEST,
@@ -147,15 +149,15 @@
             },
         }
         if await self.submit(message):
-            self.submitted = decision
+            self.submitted_decision = decision
             self.submitted_at = now
 
     def is_due_again(self, now: float) -> bool:
-        """Tell whether the last decision is so old that it is committed again unchanged."""
-        return self.submitted_at is None or now - self.submitted_at >= REPEAT_SECONDS
+        """Return True if an unchanged decision is due to be committed again."""
+        return self.submitted_at is None or now - self.submitted_at >= RESUBMIT_SECONDS
 
     def evaluate(self) -> Evaluation:
-        """Return the health of all zones by the results of the retention time."""
+        """Evaluate the health of all zones from the results in the history."""
         now = self.scheduler.now()
         self.history.expire(now)
         watches = self.replicated_state.watches
@@ -173,8 +175,8 @@
         return evaluation
 
 
-def decision_of(evaluation: Evaluation) -> tuple[object, ...]:
-    """Return what of an evaluation is decided, without the figures that it rests on."""
+def decision_key(evaluation: Evaluation) -> tuple[object, ...]:
+    """Return the decided statuses of an evaluation, for comparison with other decisions."""
     return (
         evaluation.network,
         tuple(evaluation.gone_watches),
--- a/packages/control_plane/ryelock/control_plane/departure.py
+++ b/packages/control_plane/ryelock/control_plane/departure.py
@@ -1,4 +1,4 @@
-"""How a control node that shuts down leaves the consensus group without risk to the log."""
+"""Safe departure of a control node that shuts down from the consensus group."""
 
 from ryelock.consensus import Consensus
 from ryelock.control_api import LOCAL_LEADER
@@ -9,13 +9,13 @@
 from ryelock.runtime import Scheduler
 
 MAX_DEPARTURE_SECONDS = 4.0
-"""A stopping node waits for a learner to take its place for so long at most."""
+"""Maximum time that a stopping node waits for a learner to replace it as voter."""
 RELEASE_TIMEOUT_SECONDS = 0.5
-RELEASE_PAUSE_SECONDS = 0.05
+RELEASE_POLL_SECONDS = 0.05
 
 
 class ConsensusDeparture:
-    """Waits for the leader's release of this node's disk, then ends its part in consensus."""
+    """Waits until the leader releases this node's disk, then stops consensus."""
 
     __slots__ = ("clients", "consensus", "log", "scheduler", "voters")
 
@@ -27,7 +27,7 @@
         consensus: Consensus,
         voters: VoterManager,
     ) -> None:
-        """Create the departure of one node; nothing happens before `leave`."""
+        """Create the departure of one node; it begins with `leave`."""
         self.scheduler = scheduler
         self.log = log
         self.clients = clients
@@ -35,19 +35,22 @@
         self.voters = voters
 
     async def leave(self, until: float) -> None:
-        """Wait for the release, up to a monotonic time, then take no part in consensus any more.
+        """Wait for the release, up to a monotonic time, then stop consensus.
 
-        Requests of callers go on being answered for a while after that. A leader that was elected
-        meanwhile does not know of the release: an entry that it commits must not count this disk.
+        The process answers open requests for a while after that. Consensus stops first, since a
+        leader elected meanwhile does not know of the release and would count this disk in commits.
         """
         await self.wait_for_release(until)
         self.consensus.stop()
 
     async def wait_for_release(self, until: float) -> bool:
-        """Wait until no committed entry needs this disk, or no other node can take its place.
+        """Wait until this disk is released, or this node leads and has no successor.
 
-        A learner takes the voter's place where there is one; a node that only restarts comes back
-        as a learner. Without a leader that answers, the wait ends at `until`, without a release.
+        If there is a learner, it replaces this node as voter first; a node that only restarts then
+        rejoins as a learner.
+
+        Returns:
+            True if released; False at `until` or without a successor.
         """
         self.consensus.leaving = True
         self.log.write(VOTER_LEAVING, voter=self.consensus.disk in self.consensus.voters)
@@ -63,14 +66,14 @@
                 answer = await self.clients.call(leader, message, RELEASE_TIMEOUT_SECONDS)
                 if answer.is_ok() and self.is_released(answer.ok):
                     return True
-            await self.scheduler.sleep(RELEASE_PAUSE_SECONDS)
+            await self.scheduler.sleep(RELEASE_POLL_SECONDS)
         return False
 
     def is_released(self, answer: Message) -> bool:
-        """Tell whether an answer to a release request releases this node.
+        """Return True if an answer to a release request releases this node.
 
-        One of an older Raft term does not: this node may have stored entries of a newer leader
-        since.
+        An answer of an older Raft term does not, since this node may have stored entries of a newer
+        leader since.
         """
         term = answer.get("epoch", self.consensus.term)
         return answer.get("may_end") is True and term == self.consensus.term
--- a/packages/control_plane/ryelock/control_plane/derived_watch_manager.py
+++ b/packages/control_plane/ryelock/control_plane/derived_watch_manager.py
@@ -1,4 +1,4 @@
-"""Watches that the leader derives from served objects, for services that operators gave none."""
+"""Watches that the leader derives from served objects, for services without a configured watch."""
 
 from ryelock.consensus import Consensus
 from ryelock.events import WATCH_DERIVED, WATCH_ENDED, Log
@@ -19,11 +19,11 @@
 
 
 class DerivedWatchManager:
-    """Ends derived watches whose object is gone, and derives one where a service has none."""
+    """Ends derived watches whose object is gone, and derives new ones."""
 
     __slots__ = (
         "consensus",
-        "derives",
+        "enabled",
         "gone_objects",
         "log",
         "replicated_state",
@@ -36,46 +36,46 @@
         consensus: Consensus,
         replicated_state: ReplicatedState,
         served_objects: dict[str, ServedObject],
-        derives: bool,
+        enabled: bool,
     ) -> None:
         """Create a manager.
 
         Args:
-            log: where events are written.
-            consensus: where watches are committed.
-            replicated_state: configuration and present watches.
-            served_objects: objects that edges served lately, by route; emptied with each refresh.
-            derives: whether watches are derived at all; False ends those there are.
+            log: the event log.
+            consensus: commits the watches.
+            replicated_state: the configuration and the current watches.
+            served_objects: objects that edges recently served, by route; each refresh clears it.
+            enabled: True to derive watches; False to end existing ones.
         """
         self.log = log
         self.consensus = consensus
         self.replicated_state = replicated_state
         self.served_objects = served_objects
-        self.derives = derives
+        self.enabled = enabled
         self.gone_objects: dict[str, ServedObject] = {}
 
     async def refresh(self) -> None:
-        """Commit the derived watches as they should be now, where that is a change."""
+        """Commit the derived watches if they have to change."""
         before = self.replicated_state.derived
-        targets = self.targets_still_there(before)
+        targets = self.remaining_targets(before)
         candidates = sorted(self.served_objects.items())
         self.served_objects.clear()
-        targets, watches = self.add_candidates(targets, candidates if self.derives else [])
+        targets, watches = self.add_candidates(targets, candidates if self.enabled else [])
         if watches == before:
             return
         outcome = await self.consensus.propose(encode_command("derived", places=targets))
         if outcome.is_ok():
             self.log_changes(before, self.replicated_state.derived)
 
-    def targets_still_there(self, before: dict[str, Watch]) -> Targets:
-        """Return the targets of the present watches without those that probes found gone."""
+    def remaining_targets(self, before: dict[str, Watch]) -> Targets:
+        """Return the targets of the current watches whose object probes did not find gone."""
         gone = self.replicated_state.verdict.get("gone")
         targets = derived_targets(before)
         for name, watch in before.items():
             is_gone = isinstance(gone, dict) and (
                 gone.get(derived_name(name)) == watch_fingerprint(watch)
             )
-            if is_gone or not self.derives:
+            if is_gone or not self.enabled:
                 self.gone_objects[name] = (watch.host, watch.object)
                 del targets[name]
         return targets
@@ -83,9 +83,9 @@
     def add_candidates(
         self, targets: Targets, candidates: list[tuple[str, ServedObject]]
     ) -> tuple[Targets, dict[str, Watch]]:
-        """Return targets and watches with the first route by name of each service without one.
+        """Return the targets and watches, with a candidate added for each service without a watch.
 
-        An object that was just found gone is not taken again.
+        Of a service's routes the first by name is used. An object that was found gone is skipped.
         """
         configuration = self.replicated_state.configuration
         watches = derived_watches(configuration, targets)
@@ -98,7 +98,7 @@
         return targets, watches
 
     def log_changes(self, before: dict[str, Watch], after: dict[str, Watch]) -> None:
-        """Write an event for each watch that ended or was derived."""
+        """Log each watch that ended or was derived."""
         for name in sorted({*before, *after}):
             old, new = before.get(name), after.get(name)
             if old is not None and old != new:
--- a/packages/control_plane/ryelock/control_plane/drain_policy.py
+++ b/packages/control_plane/ryelock/control_plane/drain_policy.py
@@ -1,4 +1,4 @@
-"""Whether the network can do without what an operator wants to drain."""
+"""Policy for drains and recoveries of edges and zones that operators request."""
 
 from ryelock.control_plane.health_decisions import zone_statuses
 from ryelock.membership import Membership
@@ -10,21 +10,21 @@
 
 
 class DrainPolicy:
-    """Names the reason against a drain or a recovery, by health decisions and membership."""
+    """Finds objections to a drain or a recovery in health decisions and membership."""
 
     __slots__ = ("membership", "replicated_state")
 
     def __init__(self, replicated_state: ReplicatedState, membership: Membership) -> None:
-        """Create the policy over the state that it looks at."""
+        """Create the policy from the state that it evaluates."""
         self.replicated_state = replicated_state
         self.membership = membership
 
     def objection(self, target: str, drains: bool) -> str:
-        """Return why a target should not be drained or recovered; empty for no reason."""
+        """Return why a target must not be drained or recovered; empty if it may be."""
         return self.objection_to_drain(target) if drains else self.objection_to_recovery(target)
 
     def serving_edges(self) -> dict[str, list[str]]:
-        """Return the edges that are members and not drained, by zone."""
+        """Return the names of the members that are undrained edges, by zone."""
         edges: dict[str, list[str]] = {}
         drains = self.replicated_state.drains
         for name, session in sorted(self.membership.members().items()):
@@ -34,7 +34,11 @@
         return edges
 
     def objection_to_drain(self, target: str) -> str:
-        """Return why the network needs an edge or a zone; empty when it does not."""
+        """Return why an edge or a zone must not be drained; empty if it may be.
+
+        An edge may be drained if another edge serves in its zone. A zone, or its last edge, may be
+        drained if another zone can serve.
+        """
         serving = self.serving_edges()
         statuses = zone_statuses(self.replicated_state)
         members = self.membership.members()
@@ -57,7 +61,7 @@
         )
 
     def objection_to_recovery(self, target: str) -> str:
-        """Return why a target should stay drained; empty when it should not."""
+        """Return why a target must not be recovered; empty if it may be."""
         if target not in self.replicated_state.drains:
             return f"{target} is not drained"
         zone = target.removeprefix(ZONE_PREFIX) if target.startswith(ZONE_PREFIX) else ""
--- a/packages/control_plane/ryelock/control_plane/errors.py
+++ b/packages/control_plane/ryelock/control_plane/errors.py
@@ -6,19 +6,19 @@
 
 
 class MalformedRenewalError(ControlPlaneError):
-    """A renewal request lacks a field, or has a value of another type or out of bounds."""
+    """A field of a renewal request is missing, of another type or out of bounds."""
 
     def __init__(self, cause: Exception) -> None:
-        """Create the error; `cause` names the first field at fault."""
+        """Create the error from the exception for the first malformed field."""
         super().__init__(f"malformed: {cause!r}")
 
 
 class InvalidRequestError(ControlPlaneError):
-    """A field of an operator's request has a value that cannot be taken.
+    """A field of an operator's request is missing or malformed.
 
     Attributes:
-        path: the field at fault.
-        fault: what is wrong with it.
+        path: name of the field.
+        fault: description of the error.
     """
 
     def __init__(self, path: str, fault: str) -> None:
@@ -32,13 +32,13 @@
     """No majority confirmed in time that this node still leads."""
 
     def __init__(self) -> None:
-        """Create the error; its text is shown to operators."""
+        """Create the error; its text is sent to operators."""
         super().__init__("no majority confirmed this leader")
 
 
 class MalformedServerListUpdateError(ControlPlaneError, ValueError):
-    """A peer's reading of the server list has an age that is no number of seconds."""
+    """An age in a peer's server list update is not a number of seconds."""
 
     def __init__(self, value: object) -> None:
-        """Create the error with the value at fault."""
-        super().__init__(f"not a number of seconds: {value!r}")
+        """Create the error for a malformed age."""
+        super().__init__(f"age of the server list: expected a number of seconds, got {value!r}")
--- a/packages/control_plane/ryelock/control_plane/health_decisions.py
+++ b/packages/control_plane/ryelock/control_plane/health_decisions.py
@@ -1,4 +1,4 @@
-"""Health decisions of the aggregator: how they reach the leader, and when they are committed."""
+"""Submission of the aggregator's health decisions to the leader, and their commit there."""
 
 from ryelock.consensus import Consensus, Role
 from ryelock.control_api import LOCAL_LEADER, OutcomeStatus
@@ -12,12 +12,12 @@
 DECISION_REQUEST = "decision"
 """Kind of the message that submits a decision to the leader."""
 MAX_DECISION_AGE_SECONDS = 2.0
-"""A decision counts for so long after the leader's heartbeat that it was made under."""
-LEADER_TIMEOUT_SECONDS = 3.0
+"""Maximum time between the leader's heartbeat before an evaluation and the commit."""
+SUBMIT_TIMEOUT_SECONDS = 3.0
 
 
 def zone_statuses(replicated_state: ReplicatedState) -> dict[str, str]:
-    """Return the health status of each zone by the last decision."""
+    """Return the health status of each zone in the last decision."""
     zones = replicated_state.verdict.get("zones")
     if not isinstance(zones, dict):
         return {}
@@ -25,7 +25,7 @@
 
 
 class HealthDecisions:
-    """Submits decisions of an aggregator here, and commits them where this node leads."""
+    """Submits this node's decisions to the leader; commits decisions if this node leads."""
 
     __slots__ = ("clients", "consensus", "log", "replicated_state", "scheduler")
 
@@ -37,7 +37,7 @@
         consensus: Consensus,
         replicated_state: ReplicatedState,
     ) -> None:
-        """Create the decisions of one node."""
+        """Create the submitter of one node."""
         self.scheduler = scheduler
         self.log = log
         self.clients = clients
@@ -45,14 +45,14 @@
         self.replicated_state = replicated_state
 
     async def submit(self, message: Message) -> bool:
-        """Have a decision committed, here or by the leader elsewhere; True when it was."""
+        """Submit a decision to the leader, which may be this node; return True if committed."""
         leader = leader_location(self.consensus)
         if not leader:
             return False
         if leader == LOCAL_LEADER:
             answer = await self.commit(message)
         else:
-            reply = await self.clients.call(leader, message, LEADER_TIMEOUT_SECONDS)
+            reply = await self.clients.call(leader, message, SUBMIT_TIMEOUT_SECONDS)
             if reply.is_error():
                 return False
             answer = reply.ok
@@ -61,7 +61,7 @@
         return answer.get("status") == OutcomeStatus.ACCEPTED
 
     async def commit(self, message: Message) -> Message:
-        """Commit a decision, if it is recent and its owner's fencing token still valid."""
+        """Commit a decision if it is recent; the replicated state rejects an old fencing token."""
         if self.consensus.role != Role.LEADER:
             return {"status": OutcomeStatus.ELSEWHERE}
         if not self.is_recent(message):
@@ -87,7 +87,7 @@
         return result
 
     def log_committed(self, message: Message) -> None:
-        """Write the event of a committed decision."""
+        """Log a committed decision."""
         verdict = message.get("verdict")
         self.log.write(
             VERDICT_COMMITTED,
@@ -97,10 +97,10 @@
         )
 
     def is_recent(self, message: Message) -> bool:
-        """Tell whether a decision was made shortly after a heartbeat of this leader.
+        """Return True if a decision was made shortly after a heartbeat of this leader.
 
-        One that was delayed on the way may rest on probes of long ago, though its fencing token is
-        still valid.
+        A decision that was delayed in transit may rest on old probe results although its fencing
+        token is still valid.
         """
         if message.get("holder") == self.consensus.name:
             return True
--- a/packages/control_plane/ryelock/control_plane/idempotency_keys.py
+++ b/packages/control_plane/ryelock/control_plane/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: which edge may send the one attempt of an at-most-once request."""
+"""Claims of idempotency keys, which allow one edge to send an at-most-once request."""
 
 from ryelock.consensus import Consensus
 from ryelock.control_api import LOCAL_LEADER, OutcomeStatus
@@ -10,17 +10,17 @@
 
 
 class IdempotencyKeys:
-    """Commits claims and releases of keys at the leader, and relays them to it."""
+    """Commits claims and releases of keys on the leader, or relays them to it."""
 
     __slots__ = ("clients", "consensus")
 
     def __init__(self, clients: RpcClients, consensus: Consensus) -> None:
-        """Create the claims of one node."""
+        """Create the handler of one node."""
         self.clients = clients
         self.consensus = consensus
 
     async def handle(self, message: Message) -> Message:
-        """Commit an edge's claim here, or relay it once to the node that leads."""
+        """Commit an edge's claim or release, or relay it once to the leader."""
         leader = leader_location(self.consensus)
         if leader == LOCAL_LEADER:
             return await self.commit(message)
@@ -30,7 +30,7 @@
         return answer.ok if answer.is_ok() else {"status": OutcomeStatus.UNKNOWN}
 
     async def commit(self, message: Message) -> Message:
-        """Commit a claim or a release on a majority of disks and return what became of it."""
+        """Commit a claim or a release and return its outcome."""
         try:
             data = encode_command(str(message["kind"]), key=message["key"], order=message["order"])
         except (KeyError, ValueError, TypeError):
--- a/packages/control_plane/ryelock/control_plane/identity.py
+++ b/packages/control_plane/ryelock/control_plane/identity.py
@@ -1,9 +1,9 @@
-"""The identity of a disk, by which it counts in the consensus group.
+"""Identity of a disk, which is its key in the consensus group.
 
-A folder that lost its journal, or whose journal is damaged, is another disk from then on: it may
-have acknowledged entries or cast votes that it no longer knows of, so it has no vote until it has
-joined anew. The identity is written last and removed first, so that it never stands without the
-complete journal.
+A data folder whose journal is missing or damaged gets a new identity: the disk may have
+acknowledged entries or cast votes that are lost with the journal, so it must not vote before it has
+joined the group again. The identity is written last and removed first, so that it never exists
+without the complete journal.
 """
 
 import json
@@ -29,43 +29,43 @@
 def open_disk(
     folder: Folder, log: Log, segment_bytes: int, random: Random
 ) -> Result[tuple[str, Journal], JournalError]:
-    """Open a disk; a damaged journal is set aside for a fresh one.
+    """Open a disk; a damaged journal is archived and replaced by an empty one.
 
     Args:
         folder: the node's data folder.
-        log: where damage is reported.
+        log: the event log.
         segment_bytes: size at which the journal begins a new segment.
-        random: source of a fresh identity.
+        random: source of a new identity.
 
     Returns:
-        The disk's identity and its journal, or the error of a folder that cannot be used now.
+        The disk's identity and its journal, or the error of an unusable folder.
     """
     try:
-        # A killed process may have renamed files whose directory entries are not synced yet.
+        # A killed process may have renamed files without syncing the directory entries.
         folder.sync_names()
         disk = read_identity(folder)
         if disk and not has_journal(folder):
             log.write(JOURNAL_DAMAGED, fault="the journal is gone", disk=disk)
         elif disk:
-            found = open_journal(folder, log, segment_bytes)
-            if found.is_ok():
-                return Ok((disk, found.ok))
-            if not found.error.damaged:
-                return Error(found.error)
-            log.write(JOURNAL_DAMAGED, fault=found.error.reason, disk=disk)
-        set_damaged_aside(folder)
+            opened = open_journal(folder, log, segment_bytes)
+            if opened.is_ok():
+                return Ok((disk, opened.ok))
+            if not opened.error.damaged:
+                return Error(opened.error)
+            log.write(JOURNAL_DAMAGED, fault=opened.error.reason, disk=disk)
+        archive_damaged_journal(folder)
         disk = f"{random.getrandbits(64):016x}"
-        found = open_journal(folder, log, segment_bytes)
-        if found.is_error():
-            return Error(found.error)
+        opened = open_journal(folder, log, segment_bytes)
+        if opened.is_error():
+            return Error(opened.error)
         folder.write_whole(IDENTITY_FILE, json.dumps({"disk": disk}).encode())
-        return Ok((disk, found.ok))
+        return Ok((disk, opened.ok))
     except FolderError as error:
         return Error(JournalUnavailableError(str(error)))
 
 
 def read_identity(folder: Folder) -> str:
-    """Return the identity in a folder; empty where there is none."""
+    """Return the identity in a folder; empty if there is none."""
     if IDENTITY_FILE not in folder.names():
         return ""
     try:
@@ -76,15 +76,15 @@
 
 
 def has_journal(folder: Folder) -> bool:
-    """Tell whether a folder has any file of a journal."""
+    """Return True if a folder has a journal file."""
     return any(name.startswith(JOURNAL_FILES) for name in folder.names())
 
 
-def set_damaged_aside(folder: Folder) -> None:
-    """Keep the files of a damaged journal for inspection, of one generation.
+def archive_damaged_journal(folder: Folder) -> None:
+    """Keep the files of the last damaged journal for inspection.
 
-    The identity goes first, and synced: part of a journal must never stand under an identity that
-    still has a vote.
+    The identity is removed first, with a sync: an incomplete journal must never exist under an
+    identity that may vote.
     """
     if IDENTITY_FILE in folder.names():
         folder.write_whole(IDENTITY_FILE, b"")
--- a/packages/control_plane/ryelock/control_plane/leader_location.py
+++ b/packages/control_plane/ryelock/control_plane/leader_location.py
@@ -1,11 +1,11 @@
-"""Where the leader is, as this node knows it."""
+"""Location of the current leader."""
 
 from ryelock.consensus import Consensus, Role
 from ryelock.control_api import LOCAL_LEADER
 
 
 def leader_location(consensus: Consensus) -> str:
-    """Return the leader's address, LOCAL_LEADER where this node leads, "" where none is known."""
+    """Return the leader's address, LOCAL_LEADER if this node leads, or "" if unknown."""
     if consensus.role == Role.LEADER:
         return LOCAL_LEADER
     return consensus.leader_address if consensus.knows_leader() else ""
--- a/packages/control_plane/ryelock/control_plane/metrics.py
+++ b/packages/control_plane/ryelock/control_plane/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a control node: whether it leads, and how it divides the rates."""
+"""Metrics of a control node: consensus, membership and quota."""
 
 from ryelock.consensus import Consensus, Role
 from ryelock.control_plane.lease_renewal import LeaseRenewals
@@ -7,14 +7,14 @@
 
 
 class ControlMetrics:
-    """Gauges of a control node; those of the rates are the leader's view."""
+    """Gauges of a control node; those of rates and demand are maintained by the leader."""
 
     __slots__ = ("all", "consensus", "renewals", "replicated_state")
 
     def __init__(
         self, consensus: Consensus, replicated_state: ReplicatedState, renewals: LeaseRenewals
     ) -> None:
-        """Create the figures of a node; they are read when somebody asks."""
+        """Register the gauges, which are read on demand."""
         self.consensus = consensus
         self.replicated_state = replicated_state
         self.renewals = renewals
@@ -30,7 +30,7 @@
         self.all.gauge("demand", "Sum of the edges' demands.", self.demands, "service")
 
     def leads(self) -> dict[Labels, float]:
-        """Return 1 where this node leads, else 0."""
+        """Return 1 if this node leads, else 0."""
         return {(): float(self.consensus.role == Role.LEADER)}
 
     def rates(self) -> dict[Labels, float]:
@@ -39,14 +39,14 @@
         return {(name,): service.rate for name, service in services.items() if service.limited}
 
     def given(self) -> dict[Labels, float]:
-        """Return what is given of each service's rate, in requests per second."""
+        """Return the sum of unexpired shares of each service, in requests per second."""
         now = self.renewals.scheduler.now()
         return {
-            (name,): sum(given.largest(now) for given in shares.values())
+            (name,): sum(edge_shares.largest(now) for edge_shares in shares.values())
             for name, shares in self.renewals.quota.allocator.outstanding.items()
         }
 
     def demands(self) -> dict[Labels, float]:
-        """Return what all edges together ask of each service, in requests per second."""
+        """Return the demand of all edges for each service, in requests per second."""
         demands = self.renewals.quota.allocator.demands
         return {(name,): sum(amounts.values()) for name, amounts in demands.items()}
--- a/packages/control_plane/ryelock/control_plane/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -1,9 +1,9 @@
-"""The platform's list of servers as this node knows it: by its own reading or a peer's.
+"""Polling of the platform's server list, and exchange of its readings between control nodes.
 
-Each control node polls the list. A follower sends the leader what it read, so that any one node's
-reading is enough; it sends the servers only where the leader has others. Every reading keeps the
-interval in which the platform answered. One replaces another only when it was certainly read later,
-so a delayed reading cannot bring a server back.
+A control node polls the list and takes the readings of its peers, so that the reading of any one
+node reaches the leader; the servers are sent only if the receiver has others. Every reading has the
+time interval in which the platform answered. It replaces the current one only if it was certainly
+made later, so a delayed reading cannot restore a removed server.
 """
 
 from collections.abc import Callable
@@ -25,21 +25,23 @@
 from ryelock.settings import Settings
 
 STALE_SECONDS = 2.5
-"""A node reads the list itself where the one it knows is older than this."""
+"""Maximum age of the newest reading; beyond it every node polls the list."""
 READ_TIMEOUT_SECONDS = 1.0
-MAX_SECONDS = 1e9
+MAX_AGE_SECONDS = 1e9
 Listed = Result[list[Server], ServerListError]
-ReadList = Callable[[], TaskCoroutine[Listed]]
+ReadServerList = Callable[[], TaskCoroutine[Listed]]
 
 
 class PlatformReader:
-    """Polls the platform's list and keeps the newest reading of any control node.
+    """Polls the server list and keeps the newest reading of all control nodes.
 
     Attributes:
-        listing: the newest reading, None before the first.
-        digest: of the servers in it.
+        listing: the newest reading; None before the first.
+        digest: digest of its servers.
+        peer_digest: digest of the servers that a peer last reported; empty if it had none.
         on_change: called when the servers have changed.
-        read_listing: reads the list; a deployment may put its platform's own form here.
+        read_listing: reads the list; a deployment may set a reader for its platform's format.
+        unavailable: True while the platform does not answer.
     """
 
     __slots__ = (
@@ -66,15 +68,15 @@
         source: str,
         should_read: Callable[[], bool],
     ) -> None:
-        """Create a reader that knows no server yet.
+        """Create a reader without a reading.
 
         Args:
             settings: the node's settings.
             scheduler: clock and tasks.
-            network: where to connect.
-            log: where events are written.
-            source: name under which nodes keep the list's version, unique to this run.
-            should_read: tells whether this node polls also while it has a recent reading.
+            network: opens connections.
+            log: the event log.
+            source: key of the list's version among those that a node keeps; unique to this run.
+            should_read: returns True if this node polls even while its reading is recent.
         """
         self.settings = settings
         self.scheduler = scheduler
@@ -87,12 +89,13 @@
         self.peer_digest = b""
         self.unavailable = False
         self.on_change: Callable[[], None] = lambda: None
-        self.read_listing: ReadList = self.fetch_list
+        self.read_listing: ReadServerList = self.fetch_list
 
     async def run(self) -> None:
-        """Poll the list for the life of the process.
+        """Poll the list periodically.
 
-        Where one node reads it for all, another does too while it gets nothing from that node.
+        If `should_read` returns False, another node polls; this one does so while its newest
+        reading is stale.
         """
         while True:
             listing = self.listing
@@ -104,7 +107,7 @@
             await self.scheduler.sleep(self.settings.listing_seconds)
 
     async def fetch_list(self) -> Listed:
-        """Fetch the list in this project's own form, see docs/platform.md."""
+        """Fetch the list in the format of docs/platform.md."""
         response = await fetch(
             self.scheduler,
             self.network,
@@ -123,13 +126,13 @@
         return decode_server_list(body)
 
     async def read(self) -> None:
-        """Read the list once; a failure leaves what is known as it is."""
-        asked_at = self.scheduler.now()
+        """Read the list once; after a failure the last reading stays."""
+        requested_at = self.scheduler.now()
         listed = await self.read_listing()
         if listed.is_ok():
             self.unavailable = False
-            reading = ServerList(self.source, 0, listed.ok, asked_at, self.scheduler.now())
-            self.take(reading)
+            reading = ServerList(self.source, 0, listed.ok, requested_at, self.scheduler.now())
+            self.adopt_if_later(reading)
         elif listed.error.missed:
             self.log_unavailable(str(listed.error))
         else:
@@ -141,8 +144,8 @@
             self.unavailable = True
             self.log.write(SERVER_LIST_UNAVAILABLE, reason=reason)
 
-    def take(self, reading: ServerList) -> None:
-        """Follow a reading, this node's own or a peer's, if it is certainly the later one."""
+    def adopt_if_later(self, reading: ServerList) -> None:
+        """Replace the current reading by one that was certainly made later."""
         listing = self.listing
         if listing is not None and not reading.follows(listing):
             return
@@ -154,18 +157,18 @@
             self.on_change()
 
     def current_list(self, now: float) -> ServerList | None:
-        """Return the newest reading; None where it is too old to be relied on."""
+        """Return the newest reading; None if it has expired or there is none."""
         listing = self.listing
         if listing is None or now - listing.requested_at > self.settings.listing_term:
             return None
         return listing
 
-    # Between control nodes.
+    # Exchange between control nodes.
 
     def update_for_peer(self) -> Message | None:
-        """Return the reading for another control node, its servers only where the peer has others.
+        """Return the newest reading for a peer, with its servers only if the peer has others.
 
-        `age` and `fresh` are the seconds since the platform was asked and since it had answered.
+        `age` and `fresh` are the seconds since the request to the platform and since its answer.
         """
         now = self.scheduler.now()
         listing = self.current_list(now)
@@ -181,15 +184,15 @@
         return update
 
     def receive_from_peer(self, update: object, sent_at: float | None) -> None:
-        """Take a peer's reading.
+        """Adopt a peer's reading if it is later.
 
         Args:
-            update: what the peer sent; None where it has no recent reading.
-            sent_at: a monotonic time certainly before the peer sent it. Without one (None) the
-                reading's age has no bound, and only the digest is taken.
+            update: the peer's update; None if it has no recent reading.
+            sent_at: a monotonic time certainly before the peer sent the update, from which its
+                age counts. If None, the age has no bound, and only the digest is recorded.
 
         Raises:
-            MalformedServerListUpdateError: an age is no number of seconds.
+            MalformedServerListUpdateError: an age is not a number of seconds.
             ValueError: a server is malformed.
         """
         if not isinstance(update, dict):
@@ -201,18 +204,18 @@
             return
         age, fresh = parse_seconds(update.get("age")), parse_seconds(update.get("fresh"))
         if isinstance(servers, list):
-            known = servers_from_wire(servers)
+            peer_servers = servers_from_wire(servers)
         elif self.listing is not None and digest == self.digest:
-            known = self.listing.servers
+            peer_servers = self.listing.servers
         else:
             return
         answered_at = self.scheduler.now() - fresh
-        self.take(ServerList(self.source, 0, known, sent_at - age, answered_at))
+        self.adopt_if_later(ServerList(self.source, 0, peer_servers, sent_at - age, answered_at))
 
-    # To edges and probers.
+    # Updates for edges and probers.
 
     def update_for_node(self, versions: dict[str, int], now: float) -> Message | None:
-        """Return the reading's age for a node, with the servers where it has another version."""
+        """Return the newest reading for a node, with its servers only if its version differs."""
         listing = self.current_list(now)
         if listing is None:
             return None
@@ -231,6 +234,6 @@
     """Return a number of seconds; raises MalformedServerListUpdateError."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise MalformedServerListUpdateError(value)
-    if not 0 <= value < MAX_SECONDS:
+    if not 0 <= value < MAX_AGE_SECONDS:
         raise MalformedServerListUpdateError(value)
     return float(value)
--- a/packages/control_plane/ryelock/control_plane/readiness.py
+++ b/packages/control_plane/ryelock/control_plane/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a control node should get operators' requests, and its health report."""
+"""Readiness and health report of a control node."""
 
 from ryelock.consensus import Consensus, Role
 from ryelock.consensus.status import member_status
@@ -11,7 +11,7 @@
     """Readiness of a control node.
 
     Attributes:
-        stopping: whether the node shuts down.
+        stopping: True once the node shuts down.
     """
 
     __slots__ = ("consensus", "replicated_state", "settings", "stopping")
@@ -19,7 +19,7 @@
     def __init__(
         self, settings: Settings, consensus: Consensus, replicated_state: ReplicatedState
     ) -> None:
-        """Create the readiness of a node that does not shut down."""
+        """Create the readiness of a running node."""
         self.settings = settings
         self.consensus = consensus
         self.replicated_state = replicated_state
@@ -27,18 +27,18 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the node should get operators' requests."""
+        """True if the node should receive operators' requests."""
         return not self.not_ready_reason
 
     @property
     def not_ready_reason(self) -> str:
-        """Why the node should get no requests; empty when it should."""
+        """Reason why the node is not ready; empty if it is."""
         if self.stopping:
             return "stopping"
         return "" if self.consensus.knows_leader() else "no leader is known"
 
     def report(self) -> Message:
-        """Return the health report that the control API answers with."""
+        """Return the health report for the control API."""
         reason = self.not_ready_reason
         return {
             "name": self.settings.name,
--- a/packages/control_plane/ryelock/control_plane/rpc_handlers.py
+++ b/packages/control_plane/ryelock/control_plane/rpc_handlers.py
@@ -1,4 +1,4 @@
-"""The messages that a control node answers, by kind, and which of them it relays to the leader."""
+"""Dispatch of requests from other processes, and their relay to the leader."""
 
 from collections.abc import Callable
 
@@ -30,7 +30,7 @@
 
 
 class RpcHandlers:
-    """Hands each message of another process to the part of the node that answers it."""
+    """Dispatches each request of another process to its handler, by kind."""
 
     __slots__ = (
         "aggregator",
@@ -61,7 +61,7 @@
         voters: VoterManager,
         aggregator: Aggregator,
     ) -> None:
-        """Create the table of handlers."""
+        """Register the handlers."""
         self.scheduler = scheduler
         self.log = log
         self.clients = clients
@@ -84,7 +84,7 @@
         }
 
     def handle(self, message: Message, reply: Reply) -> None:
-        """Answer one message, now or in a task of its own."""
+        """Answer one request, at once or in a new task."""
         kind = message.get("kind")
         if kind == LeaseRequest.KIND:
             self.consensus.answer(message, self.with_server_list(message, reply))
@@ -98,7 +98,7 @@
         handler(message, reply)
 
     def in_task(self, name: str, responder: Responder) -> Handler:
-        """Return a handler that lets a responder answer in a task of its own."""
+        """Return a handler that runs a responder in a new task."""
 
         async def respond(message: Message, reply: Reply) -> None:
             reply(await responder(message))
@@ -109,9 +109,10 @@
         return handle
 
     def with_server_list(self, message: Message, reply: Reply) -> Reply:
-        """Return a reply that adds the server list to a vote for a lease.
+        """Return a reply function that adds the server list to the answer to a `LeaseRequest`.
 
-        An edge that goes on without a leader, on the votes of a quorum, needs the servers too.
+        An edge that serves without a leader, on a lease granted by a majority of voters, needs the
+        server list too.
         """
 
         def reply_with_server_list(answer: Message) -> None:
@@ -124,7 +125,7 @@
         return reply_with_server_list
 
     def on_renewal(self, message: Message, reply: Reply) -> None:
-        """Answer a renewal; where this node does not lead, relay it once."""
+        """Answer a renewal, or relay it once if this node does not lead."""
         if self.consensus.settled or message.get("passed") is True:
             coroutine = self.renewals.renew(message, reply)
         else:
@@ -132,9 +133,9 @@
         self.scheduler.create_task(coroutine, name="renewal")
 
     async def relay_renewal(self, message: Message, reply: Reply) -> None:
-        """Let an edge that cannot reach the leader renew through this node.
+        """Relay the renewal of an edge that cannot reach the leader.
 
-        Its lease counts from before its own request, so the way round only makes it shorter.
+        The edge counts its lease from before its request, so the delay only shortens the lease.
         """
         leader = leader_location(self.consensus)
         if not leader or leader == LOCAL_LEADER:
@@ -144,7 +145,7 @@
         reply(answer.ok if answer.is_ok() else NotLeaderResponse("").to_wire())
 
     async def answer_operator(self, message: Message) -> Message:
-        """Answer an operator's request; where asked to, relay it once to the leader."""
+        """Answer an operator's request; relay it once to the leader if it has `through`."""
         answer = await self.operator_requests.serve(message)
         if answer.get("status") != OutcomeStatus.ELSEWHERE or message.get("through") is not True:
             return answer
@@ -154,11 +155,11 @@
         return await self.control_api.call_leader(leader, {**message, "through": False})
 
     def on_release(self, message: Message, reply: Reply) -> None:
-        """Answer a control node that shuts down and asks whether its disk is still needed."""
+        """Answer the release request of a control node that shuts down."""
         reply(self.voters.on_release_request(message))
 
     def on_probe_results(self, message: Message, reply: Reply) -> None:
-        """Take a prober's results where this node owns the aggregator's role."""
+        """Record a prober's results if this node owns the aggregator role."""
         answer = self.aggregator.receive_results(message)
         if answer.get("ok") is not True:
             self.log.write(ROLE_FENCED, duty=AGGREGATOR_ROLE, epoch=message.get("epoch"))
--- a/packages/control_plane/ryelock/control_plane/soft_state_exchange.py
+++ b/packages/control_plane/ryelock/control_plane/soft_state_exchange.py
@@ -1,7 +1,7 @@
-"""The soft state that control nodes exchange with each heartbeat and its reply.
+"""Exchange of soft state between control nodes in heartbeats and their replies.
 
-Sessions and the platform's server list are not in the replicated log: each control node tells the
-others what it knows, and a new leader goes on from that.
+Sessions and the platform's server list are not in the replicated log. Control nodes exchange them,
+so that a new leader already has them.
 """
 
 from ryelock.control_plane.platform import PlatformReader
@@ -11,14 +11,14 @@
 
 
 class SoftStateExchange:
-    """Makes this node's payload of a heartbeat and takes those of the peers."""
+    """Builds this node's heartbeat payload and merges those of its peers."""
 
     __slots__ = ("last_peer_clock", "membership", "platform", "scheduler")
 
     def __init__(
         self, scheduler: Scheduler, membership: Membership, platform: PlatformReader
     ) -> None:
-        """Create an exchange that has received nothing."""
+        """Create an exchange without payloads of peers."""
         self.scheduler = scheduler
         self.membership = membership
         self.platform = platform
@@ -33,13 +33,13 @@
         }
 
     def receive(self, disk: str, payload: Message, sent_at: float | None) -> None:
-        """Take a peer's payload; a malformed one is dropped.
+        """Merge a peer's payload; a malformed one is dropped.
 
         Args:
             disk: the peer's disk.
-            payload: what the peer sent.
-            sent_at: when the request was sent that the payload came in reply to; None for a
-                heartbeat of the leader.
+            payload: the peer's payload.
+            sent_at: when this node sent the request that the payload is a reply to; None for a
+                payload in the leader's heartbeat.
         """
         try:
             self.last_peer_clock = [disk, payload.get("clock")]
@@ -49,9 +49,9 @@
             return
 
     def peer_clock(self) -> list[object]:
-        """Return disk and clock of the peer that was heard last; empty where none was.
+        """Return the disk and clock in the last payload of a peer; empty if there was none.
 
-        A follower hears only the leader. What it sends with this clock can be told from a message
-        that was delayed on the way.
+        A follower gets payloads only from the leader. The leader recognizes from this clock a
+        message that was delayed in transit.
         """
         return self.last_peer_clock
