--- a/packages/membership/ryelock/membership/__init__.py
+++ b/packages/membership/ryelock/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Who is there: sessions of nodes and lists of servers, kept in memory and never in the log.
+"""Sessions of nodes and lists of upstream servers; soft state, never in the replicated log.
 
-`session` is what one node reports of itself, `membership` all sessions that a control node knows;
-`servers` reads the platform's list of servers and holds one with its version and age.
+`session` has a node's report of itself, `membership` all sessions that a control node knows, and
+`servers` the platform's server list with its version and age.
 """
 
 from ryelock.membership.errors import (
--- a/packages/membership/ryelock/membership/errors.py
+++ b/packages/membership/ryelock/membership/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with sessions and lists of servers."""
+"""Errors of sessions and server lists."""
 
 
 class MembershipError(Exception):
@@ -6,22 +6,30 @@
 
 
 class MalformedSessionError(MembershipError, ValueError):
-    """Data from the wire is no session; `field` names what is wrong, empty for the whole."""
+    """Data from the wire is not a session.
+
+    Attributes:
+        field: name of the malformed field; empty if the data is no map.
+    """
 
     def __init__(self, field: str = "") -> None:
-        """Create the error for one field of a session."""
+        """Create the error for a field."""
         super().__init__(f"session: {field}" if field else "not a session")
         self.field = field
 
 
 class MalformedServerError(MembershipError, ValueError):
-    """An item of a list of servers is malformed; the text names the field."""
+    """An item of a server list is malformed; the text names the field."""
 
 
 class ServerListError(MembershipError):
-    """The platform's answer is no list of servers, or there was no answer at all (`missed`)."""
+    """The platform's answer is not a server list, or the platform did not answer.
+
+    Attributes:
+        missed: True if the platform did not answer.
+    """
 
     def __init__(self, reason: str, missed: bool = False) -> None:
-        """Create the error; `missed` says that the platform gave no answer."""
+        """Create the error with its reason."""
         super().__init__(reason)
         self.missed = missed
--- a/packages/membership/ryelock/membership/membership.py
+++ b/packages/membership/ryelock/membership/membership.py
@@ -1,9 +1,9 @@
-"""Membership: a node is a member while its session with a control node is renewed.
+"""Membership: a node is a member while it renews its session with a control node.
 
-A session is renewed with the leader; each control node sends the others its sessions with every
-heartbeat of the consensus group, as one source with one version. An edge that was lost without a
-graceful shutdown is remembered for a while, so that probers go on fetching from it and a zone that
-lost all its edges is found by real fetches rather than forgotten.
+A node renews its session with the leader; each control node sends its sessions to the others in
+heartbeats of the consensus group, as one source with one version. An edge lost without a graceful
+shutdown is remembered for a while: probers go on fetching from it, so that a zone that lost all its
+edges shows failed fetches instead of disappearing.
 """
 
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
     Attributes:
         session: its last session.
-        lost_at: monotonic time at which it was found to be lost, in seconds.
+        lost_at: monotonic time at which the loss was detected, in seconds.
     """
 
     session: Session
@@ -42,21 +42,21 @@
 
 
 class Membership:
-    """All sessions known to one control node; it is used by one task at a time.
+    """All sessions that a control node knows; not safe for concurrent use.
 
     Attributes:
         source: name under which this node reports its sessions to others.
-        version: grows with every change of this node's own sessions.
-        sessions: sessions with this node, by name.
+        version: increases with every change of this node's own sessions.
+        sessions: sessions that nodes renew with this node, by name.
         lost_edges: edges lost without a graceful shutdown, by name.
-        known_edges: edges that were members when last looked at, by name.
-        departed: when each run that shut down gracefully did so, by identity.
+        last_edges: edges that were members at the last check for lost ones, by name.
+        departed: monotonic time of each graceful shutdown, by session identity.
         peers: sessions that other control nodes reported, by source.
     """
 
     __slots__ = (
         "departed",
-        "known_edges",
+        "last_edges",
         "lost_edges",
         "peers",
         "retention_seconds",
@@ -79,7 +79,7 @@
         Args:
             scheduler: the clock.
             source: name under which this node reports its sessions to others.
-            timeout_seconds: a session ends when it was not renewed for so long.
+            timeout_seconds: time without renewal after which a session ends.
             retention_seconds: how long lost edges and graceful shutdowns are remembered.
         """
         self.scheduler = scheduler
@@ -89,25 +89,25 @@
         self.version = 0
         self.sessions: dict[str, Session] = {}
         self.lost_edges: dict[str, LostSession] = {}
-        self.known_edges: dict[str, Session] = {}
+        self.last_edges: dict[str, Session] = {}
         self.departed: dict[str, float] = {}
         self.peers: dict[str, PeerSessions] = {}
 
     def renew(self, session: Session) -> bool:
-        """Take a node's report of itself; True when the node became a member by it."""
+        """Store a node's session; return True if the node became a member with it."""
         session.renewed_at = self.scheduler.now()
         before = self.sessions.get(session.name)
         joined = before is None or before.incarnation != session.incarnation
         self.sessions[session.name] = session
         self.lost_edges.pop(session.name, None)
         if session.role == NodeRole.EDGE:
-            self.known_edges[session.name] = session
+            self.last_edges[session.name] = session
         if joined or (before is not None and before.to_wire() != session.to_wire()):
             self.version += 1
         return joined
 
     def leave(self, name: str, incarnation: str) -> bool:
-        """End a session by a graceful shutdown; False where that run is no member here."""
+        """End a session after a graceful shutdown; return False if that run has none here."""
         session = self.sessions.get(name)
         if session is None or session.incarnation != incarnation:
             return False
@@ -118,7 +118,7 @@
         return True
 
     def expire(self) -> list[Session]:
-        """End the sessions with this node that were not renewed, and return them."""
+        """End the sessions with this node that were not renewed in time, and return them."""
         now = self.scheduler.now()
         expired = [
             session
@@ -128,39 +128,39 @@
         for session in expired:
             del self.sessions[session.name]
             self.version += 1
-        self.find_lost_edges(now)
+        self.detect_lost_edges(now)
         for name, lost in list(self.lost_edges.items()):
             if now - lost.lost_at > self.retention_seconds:
                 del self.lost_edges[name]
                 self.version += 1
         return expired
 
-    def find_lost_edges(self, now: float) -> None:
-        """Remember edges that were members and are no more, without a graceful shutdown.
+    def detect_lost_edges(self, now: float) -> None:
+        """Record the edges that are members no more without a graceful shutdown.
 
-        Also edges that only another control node reported: the leader that had their sessions may
-        be lost together with them.
+        This includes edges that only another control node reported, since the leader that had
+        their sessions may be lost together with them.
         """
         present = {
             name: session
             for name, session in self.members().items()
             if session.role == NodeRole.EDGE
         }
-        for name, session in self.known_edges.items():
-            if name not in present and not self.is_accounted_for(session):
+        for name, session in self.last_edges.items():
+            if name not in present and not self.is_lost_or_departed(session):
                 self.lost_edges[name] = LostSession(session, now)
                 self.version += 1
-        self.known_edges = present
+        self.last_edges = present
         for identity, departed_at in list(self.departed.items()):
             if now - departed_at > self.retention_seconds:
                 del self.departed[identity]
 
-    def is_accounted_for(self, session: Session) -> bool:
-        """Tell whether an edge is already known as lost, or that run shut down gracefully."""
+    def is_lost_or_departed(self, session: Session) -> bool:
+        """Return True if an edge is recorded as lost, or this run of it shut down gracefully."""
         return session.name in self.lost_edges or session.identity in self.departed
 
     def to_wire(self) -> dict[str, object]:
-        """Return this node's own sessions as a map for the wire; see `merge`."""
+        """Return this node's own sessions in wire format; see `merge`."""
         return {
             "source": self.source,
             "version": self.version,
@@ -170,7 +170,7 @@
         }
 
     def merge(self, report: dict[str, object]) -> None:
-        """Take another control node's sessions; a report of an older version is ignored.
+        """Merge another control node's sessions; a report of an older version is ignored.
 
         Raises:
             MalformedSessionError: a session in the report is malformed.
@@ -192,13 +192,16 @@
         self.peers[source] = PeerSessions(version, now, by_name)
         for item in lost:
             session = Session.from_wire(item)
-            if session.name not in self.sessions and not self.is_accounted_for(session):
+            if session.name not in self.sessions and not self.is_lost_or_departed(session):
                 self.lost_edges[session.name] = LostSession(session, now)
         for session in present:
             self.lost_edges.pop(session.name, None)
 
     def merge_departed(self, identities: list[object], now: float) -> None:
-        """Take the graceful shutdowns that another control node knows of; they are not lost."""
+        """Merge the graceful shutdowns that another control node reported.
+
+        The edges that shut down are not lost.
+        """
         for identity in map(str, identities):
             self.departed.setdefault(identity, now)
             name = identity_name(identity)
@@ -207,7 +210,7 @@
                 del self.lost_edges[name]
 
     def members(self) -> dict[str, Session]:
-        """Return every member by name; this node's own sessions win over reported ones."""
+        """Return all members by name; this node's own sessions override reported ones."""
         now = self.scheduler.now()
         found: dict[str, Session] = {}
         for peer in sorted(self.peers.values(), key=lambda peer: peer.received_at):
@@ -217,6 +220,6 @@
         return found
 
     def lost(self) -> dict[str, Session]:
-        """Return the lost edges that are no members now, by name."""
+        """Return the lost edges that are not members now, by name."""
         members = self.members()
         return {name: lost.session for name, lost in self.lost_edges.items() if name not in members}
--- a/packages/membership/ryelock/membership/servers.py
+++ b/packages/membership/ryelock/membership/servers.py
@@ -1,8 +1,8 @@
-"""The platform's list of servers, as docs/platform.md has it, believed for a limited time.
+"""The platform's server list in the format of docs/platform.md, valid for a limited time.
 
-A list is believed for a while from before it was asked for. A server is identified by service,
-address and incarnation: when any of the three changes it is another server, and connections and
-counters of the old one are not used for it.
+The validity of a list counts from before the request for it. A server is identified by service,
+address and incarnation; if one of them changes it is another server, which gets new connections and
+counters.
 """
 
 import hashlib
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One incarnation of one upstream server.
+    """One incarnation of an upstream server.
 
     Attributes:
         service: name of the service it belongs to.
-        address: host:port where it takes requests.
-        zone: zone it stands in.
-        incarnation: tells this run from others at the same address.
-        leaving: whether it takes no new requests.
-        slots: requests it works on at once, 0 where unknown.
-        cold: whether it is still warming up (slow start).
+        address: host:port where it accepts requests.
+        zone: name of its zone.
+        incarnation: identifies this run of the server among others at the same address.
+        leaving: True if it accepts no new requests.
+        slots: maximum number of concurrent requests; 0 if unknown.
+        cold: True while it warms up (slow start).
     """
 
     service: str
@@ -43,11 +43,11 @@
 
     @property
     def identity(self) -> tuple[str, str, str]:
-        """Service, address and incarnation: what tells one run of a server from another."""
+        """Service, address and incarnation, which identify one run of a server."""
         return self.service, self.address, self.incarnation
 
     def to_wire(self) -> list[object]:
-        """Return the server as a list for the wire; see `servers_from_wire`."""
+        """Return the server in wire format; see `servers_from_wire`."""
         return [
             self.service,
             self.address,
@@ -61,18 +61,18 @@
 
 @dataclass(slots=True, eq=False)
 class ServerList:
-    """One source's servers at one version, when they were read, and until when they are believed.
+    """A reading of the server list by one control node.
 
-    Of two readings that overlap nobody can say which is the later one. All times are monotonic, in
+    The order of two readings whose time intervals overlap is unknown. All times are monotonic, in
     seconds.
 
     Attributes:
-        source: the control node that read it.
+        source: identity of the control node that made the reading.
         version: version of that node's list.
         servers: the servers.
-        requested_at: the platform was not asked before this time.
-        answered_at: the platform had answered at the latest at this time.
-        valid_until: when an edge stops believing it; control nodes leave it 0.
+        requested_at: lower bound of the time of the request to the platform.
+        answered_at: upper bound of the time of the platform's answer.
+        valid_until: time until which an edge uses the list; 0 on control nodes.
     """
 
     source: str
@@ -83,30 +83,30 @@
     valid_until: float = 0.0
 
     def follows(self, other: "ServerList") -> bool:
-        """Whether this was certainly read after the other."""
+        """Return True if this reading was certainly made after the other."""
         return self.requested_at >= other.answered_at
 
     def confirm(self, requested_at: float, answered_at: float, validity_seconds: float) -> None:
-        """Take another reading that gave the same list; an older one changes nothing."""
+        """Extend the validity by another reading of the same list; an older one changes nothing."""
         self.requested_at = max(self.requested_at, requested_at)
         self.answered_at = max(self.answered_at, answered_at)
         self.valid_until = max(self.valid_until, requested_at + validity_seconds)
 
     def digest(self) -> bytes:
-        """Return DIGEST_BYTES that tell whether two lists name the same servers."""
+        """Return a digest of DIGEST_BYTES for the comparison of lists."""
         data = cbor2.dumps([server.to_wire() for server in self.servers])
         return hashlib.sha256(data).digest()[:DIGEST_BYTES]
 
 
 def decode_server_list(body: bytes) -> Result[list[Server], ServerListError]:
-    """Return the servers in an answer of the platform; the whole is rejected for any fault."""
+    """Return the servers in an answer of the platform; one malformed item rejects all."""
     try:
         data = json.loads(body)
     except ValueError:
-        return Error(ServerListError("not JSON"))
+        return Error(ServerListError("answer is not JSON"))
     items = data.get("servers") if isinstance(data, dict) else None
     if not isinstance(items, list) or len(items) > MAX_SERVERS:
-        return Error(ServerListError("no list of servers"))
+        return Error(ServerListError(f"servers: not a list of at most {MAX_SERVERS} items"))
     servers: list[Server] = []
     addresses: set[str] = set()
     for position, item in enumerate(items):
@@ -133,11 +133,13 @@
     incarnation = item.get("incarnation")
     leaving = item.get("leaving", False)
     if not all(isinstance(value, str) and value for value in texts):
-        raise MalformedServerError("service, address or zone")
+        raise MalformedServerError("service, address or zone is not a non-empty string")
     if not isinstance(incarnation, str | int) or isinstance(incarnation, bool):
-        raise MalformedServerError("incarnation")
+        raise MalformedServerError(
+            f"incarnation is {type(incarnation).__name__}, expected a string or an integer"
+        )
     if not isinstance(leaving, bool):
-        raise MalformedServerError("leaving")
+        raise MalformedServerError(f"leaving is {type(leaving).__name__}, expected a boolean")
     service, address, zone = (str(value) for value in texts)
     try:
         parse_address(address)
@@ -147,18 +149,18 @@
 
 
 def servers_from_wire(data: object) -> list[Server]:
-    """Return servers from the lists that `Server.to_wire` gives.
+    """Return the servers in a list in wire format; see `Server.to_wire`.
 
     Raises:
-        MalformedServerError: it is no list, or an item is malformed.
+        MalformedServerError: the data is not a list, or an item is malformed.
     """
     if not isinstance(data, list):
-        raise MalformedServerError("not a list")
+        raise MalformedServerError("servers: not a list")
     return [server_from_wire(item) for item in data]
 
 
 def server_from_wire(data: object) -> Server:
-    """Return a server from the list that `Server.to_wire` gives; raises MalformedServerError."""
+    """Return a server in wire format; raises MalformedServerError."""
     match data:
         case [
             str(service),
@@ -171,4 +173,4 @@
         ]:
             return Server(service, address, zone, incarnation, leaving, slots, cold)
         case _:
-            raise MalformedServerError("not a server")
+            raise MalformedServerError("server: expected a list of seven fields")
--- a/packages/membership/ryelock/membership/session.py
+++ b/packages/membership/ryelock/membership/session.py
@@ -1,11 +1,11 @@
-"""A session: what one node reports of itself with each heartbeat."""
+"""Session of a node: its report of itself with each heartbeat."""
 
 from dataclasses import dataclass
 
 from ryelock.membership.errors import MalformedSessionError
 from ryelock.settings import NodeRole
 
-MAX_TEXT_LENGTH = 200
+MAX_TEXT_CHARACTERS = 200
 TEXT_FIELDS = {
     "name": "name",
     "role": "role",
@@ -18,33 +18,31 @@
     "disk": "disk",
     "probe_secret": "mark",
 }
-"""Fields of a session that are texts, with their names on the wire, in the order of the wire."""
+"""String fields of a session with their names on the wire, in wire order."""
 COUNTER_FIELDS = ("served", "applied")
-
-
 ROLES = tuple(role.value for role in NodeRole)
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """What one node reports of itself, and when it was last renewed.
+    """A node's report of itself, and the time of its last renewal.
 
     Attributes:
         name: name of the node.
         role: one of ROLES; empty until the node has set it.
-        zone: zone it stands in.
-        machine: machine it runs on.
-        rpc_address: address where other processes reach it.
+        zone: name of its zone.
+        machine: name of its machine.
+        rpc_address: address for messages of other processes.
         control_address: address of its control API.
-        request_address: address where an edge takes requests, empty for others.
-        incarnation: tells this run of the node from others.
-        disk: identity of a control node's disk, empty for others.
-        probe_secret: secret by which edges know the node's probes.
-        probes: whether it probes.
-        ready: whether it takes traffic.
-        served: callers' requests served since its start.
+        request_address: address for callers' requests to an edge; empty for other nodes.
+        incarnation: identifies this run of the node.
+        disk: identity of a control node's disk; empty for other nodes.
+        probe_secret: secret by which edges recognize the node's probes.
+        probes: True if it sends probes.
+        ready: True if it accepts traffic.
+        served: number of callers' requests served since its start.
         applied: log index that it has applied.
-        renewed_at: monotonic time of its last renewal here, in seconds; not on the wire.
+        renewed_at: monotonic time of its last renewal at this node, in seconds; not on the wire.
         sequence: number of its last renewal; not on the wire.
     """
 
@@ -67,11 +65,11 @@
 
     @property
     def identity(self) -> str:
-        """Name of one run of one node: a node that starts again has another."""
+        """Identity of one run of the node; a restart changes it."""
         return f"{self.name}/{self.incarnation}"
 
     def to_wire(self) -> dict[str, object]:
-        """Return the session as a map for the wire; see `from_wire`."""
+        """Return the session in wire format; see `from_wire`."""
         return {
             **{key: getattr(self, name) for name, key in TEXT_FIELDS.items()},
             "probes": self.probes,
@@ -82,10 +80,11 @@
 
     @classmethod
     def from_wire(cls, data: object) -> "Session":
-        """Return a session from the map that `to_wire` gives; a missing field has its default.
+        """Return a session from its wire format; a missing field gets its default.
 
         Raises:
-            MalformedSessionError: it is no map, a field is malformed, or it has no name or role.
+            MalformedSessionError: the data is not a map, a field is malformed, or the name or the
+                role is missing.
         """
         if not isinstance(data, dict):
             raise MalformedSessionError
@@ -100,20 +99,20 @@
 
 
 def identity_name(identity: str) -> str:
-    """Return the name of the node in a session's identity."""
+    """Return the node's name in a session identity."""
     return identity.rpartition("/")[0]
 
 
 def text_field(data: dict[object, object], key: str) -> str:
-    """Return a text of at most MAX_TEXT_LENGTH; raises MalformedSessionError."""
+    """Return a string of at most MAX_TEXT_CHARACTERS; raises MalformedSessionError."""
     value = data.get(key, "")
-    if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
+    if not isinstance(value, str) or len(value) > MAX_TEXT_CHARACTERS:
         raise MalformedSessionError(key)
     return value
 
 
 def counter_field(data: dict[object, object], key: str) -> int:
-    """Return an integer from 0 on; raises MalformedSessionError."""
+    """Return a non-negative integer; raises MalformedSessionError."""
     value = data.get(key, 0)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise MalformedSessionError(key)
--- a/packages/singleton/ryelock/singleton/__init__.py
+++ b/packages/singleton/ryelock/singleton/__init__.py
@@ -1,8 +1,8 @@
 """Singleton roles: work that one node does for the whole network, with a fencing token.
 
-An assignment is a command of the consensus group's log, so a majority always knows the owner. The
-fencing token grows with every hand-over; whoever takes commands of an owner rejects an older token.
-Who should own a role next is decided here, from what is passed in; nothing is kept.
+An assignment is a command in the replicated log, so a majority always knows the owner. The fencing
+token increases with every hand-over; receivers of an owner's commands reject older tokens. This
+module decides on the next assignment and keeps no state.
 """
 
 from collections.abc import Collection
@@ -10,18 +10,18 @@
 
 
 class MalformedRoleError(ValueError):
-    """Stored data is no singleton role."""
+    """Stored data is not a singleton role."""
 
 
 @dataclass(frozen=True, slots=True)
 class SingletonRole:
-    """Which node does one thing for the whole network.
+    """The assignment of a singleton role.
 
     Attributes:
         name: name of the role.
-        owner: the node that does it.
-        fencing_token: grows with every hand-over.
-        successor: the node that takes over next, empty where there is none.
+        owner: name of the node that has the role.
+        fencing_token: increases with every hand-over.
+        successor: name of the node that takes over next; empty if there is none.
     """
 
     name: str
@@ -30,7 +30,7 @@
     successor: str
 
     def to_wire(self) -> dict[str, object]:
-        """Return the form in which commands and snapshots have it; see `from_wire`."""
+        """Return the role in the format of commands and snapshots; see `from_wire`."""
         return {
             "name": self.name,
             "holder": self.owner,
@@ -43,7 +43,7 @@
         """Return a role from a snapshot.
 
         Raises:
-            MalformedRoleError: it has another form.
+            MalformedRoleError: a field is missing or has another type.
         """
         match data:
             case {
@@ -54,14 +54,17 @@
             }:
                 return cls(name, owner, fencing_token, successor)
             case _:
-                raise MalformedRoleError(f"not a role: {data!r}")
+                raise MalformedRoleError(f"singleton role: malformed data {data!r}")
 
     def fences(self, owner: str, fencing_token: int) -> bool:
-        """Whether a command from this node under this token must be rejected."""
+        """Return True if a command of this owner under this token must be rejected."""
         return owner != self.owner or fencing_token != self.fencing_token
 
     def can_become(self, owner: str, fencing_token: int) -> bool:
-        """Whether an assignment may follow this one: a newer token, or the same owner's own."""
+        """Return True if an assignment may replace this one.
+
+        It needs a newer fencing token, or the same token and the same owner.
+        """
         if fencing_token == self.fencing_token:
             return owner == self.owner
         return fencing_token > self.fencing_token
@@ -70,22 +73,22 @@
 def next_assignment(
     current: SingletonRole | None,
     name: str,
-    present: Collection[str],
+    members: Collection[str],
     leaving: Collection[str] = (),
 ) -> SingletonRole | None:
-    """Return the assignment that should be agreed next; None when the current one may stay.
+    """Return the next assignment to commit; None if the current one stays.
 
-    The owner keeps the role while it is present. Where it is gone or leaving, the successor it
-    named takes over; where that one is gone too, the first present node does. The successor
-    is kept while it is present.
+    The owner keeps the role while it is a member and not leaving. Otherwise the successor takes
+    over or, if that is gone too, the first member by name. A successor also stays while it is a
+    member and not leaving.
 
     Args:
-        current: the present assignment, None before the first.
+        current: the current assignment; None before the first.
         name: name of the role.
-        present: nodes that are members.
-        leaving: nodes of these that shut down gracefully.
+        members: names of the nodes that may own the role.
+        leaving: names of the members that shut down.
     """
-    candidates = sorted(set(present) - set(leaving))
+    candidates = sorted(set(members) - set(leaving))
     if not candidates:
         return None
     if current is not None and current.owner in candidates:
@@ -99,7 +102,7 @@
 
 
 def with_successor(current: SingletonRole, candidates: list[str]) -> SingletonRole | None:
-    """Return the assignment with another successor; None when the present one may stay."""
+    """Return the assignment with a new successor; None if the current one stays."""
     if current.successor in candidates and current.successor != current.owner:
         return None
     successor = first_other(candidates, current.owner)
@@ -109,5 +112,5 @@
 
 
 def first_other(candidates: list[str], owner: str) -> str:
-    """Return the first candidate that is not the owner; empty where there is none."""
+    """Return the first candidate that is not the owner; empty if there is none."""
     return next((node for node in candidates if node != owner), "")
