--- a/tests/control_plane/test_control_cases.py
+++ b/tests/control_plane/test_control_cases.py
@@ -1,4 +1,4 @@
-"""The control plane under isolation: each case holds, and fails without its mechanism."""
+"""Simulated cases of isolation and races; they fail once the guarding mechanism is removed."""
 
 from collections.abc import Callable, Iterator
 from contextlib import AbstractContextManager, ExitStack, contextmanager
@@ -24,12 +24,12 @@
 
 
 async def confirmed_at_once(_consensus: Consensus, _seconds: float) -> bool:
-    """A leader that trusts its own word instead of a majority's answer."""
+    """Confirm leadership without asking a majority."""
     return True
 
 
 def never_deposed() -> list[Patch]:
-    """A leader that believes in its majority for ever."""
+    """Let a leader never step down: its majority contact always counts as current."""
 
     def majority_contact_at(leadership: Leadership) -> float:
         return leadership.state.now()
@@ -37,20 +37,20 @@
     return [mock.patch.object(Leadership, "majority_contact_at", majority_contact_at)]
 
 
-def refusals_without_confirmation() -> list[Patch]:
-    plain = OperatorRequests.drain
+def rejections_without_confirmation() -> list[Patch]:
+    original = OperatorRequests.drain
 
-    async def drain(leading: OperatorRequests, on: bool, given: Any) -> Any:
+    async def drain(requests: OperatorRequests, drains: bool, payload: Any) -> Any:
         with mock.patch.object(Consensus, "confirm_leadership", confirmed_at_once):
-            return await plain(leading, on, given)
+            return await original(requests, drains, payload)
 
     return [mock.patch.object(OperatorRequests, "drain", drain)]
 
 
 class CaseTests(testtools.TestCase):
-    """Plays a case with some mechanisms taken out."""
+    """Runs a case with some mechanisms removed."""
 
-    def found(self, name: str, seed: int, patches: list[Patch]) -> list[str]:
+    def violations(self, name: str, seed: int, patches: list[Patch]) -> list[str]:
         with ExitStack() as stack:
             for patch in patches:
                 stack.enter_context(patch)
@@ -58,77 +58,79 @@
 
 
 class ControlCaseTests(CaseTests):
-    def breaks(self, name: str, patches: Callable[[], list[Patch]], rule: str) -> None:
+    def assert_violates(self, name: str, patches: Callable[[], list[Patch]], rule: str) -> None:
         found: list[str] = []
         for seed in SEEDS:
-            found += self.found(name, seed, patches())
+            found += self.violations(name, seed, patches())
         self.assertTrue([text for text in found if text.startswith(rule)], found[:5])
 
     def test_an_isolated_leader_answers_nothing_from_old_state(self) -> None:
         for seed in SEEDS:
-            self.assertEqual([], self.found("isolated-leader", seed, []))
+            self.assertEqual([], self.violations("isolated-leader", seed, []))
 
     def test_an_isolated_follower_answers_nothing_from_old_state(self) -> None:
         for seed in SEEDS:
-            self.assertEqual([], self.found("isolated-follower", seed, []))
+            self.assertEqual([], self.violations("isolated-follower", seed, []))
 
     def test_reads_without_confirmation_are_served_in_isolation(self) -> None:
         patches = [mock.patch.object(Consensus, "confirm_leadership", confirmed_at_once)]
-        self.breaks("isolated-leader", lambda: [*never_deposed(), *patches], "isolated answers")
+        self.assert_violates(
+            "isolated-leader", lambda: [*never_deposed(), *patches], "isolated answers"
+        )
 
-    def test_a_leader_that_is_never_deposed_hands_out_old_state(self) -> None:
-        self.breaks("isolated-leader", never_deposed, "isolated renewals")
+    def test_a_leader_that_never_steps_down_sends_old_state(self) -> None:
+        self.assert_violates("isolated-leader", never_deposed, "isolated renewals")
 
-    def test_refusals_without_confirmation_come_from_old_state(self) -> None:
-        self.breaks("isolated-leader", refusals_without_confirmation, "stale recoveries")
+    def test_rejections_without_confirmation_rest_on_old_state(self) -> None:
+        self.assert_violates("isolated-leader", rejections_without_confirmation, "stale recoveries")
 
 
 def no_version_check() -> list[Patch]:
-    """A change is taken whatever version it builds on."""
-    plain = ReplicatedState.apply_change
+    """Accept a change whatever its base version is."""
+    original = ReplicatedState.apply_change
 
-    def change(replicated_state: ReplicatedState, word: Any) -> Any:
-        asked = dict(word["change"])
-        asked["base"] = replicated_state.version
-        asked["version"] = replicated_state.version + 1
-        return plain(replicated_state, {**word, "change": asked})
+    def apply_change(replicated_state: ReplicatedState, command: Any) -> Any:
+        change = dict(command["change"])
+        change["base"] = replicated_state.version
+        change["version"] = replicated_state.version + 1
+        return original(replicated_state, {**command, "change": change})
 
-    return [mock.patch.object(ReplicatedState, "apply_change", change)]
+    return [mock.patch.object(ReplicatedState, "apply_change", apply_change)]
 
 
-def no_memory() -> list[Patch]:
-    """Nothing is known of a change that was taken before."""
+def no_outcomes() -> list[Patch]:
+    """Find no outcome of an earlier change."""
     return [mock.patch.object(Outcomes, "find", lambda *_: None)]
 
 
-def small_memory() -> list[Patch]:
+def few_outcomes() -> list[Patch]:
     return [mock.patch.object(outcomes, "MAX_OUTCOMES_PER_KIND", 20)]
 
 
-def nothing_stands() -> list[Patch]:
-    """The outcome of the standing change is forgotten like any other."""
-    return [*small_memory(), mock.patch.object(Outcomes, "pin", lambda *_: None)]
+def no_pinned_outcome() -> list[Patch]:
+    """Drop the outcome of the change in force like any other."""
+    return [*few_outcomes(), mock.patch.object(Outcomes, "pin", lambda *_: None)]
 
 
 class RaceTests(CaseTests):
     def test_one_of_racing_changes_is_acknowledged(self) -> None:
         for seed in range(20):
-            self.assertEqual([], self.found("racing-changes", seed, []))
+            self.assertEqual([], self.violations("racing-changes", seed, []))
 
-    def test_without_the_version_check_several_are(self) -> None:
-        found = self.found("racing-changes", 1, no_version_check())
+    def test_without_the_version_check_several_changes_are_acknowledged(self) -> None:
+        found = self.violations("racing-changes", 1, no_version_check())
         self.assertTrue([text for text in found if text.startswith("one winner")], found[:5])
 
-    def test_without_memory_a_repeated_change_is_refused(self) -> None:
-        found = self.found("racing-changes", 1, no_memory())
+    def test_without_kept_outcomes_a_resent_change_is_rejected(self) -> None:
+        found = self.violations("racing-changes", 1, no_outcomes())
         self.assertTrue([text for text in found if text.startswith("sent again")], found[:5])
 
-    def test_a_change_is_acknowledged_again_as_long_as_it_stands(self) -> None:
+    def test_a_resent_change_is_acknowledged_while_it_is_in_force(self) -> None:
         for seed in range(4):
-            self.assertEqual([], self.found("lost-acknowledgement", seed, small_memory()))
+            self.assertEqual([], self.violations("lost-acknowledgement", seed, few_outcomes()))
 
-    def test_a_standing_change_that_is_forgotten_is_refused(self) -> None:
-        found = self.found("lost-acknowledgement", 1, nothing_stands())
+    def test_without_pinning_a_resent_change_in_force_is_rejected(self) -> None:
+        found = self.violations("lost-acknowledgement", 1, no_pinned_outcome())
         self.assertTrue([text for text in found if text.startswith("sent again")], found[:5])
 
 
@@ -139,8 +141,8 @@
 
 
 class FailedSyncTests(testtools.TestCase):
-    def test_a_change_whose_sync_failed_may_be_in_force_and_is_told_unknown(self) -> None:
-        """The record of a failed sync is found after a restart and agreed on by the next leader."""
+    def test_the_outcome_of_a_change_whose_sync_failed_is_unknown(self) -> None:
+        """The record of the failed sync is found after a restart; the next leader commits it."""
         scenario = Scenario(1, edges=1, probers=0)
         scenario.set_up()
         leader = scenario.leader()
@@ -163,19 +165,19 @@
 
 @contextmanager
 def failing_after_sync(failing: SimFolder) -> Iterator[None]:
-    """A disk whose syncs fail, and which takes no other write or cut once one has failed."""
+    """Let the syncs of a disk fail, and every write after the first failed sync."""
     failed = False
-    plain = {name: getattr(SimFolder, name) for name in DISK_WRITES}
+    originals = {name: getattr(SimFolder, name) for name in DISK_WRITES}
 
     def write(name: str) -> Callable[..., None]:
-        def act(folder: SimFolder, *arguments: Any) -> None:
+        def fail_or_write(folder: SimFolder, *arguments: Any) -> None:
             nonlocal failed
             failed = failed or (folder is failing and name == "sync")
             if folder is failing and failed:
                 raise FolderError("input/output error")
-            plain[name](folder, *arguments)
+            originals[name](folder, *arguments)
 
-        return act
+        return fail_or_write
 
     with ExitStack() as stack:
         for name in DISK_WRITES:
--- a/tests/control_plane/test_drain_policy.py
+++ b/tests/control_plane/test_drain_policy.py
@@ -1,4 +1,4 @@
-"""What the network needs is not drained."""
+"""Objections of the drain policy to drains and recoveries."""
 
 from types import SimpleNamespace
 from typing import Any, cast
@@ -13,7 +13,7 @@
 def policy(
     edges: dict[str, str], zones: dict[str, dict[str, str]], drains: tuple[str, ...] = ()
 ) -> DrainPolicy:
-    """Return the policy of a network of edges by zone, health decisions and drained targets."""
+    """Return the policy of a network with these edges, zone statuses and drained targets."""
     state = SimpleNamespace(verdict={"zones": zones}, drains=dict.fromkeys(drains))
     members = {name: SimpleNamespace(role="edge", zone=zone) for name, zone in edges.items()}
     return DrainPolicy(cast(Any, state), cast(Any, SimpleNamespace(members=lambda: members)))
@@ -35,14 +35,14 @@
         drained = policy(edges, zones, ("zone:z1",))
         self.assertIn("zone z0 is needed", drained.objection("zone:z0", True))
 
-    def test_what_is_not_there_cannot_be_drained(self) -> None:
+    def test_an_unknown_target_cannot_be_drained(self) -> None:
         network = policy({"a": "z0"}, {})
         self.assertEqual("there is no edge b", network.objection("b", True))
         self.assertEqual("there is no zone z1", network.objection("zone:z1", True))
 
 
 class RecoveryTests(testtools.TestCase):
-    def test_only_what_is_drained_can_recover(self) -> None:
+    def test_only_a_drained_target_can_recover(self) -> None:
         network = policy({"a": "z0"}, {}, ("a",))
         self.assertEqual("", network.objection("a", False))
         self.assertEqual("b is not drained", network.objection("b", False))
--- a/tests/control_plane/test_edge_leases.py
+++ b/tests/control_plane/test_edge_leases.py
@@ -1,4 +1,4 @@
-"""Which edges may still serve without a log entry."""
+"""Edges that may still serve without a log entry."""
 
 import testtools
 
@@ -13,7 +13,7 @@
         super().setUp()
         self.table = LeaseTable()
 
-    def test_an_edge_with_a_lease_of_before_an_entry_is_lagging(self) -> None:
+    def test_an_edge_with_a_lease_below_the_index_is_lagging(self) -> None:
         self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
         self.assertEqual([EDGE], self.table.lagging_edges(5, now=9.0))
         self.assertEqual([], self.table.lagging_edges(4, now=9.0))
@@ -27,14 +27,14 @@
         self.table.acknowledge(EDGE, 5)
         self.assertEqual([], self.table.lagging_edges(5, now=1.0))
 
-    def test_an_older_acknowledgement_that_arrives_late_takes_nothing_back(self) -> None:
+    def test_a_late_older_acknowledgement_is_ignored(self) -> None:
         self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
         self.table.acknowledge(EDGE, 5)
         self.table.acknowledge(EDGE, 3)
         self.assertEqual([], self.table.lagging_edges(5, now=1.0))
 
-    def test_a_renewed_lease_does_not_end_an_older_one_of_a_lower_index(self) -> None:
-        """The response with the newer lease may be lost: the edge goes on under the older one."""
+    def test_a_new_lease_does_not_end_one_of_a_lower_index(self) -> None:
+        """The response with the new lease may get lost; the edge then serves on the older one."""
         self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
         self.table.grant(EDGE, Lease(index=6, expires_at=12.0), now=2.0)
         self.assertEqual([EDGE], self.table.lagging_edges(5, now=9.0))
@@ -45,7 +45,7 @@
         self.table.acknowledge(RESTARTED_EDGE, 5)
         self.assertEqual([EDGE], self.table.lagging_edges(5, now=1.0))
 
-    def test_a_revoked_lease_holds_nothing_up(self) -> None:
+    def test_an_edge_with_a_revoked_lease_is_not_lagging(self) -> None:
         self.table.grant(EDGE, Lease(index=4, expires_at=10.0), now=0.0)
         self.table.revoke(EDGE)
         self.assertEqual([], self.table.lagging_edges(5, now=1.0))
--- a/tests/control_plane/test_finals.py
+++ b/tests/control_plane/test_finals.py
@@ -1,4 +1,4 @@
-"""Final losses: nothing is mended, and service is back for all who go by readiness."""
+"""Permanent losses: service returns without repair for clients that follow readiness."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,31 +16,31 @@
 
 
 class FinalTests(testtools.TestCase):
-    def broken(self, name: str, seed: int = 1) -> set[str]:
-        ended = run_final(seed, name)
-        return {line.partition(":")[0] for line in ended.findings.violations}
+    def violated_rules(self, name: str, seed: int = 1) -> set[str]:
+        result = run_final(seed, name)
+        return {line.partition(":")[0] for line in result.findings.violations}
 
-    def test_only_the_leaders_reading_is_not_enough(self) -> None:
+    def test_without_readings_of_peers_service_does_not_return(self) -> None:
         with mock.patch.object(PlatformReader, "receive_from_peer", lambda *_arguments: None):
-            self.assertIn("final", self.broken("listing-out-of-leaders-reach"))
+            self.assertIn("final", self.violated_rules("listing-out-of-leaders-reach"))
 
-    def test_an_edge_that_lost_its_term_must_not_say_ready(self) -> None:
-        plain = RejectionResponder.reject
+    def test_an_edge_without_a_lease_that_reports_ready_is_found(self) -> None:
+        original = RejectionResponder.reject
 
-        async def decline(
+        async def reject_late(
             responder: RejectionResponder, exchange: Any, request: Any, failure: Any
         ) -> Any:
             if failure.reason == "no term: cut off":
                 await responder.context.scheduler.sleep(20.0)
-            await plain(responder, exchange, request, failure)
+            await original(responder, exchange, request, failure)
 
         with (
             mock.patch.object(NodeReadiness, "not_ready_reason", property(lambda _node: "")),
-            mock.patch.object(RejectionResponder, "reject", decline),
+            mock.patch.object(RejectionResponder, "reject", reject_late),
         ):
-            self.assertIn("final", self.broken("edge-cut-off"))
+            self.assertIn("final", self.violated_rules("edge-cut-off"))
 
-    def through_a_core_that_is_cut_from_the_leader(self) -> int:
+    def status_through_a_node_cut_off_from_the_leader(self) -> int:
         scenario = Scenario(3)
         scenario.set_up()
         scenario.world.run(2)
@@ -54,13 +54,13 @@
         self.assertEqual(status, changed.status)
         return status
 
-    def test_operators_find_a_way_round_a_cut(self) -> None:
-        self.assertEqual(200, self.through_a_core_that_is_cut_from_the_leader())
+    def test_operator_requests_are_routed_around_a_partition(self) -> None:
+        self.assertEqual(200, self.status_through_a_node_cut_off_from_the_leader())
         with mock.patch.object(ControlNode, "other_control_nodes", lambda _node: []):
-            self.assertEqual(503, self.through_a_core_that_is_cut_from_the_leader())
+            self.assertEqual(503, self.status_through_a_node_cut_off_from_the_leader())
 
-    def test_without_a_majority_of_disks_callers_are_told_at_once(self) -> None:
-        """What no agreement gets over: nothing is served, and nobody is left waiting."""
+    def test_without_a_majority_of_disks_callers_are_rejected_at_once(self) -> None:
+        """Nothing can be committed or served, but no caller is left waiting."""
         scenario = Scenario(4)
         scenario.set_up()
         scenario.world.run(2)
@@ -84,9 +84,9 @@
                 ),
                 10,
             )
-        told = [one for one in scenario.notes if one.sent_at >= since]
-        self.assertEqual({(503, "not-run")}, {(one.status, one.outcome) for one in told})
-        self.assertTrue(all(one.retry_after and one.seconds < 0.5 for one in told))
+        answers = [note for note in scenario.notes if note.sent_at >= since]
+        self.assertEqual({(503, "not-run")}, {(note.status, note.outcome) for note in answers})
+        self.assertTrue(all(note.retry_after and note.seconds < 0.5 for note in answers))
         status, _ = scenario.ask_now("POST", "/changes", {"id": "x", "base": 1, "put": {}})
         self.assertIn(status, (503, 504))
         scenario.start(scenario.cores[0])
@@ -97,22 +97,23 @@
         )
         self.assertEqual([], scenario.findings().violations)
 
-    def test_a_late_reading_brings_no_server_back(self) -> None:
-        def listing(since: float, seen: float, version: int = 0) -> ServerList:
-            return ServerList("a", version, [], since, seen, 9.0)
+    def test_a_delayed_reading_does_not_restore_a_server(self) -> None:
+        def reading(requested_at: float, answered_at: float) -> ServerList:
+            return ServerList("a", 0, [], requested_at, answered_at, 9.0)
 
-        self.assertTrue(listing(2.0, 2.1).follows(listing(1.0, 1.9)))
-        self.assertFalse(listing(1.8, 2.1).follows(listing(1.0, 1.9)))
+        self.assertTrue(reading(2.0, 2.1).follows(reading(1.0, 1.9)))
+        self.assertFalse(reading(1.8, 2.1).follows(reading(1.0, 1.9)))
 
 
-def holds(name: str, number: int) -> Callable[[FinalTests], None]:
+def make_test(name: str, number: int) -> Callable[[FinalTests], None]:
     def test(case: FinalTests) -> None:
-        ended = run_final(1 + number % 3, name, before=number % 2)
-        case.assertEqual([], ended.findings.violations, f"{name}: {ended.happened}")
-        case.assertGreater(ended.findings.checked["final"], 0)
+        result = run_final(1 + number % 3, name, before=number % 2)
+        case.assertEqual([], result.findings.violations, f"{name}: {result.happened}")
+        case.assertGreater(result.findings.checked["final"], 0)
 
     return test
 
 
-for place, final in enumerate(FINALS):
-    setattr(FinalTests, f"test_got_over_{final.replace('-', '_')}", holds(final, place))
+for number, final in enumerate(FINALS):
+    method_name = f"test_service_returns_after_{final.replace('-', '_')}"
+    setattr(FinalTests, method_name, make_test(final, number))
--- a/tests/control_plane/test_loss_cases.py
+++ b/tests/control_plane/test_loss_cases.py
@@ -1,4 +1,4 @@
-"""Second losses: every pair of them is borne, and not without the mechanisms that bear them."""
+"""Losses of two nodes in sequence are tolerated, but not without voter replacement."""
 
 from typing import Any
 from unittest import mock
@@ -15,14 +15,14 @@
 
 @pytest.mark.parametrize("disks", [3, 4, 5])
 @pytest.mark.parametrize("first", every_loss(), ids=lambda loss: f"{loss.kind}-{loss.role}")
-def test_any_two_losses_one_after_the_other_are_borne(first: Any, disks: int) -> None:
+def test_any_two_losses_in_sequence_are_tolerated(first: Any, disks: int) -> None:
     for seed, second in enumerate(every_loss()):
         found = play_losses(seed, disks, [[first], [second]])
         assert found.violations == [], second
 
 
 @pytest.mark.parametrize("first", every_loss(), ids=lambda loss: f"{loss.kind}-{loss.role}")
-def test_two_losses_at_once_of_eight_disks_are_borne_twice(first: Any) -> None:
+def test_eight_disks_tolerate_two_simultaneous_losses_twice(first: Any) -> None:
     losses = every_loss()
     for seed, second in enumerate(losses):
         third = losses[(seed * 5 + 3) % len(losses)]
@@ -31,25 +31,25 @@
 
 
 class LossTests(testtools.TestCase):
-    def test_losses_drawn_by_seed_are_borne(self) -> None:
+    def test_random_losses_are_tolerated(self) -> None:
         for seed in range(16):
             self.assertEqual([], second_loss(seed).violations)
 
-    def test_a_voter_that_leaves_has_given_its_place_to_a_spare(self) -> None:
+    def test_a_leaving_voter_is_replaced_by_a_standby(self) -> None:
         for seed in LEAVING_SEEDS:
             self.assertEqual([], leaving_member(seed).violations)
 
-    def test_a_voter_that_ends_at_once_leaves_no_majority(self) -> None:
+    def test_a_voter_that_ends_without_release_costs_the_majority(self) -> None:
         with mock.patch.object(VoterManager, "on_release_request", lambda *_: {"may_end": True}):
             found = [text for seed in LEAVING_SEEDS for text in leaving_member(seed).violations]
         self.assertTrue([text for text in found if text.startswith("majority kept")], found)
 
-    def test_without_spares_second_losses_are_not_borne(self) -> None:
+    def test_without_standbys_second_losses_are_not_tolerated(self) -> None:
         with mock.patch.object(VoterManager, "ready_standbys", lambda _: []):
             found = [text for seed in range(8) for text in second_loss(seed).violations]
         self.assertTrue([text for text in found if text.startswith("majority kept")], found)
 
-    def test_voters_that_are_replaced_late_leave_no_majority(self) -> None:
+    def test_late_replacement_of_voters_costs_the_majority(self) -> None:
         late = {**loss_cases.LOSS_SETTINGS, "replace_seconds": 30.0}
         with mock.patch.object(loss_cases, "LOSS_SETTINGS", late):
             found = [text for seed in range(16) for text in second_loss(seed).violations]
--- a/tests/control_plane/test_mass_losses.py
+++ b/tests/control_plane/test_mass_losses.py
@@ -1,7 +1,7 @@
-"""Many machines lost in one moment: nothing acknowledged is lost, and service returns.
+"""Many machines lost at once: nothing acknowledged is lost, and service returns.
 
-What the runs break without (no sync, votes for shorter logs, commits without a majority, no
-leases) stands with the other removed mechanisms in tests/project/test_rules.py.
+Runs without the guarding mechanisms (no sync, votes for shorter logs, commits without a majority,
+no leases) are in tests/project/test_rules.py.
 """
 
 import pytest
@@ -9,11 +9,11 @@
 from ryelock.testing.cases.mass_losses import closing_disk_loss, mass_failure
 
 SEEDS = range(3, 15)
-"""Seeds 1 and 2 are played with every case's in tests/project/test_rules.py."""
+"""Seeds 1 and 2 run in tests/project/test_rules.py."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_disks_lost_while_all_other_machines_lose_power_lose_nothing_acknowledged(
+def test_lost_disks_and_a_power_loss_lose_nothing_acknowledged(
     seed: int,
 ) -> None:
     found = closing_disk_loss(seed)
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_many_processes_that_go_at_once_lose_nothing_acknowledged(seed: int) -> None:
+def test_many_processes_lost_at_once_lose_nothing_acknowledged(seed: int) -> None:
     found = mass_failure(seed)
     assert found.violations == []
     assert found.checked["end of day"] > 0
--- a/tests/control_plane/test_membership_changes.py
+++ b/tests/control_plane/test_membership_changes.py
@@ -1,4 +1,4 @@
-"""The difference between two versions of the membership."""
+"""Incremental updates between versions of the membership."""
 
 from types import SimpleNamespace
 from typing import Any, cast
--- a/tests/control_plane/test_renewal_messages.py
+++ b/tests/control_plane/test_renewal_messages.py
@@ -1,4 +1,4 @@
-"""Renewal requests and responses, and their form on the wire."""
+"""Renewal requests and responses, and their wire format."""
 
 import testtools
 
@@ -12,7 +12,7 @@
 
 
 def renewal(**fields: object) -> Message:
-    """Return a well-formed renewal of an edge, with some fields of another value."""
+    """Return a valid renewal of an edge, with some fields replaced."""
     return {
         "kind": "renew",
         "session": {"name": "edge-0", "role": "edge", "incarnation": "a1"},
@@ -29,7 +29,7 @@
 
 
 class RenewalRequestTests(testtools.TestCase):
-    def test_a_request_has_its_fields_typed(self) -> None:
+    def test_a_request_is_parsed_into_typed_fields(self) -> None:
         request = RenewalRequest.from_wire(renewal())
         self.assertEqual(("edge-0", "a1"), request.node_run)
         self.assertEqual(7, request.applied_index)
@@ -41,7 +41,7 @@
     def test_a_node_without_configuration_has_applied_nothing(self) -> None:
         self.assertEqual(0, RenewalRequest.from_wire(renewal(vector={})).applied_index)
 
-    def test_a_request_may_leave_out_objects(self) -> None:
+    def test_objects_are_optional_in_a_request(self) -> None:
         message = renewal()
         del message["objects"]
         self.assertEqual({}, RenewalRequest.from_wire(message).served_objects)
@@ -76,7 +76,7 @@
     ) -> Message:
         return RenewalResponse(0.1, update, quota, None, {"callers": []}, members).to_wire()
 
-    def test_an_edge_gets_commands_quota_and_what_changed_in_this_order(self) -> None:
+    def test_the_fields_of_an_edges_response_keep_their_order(self) -> None:
         quota = EdgeQuota({"pages": 1.0}, {}, 0)
         message = self.response(CommandsUpdate([(8, b"x")], 8), quota, {"version": 2})
         quota_fields = ["shares", "grants", "edges"]
--- a/tests/membership/test_server_list_updates.py
+++ b/tests/membership/test_server_list_updates.py
@@ -1,4 +1,4 @@
-"""A change of the platform's list reaches edges at once, not with the end of a held renewal."""
+"""A change of the server list ends the hold of renewals, so that edges get it at once."""
 
 import testtools
 
@@ -8,9 +8,9 @@
 UPDATE_SECONDS = 0.3
 
 
-class ListingNewsTests(testtools.TestCase):
+class ServerListUpdateTests(testtools.TestCase):
     def update_seconds(self, seed: int) -> float:
-        """Seconds from the leader's knowing that a server leaves to the last edge's knowing it."""
+        """Return the seconds from the leader's update until the last edge has it."""
         scenario = Scenario(seed, probers=0, settings={"hold_seconds": HOLD_SECONDS})
         scenario.world.spikes = 0.0
         scenario.set_up()
@@ -31,7 +31,7 @@
                 scenario.node(edge).traffic.member.server_lists.current for edge in scenario.edges
             ]
             return all(
-                listing is not None and any(one.leaving for one in listing.servers)
+                listing is not None and any(server.leaving for server in listing.servers)
                 for listing in listings
             )
 
@@ -40,6 +40,6 @@
         self.assertTrue(scenario.world.run_until(edges_know, 3))
         return scenario.world.time - since
 
-    def test_a_leaving_server_is_known_at_every_edge_soon(self) -> None:
+    def test_a_leaving_server_reaches_every_edge_soon(self) -> None:
         seconds = [self.update_seconds(seed) for seed in range(6)]
         self.assertLess(max(seconds), UPDATE_SECONDS, seconds)
