--- a/packages/control_plane/ryelock/control_plane/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -28,31 +28,31 @@
 """Maximum age of the newest reading; beyond it every node polls the list."""
 READ_TIMEOUT_SECONDS = 1.0
 MAX_AGE_SECONDS = 1e9
-Listed = Result[list[Server], ServerListError]
-ReadServerList = Callable[[], TaskCoroutine[Listed]]
+ServerListResult = Result[list[Server], ServerListError]
+ReadServerList = Callable[[], TaskCoroutine[ServerListResult]]
 
 
 class PlatformReader:
     """Polls the server list and keeps the newest reading of all control nodes.
 
     Attributes:
-        listing: the newest reading; None before the first.
+        server_list: the newest reading; None before the first.
         digest: digest of its servers.
         peer_digest: digest of the servers that a peer last reported; empty if it had none.
         on_change: called when the servers have changed.
-        read_listing: reads the list; a deployment may set a reader for its platform's format.
+        read_server_list: reads the list; a deployment may set a reader for its platform's format.
         unavailable: True while the platform does not answer.
     """
 
     __slots__ = (
         "digest",
-        "listing",
         "log",
         "network",
         "on_change",
         "peer_digest",
-        "read_listing",
+        "read_server_list",
         "scheduler",
+        "server_list",
         "settings",
         "should_read",
         "source",
@@ -83,13 +83,13 @@
         self.network = network
         self.log = log
         self.source = source
-        self.listing: ServerList | None = None
+        self.server_list: ServerList | None = None
         self.digest = b""
         self.should_read = should_read
         self.peer_digest = b""
         self.unavailable = False
         self.on_change: Callable[[], None] = lambda: None
-        self.read_listing: ReadServerList = self.fetch_list
+        self.read_server_list: ReadServerList = self.fetch_list
 
     async def run(self) -> None:
         """Poll the list periodically.
@@ -98,15 +98,13 @@
         reading is stale.
         """
         while True:
-            listing = self.listing
-            is_stale = (
-                listing is None or self.scheduler.now() - listing.requested_at > STALE_SECONDS
-            )
+            newest = self.server_list
+            is_stale = newest is None or self.scheduler.now() - newest.requested_at > STALE_SECONDS
             if self.should_read() or is_stale:
                 await self.read()
             await self.scheduler.sleep(self.settings.listing_seconds)
 
-    async def fetch_list(self) -> Listed:
+    async def fetch_list(self) -> ServerListResult:
         """Fetch the list in the format of docs/platform.md."""
         response = await fetch(
             self.scheduler,
@@ -128,12 +126,12 @@
     async def read(self) -> None:
         """Read the list once; after a failure the last reading stays."""
         requested_at = self.scheduler.now()
-        listed = await self.read_listing()
+        listed = await self.read_server_list()
         if listed.is_ok():
             self.unavailable = False
             reading = ServerList(self.source, 0, listed.ok, requested_at, self.scheduler.now())
             self.adopt_if_later(reading)
-        elif listed.error.missed:
+        elif listed.error.no_answer:
             self.log_unavailable(str(listed.error))
         else:
             self.log.write(SERVER_LIST_REJECTED, fault=str(listed.error))
@@ -146,22 +144,22 @@
 
     def adopt_if_later(self, reading: ServerList) -> None:
         """Replace the current reading by one that was certainly made later."""
-        listing = self.listing
-        if listing is not None and not reading.follows(listing):
+        server_list = self.server_list
+        if server_list is not None and not reading.follows(server_list):
             return
         digest = reading.digest()
         has_changed = digest != self.digest
-        reading.version = (listing.version if listing is not None else 0) + has_changed
-        self.listing, self.digest = reading, digest
+        reading.version = (server_list.version if server_list is not None else 0) + has_changed
+        self.server_list, self.digest = reading, digest
         if has_changed:
             self.on_change()
 
     def current_list(self, now: float) -> ServerList | None:
         """Return the newest reading; None if it has expired or there is none."""
-        listing = self.listing
-        if listing is None or now - listing.requested_at > self.settings.listing_term:
+        server_list = self.server_list
+        if server_list is None or now - server_list.requested_at > self.settings.listing_term:
             return None
-        return listing
+        return server_list
 
     # Exchange between control nodes.
 
@@ -171,16 +169,16 @@
         `age` and `fresh` are the seconds since the request to the platform and since its answer.
         """
         now = self.scheduler.now()
-        listing = self.current_list(now)
-        if listing is None:
+        server_list = self.current_list(now)
+        if server_list is None:
             return None
         update: Message = {
             "digest": self.digest,
-            "age": now - listing.requested_at,
-            "fresh": now - listing.answered_at,
+            "age": now - server_list.requested_at,
+            "fresh": now - server_list.answered_at,
         }
         if self.peer_digest != self.digest:
-            update["servers"] = [server.to_wire() for server in listing.servers]
+            update["servers"] = [server.to_wire() for server in server_list.servers]
         return update
 
     def receive_from_peer(self, update: object, sent_at: float | None) -> None:
@@ -205,8 +203,8 @@
         age, fresh = parse_seconds(update.get("age")), parse_seconds(update.get("fresh"))
         if isinstance(servers, list):
             peer_servers = servers_from_wire(servers)
-        elif self.listing is not None and digest == self.digest:
-            peer_servers = self.listing.servers
+        elif self.server_list is not None and digest == self.digest:
+            peer_servers = self.server_list.servers
         else:
             return
         answered_at = self.scheduler.now() - fresh
@@ -216,17 +214,17 @@
 
     def update_for_node(self, versions: dict[str, int], now: float) -> Message | None:
         """Return the newest reading for a node, with its servers only if its version differs."""
-        listing = self.current_list(now)
-        if listing is None:
+        server_list = self.current_list(now)
+        if server_list is None:
             return None
         update: Message = {
             "source": self.source,
-            "version": listing.version,
-            "age": now - listing.requested_at,
-            "fresh": now - listing.answered_at,
+            "version": server_list.version,
+            "age": now - server_list.requested_at,
+            "fresh": now - server_list.answered_at,
         }
-        if versions.get(self.source) != listing.version:
-            update["servers"] = [server.to_wire() for server in listing.servers]
+        if versions.get(self.source) != server_list.version:
+            update["servers"] = [server.to_wire() for server in server_list.servers]
         return update
 
 
--- a/packages/membership/ryelock/membership/errors.py
+++ b/packages/membership/ryelock/membership/errors.py
@@ -26,10 +26,10 @@
     """The platform's answer is not a server list, or the platform did not answer.
 
     Attributes:
-        missed: True if the platform did not answer.
+        no_answer: True if the platform did not answer.
     """
 
-    def __init__(self, reason: str, missed: bool = False) -> None:
+    def __init__(self, reason: str, no_answer: bool = False) -> None:
         """Create the error with its reason."""
         super().__init__(reason)
-        self.missed = missed
+        self.no_answer = no_answer
--- a/tests/membership/test_server_list_updates.py
+++ b/tests/membership/test_server_list_updates.py
@@ -17,13 +17,13 @@
         scenario.world.run(3 + seed * 0.17)
         leader = scenario.node(scenario.leader()).core
         server = next(iter(scenario.servers.values()))
-        before = leader.platform.listing
+        before = leader.platform.server_list
         assert before is not None
         version = before.version
         scenario.platform.show(server.service, server.address, scenario.zones[0], 1, True)
 
         def leader_knows() -> bool:
-            listing = leader.platform.listing
+            listing = leader.platform.server_list
             return listing is not None and listing.version > version
 
         def edges_know() -> bool:
--- a/tests/platform/test_platform_listing.py
+++ b/tests/platform/test_platform_listing.py
@@ -6,7 +6,7 @@
 import testtools
 
 from deployment import Deployment
-from ryelock.control_plane.platform import Listed
+from ryelock.control_plane.platform import ServerListResult
 from ryelock.testing.hosting_platform.attempts import SAFE, UNSAFE
 from servers import ServerListReader
 
@@ -41,7 +41,7 @@
         self.deployment = Deployment(1, page_size=3)
         self.deployment.world.run(2)
 
-    def read(self, raw: bytes | None = None) -> Listed:
+    def read(self, raw: bytes | None = None) -> ServerListResult:
         deployment = self.deployment
         deployment.platform.raw_page = raw
         node = deployment.operator_node
@@ -84,14 +84,14 @@
         self.deployment.platform.rate = 2
         found = self.read()
         self.assertTrue(found.is_error())
-        self.assertTrue(found.error.missed)
+        self.assertTrue(found.error.no_answer)
 
     def test_a_page_that_fails_fails_the_whole(self) -> None:
         for number in range(4):
             self.deployment.platform.cut_pages = {number}
             found = self.read()
             self.assertTrue(found.is_error(), number)
-            self.assertTrue(found.error.missed)
+            self.assertTrue(found.error.no_answer)
         self.deployment.platform.cut_pages = {4}
         self.assertTrue(self.read().is_ok())
 
@@ -133,7 +133,7 @@
         for bad in broken:
             found = self.read(page({"i-1": good, "i-2": bad}))
             self.assertTrue(found.is_error(), repr(bad))
-            self.assertFalse(found.error.missed, repr(bad))
+            self.assertFalse(found.error.no_answer, repr(bad))
         for raw in (
             b"",
             b"{",
--- a/tests/rpc/test_bad_input.py
+++ b/tests/rpc/test_bad_input.py
@@ -170,7 +170,7 @@
         scenario.world.run(1)
         leader = scenario.leader()
         self.assertIn(SERVER_LIST_REJECTED.number, self.events(scenario, leader))
-        listing = scenario.node(leader).core.platform.listing
+        listing = scenario.node(leader).core.platform.server_list
         assert listing is not None
         self.assertEqual(8, len(listing.servers))
         self.assertEqual([], scenario.world.faults)
--- a/tests/support/deployment.py
+++ b/tests/support/deployment.py
@@ -334,7 +334,7 @@
                 return control_api
             if role == "core":
                 core = self.world.open_control(node, process_settings)
-                core.platform.read_listing = ServerListReader(
+                core.platform.read_server_list = ServerListReader(
                     node.scheduler, node.network, process_settings.platform_address
                 ).read
                 Operators(
