--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -7,14 +7,14 @@
 from ryelock.edge.failures import Failure, FailureKind
 from ryelock.edge.idempotency_claims import ClaimStatus
 from ryelock.edge.request import AdmissionOutcome, Request
-from ryelock.edge.retry_detector import Caller
+from ryelock.edge.retry_detector import CallerDigest
 from ryelock.edge.routing import Router
 from ryelock.http import HttpExchange, field
 from ryelock.replicated_state import Route
 
-QUEUE_TIMEOUT_PART = 0.2
+QUEUE_TIMEOUT_TARGET_FRACTION = 0.2
 """Part of a route's latency target that a request may wait in the queue."""
-CLAIM_SECONDS = 1.0
+CLAIM_TIMEOUT_SECONDS = 1.0
 """Longest wait for the claim of an idempotency key."""
 RETRY_BUDGET_BACKOFF_SECONDS = 2.0
 CALLER_FIELDS = (b"user-agent", b"authorization", b"cookie")
@@ -39,7 +39,9 @@
     503,
     "the Idempotency-Key could not be noted; the order was not sent",
 )
-CALLER_LEFT = Failure(FailureKind.CALLER_LEFT, 499, "the caller left before the order was sent")
+CLIENT_DISCONNECTED = Failure(
+    FailureKind.CLIENT_DISCONNECTED, 499, "the caller left before the order was sent"
+)
 NO_LEASE = Failure(FailureKind.NO_LEASE, 503, "no term: cut off")
 
 
@@ -98,7 +100,7 @@
         if any((field(fields, name) or b"0").strip() not in (b"0", b"") for name in RETRY_FIELDS):
             return True
         now = self.context.scheduler.now()
-        return self.context.retry_detector.is_retry(caller_of(exchange, request), now)
+        return self.context.retry_detector.is_retry(caller_digest(exchange, request), now)
 
     def queue_timeout(self, exchange: HttpExchange, route: Route, queue: AdmissionQueue) -> float:
         """Return the seconds that a request may wait, counted from its arrival.
@@ -106,13 +108,13 @@
         A request that has already waited for another's fetch of the same object does not wait
         as long again here.
         """
-        until = min(
+        deadline = min(
             self.router.deadline(exchange, route),
             exchange.received_at + queue.queue_timeout(),
         )
-        timeout = until - self.context.scheduler.now()
+        timeout = deadline - self.context.scheduler.now()
         if not self.context.profile.own and route.target_seconds:
-            timeout = min(timeout, route.target_seconds * QUEUE_TIMEOUT_PART)
+            timeout = min(timeout, route.target_seconds * QUEUE_TIMEOUT_TARGET_FRACTION)
         return timeout
 
     def reject_over_rate(self, request: Request, queue: AdmissionQueue, wait: float) -> Failure:
@@ -135,7 +137,7 @@
     def check_after_wait(self, exchange: HttpExchange) -> Failure | None:
         """The caller may have left, or the lease run out, while the request waited."""
         if exchange.client_disconnected:
-            return CALLER_LEFT
+            return CLIENT_DISCONNECTED
         if not self.context.member.serving:
             return NO_LEASE
         return None
@@ -147,15 +149,15 @@
 
         Without that record another edge could send the same request a second time.
         """
-        left = self.router.deadline(exchange, route) - self.context.scheduler.now()
+        remaining = self.router.deadline(exchange, route) - self.context.scheduler.now()
         status = await self.context.member.claim(
-            digest_of_key(exchange, request, key),
+            key_digest(exchange, request, key),
             request.identity,
-            max(0.0, min(CLAIM_SECONDS, left)),
+            max(0.0, min(CLAIM_TIMEOUT_SECONDS, remaining)),
         )
         if status is ClaimStatus.CLAIMED:
             return None
-        if status is ClaimStatus.KNOWN:
+        if status is ClaimStatus.ALREADY_CLAIMED:
             return KEY_ALREADY_USED
         self.release_key(exchange, request, key)
         return KEY_NOT_CLAIMED
@@ -163,11 +165,11 @@
     def release_key(self, exchange: HttpExchange, request: Request, key: bytes) -> None:
         """Give a key back whose request certainly did not run, in the background."""
         self.context.scheduler.create_task(
-            self.context.member.release(digest_of_key(exchange, request, key), request.identity),
+            self.context.member.release(key_digest(exchange, request, key), request.identity),
             name="release",
         )
 
-    def count_send(self, exchange: HttpExchange, request: Request) -> bool:
+    def charge_retry_budget(self, exchange: HttpExchange, request: Request) -> bool:
         """Account for a request that is about to be sent; False where it must not be.
 
         At its first sending a first request earns room for retries, a retry takes some. Only what
@@ -183,14 +185,14 @@
         if not queue.budget.try_retry():
             request.admission = AdmissionOutcome.OVER_RETRY_BUDGET
             return False
-        self.context.retry_detector.count_retry(caller_of(exchange, request))
+        self.context.retry_detector.count_retry(caller_digest(exchange, request))
         return True
 
 
-def caller_of(exchange: HttpExchange, request: Request) -> Caller:
+def caller_digest(exchange: HttpExchange, request: Request) -> CallerDigest:
     """Return the digest of who asks for what; ports differ from one connection to the next."""
     fields = exchange.head.fields
-    return digest_of(
+    return digest(
         exchange.connection.peer.rpartition(":")[0].encode(),
         request.method.encode(),
         request.host.encode(),
@@ -199,9 +201,9 @@
     )
 
 
-def digest_of_key(exchange: HttpExchange, request: Request, key: bytes) -> bytes:
+def key_digest(exchange: HttpExchange, request: Request, key: bytes) -> bytes:
     """Return the digest of a caller's key with service, target and the caller's credentials."""
-    return digest_of(
+    return digest(
         request.service.encode(),
         request.method.encode(),
         request.host.encode(),
@@ -211,7 +213,7 @@
     )
 
 
-def digest_of(*parts: bytes) -> bytes:
+def digest(*parts: bytes) -> bytes:
     """Return 16 bytes that stand for all parts; their lengths keep ("ab", "c") from ("a", "bc")."""
     joined = b"".join(b"%d:%s" % (len(part), part) for part in parts)
     return hashlib.sha256(joined).digest()[:16]
--- a/packages/edge/ryelock/edge/admission_queue.py
+++ b/packages/edge/ryelock/edge/admission_queue.py
@@ -14,20 +14,20 @@
 from ryelock.runtime import Queue, Scheduler, Task
 
 QUEUE_TIMEOUT_SECONDS = 1.0
-NARROW_QUEUE_TIMEOUT_SECONDS = 3.0
+MAX_LOW_RATE_QUEUE_TIMEOUT_SECONDS = 3.0
 """Longest wait at a service whose rate lets requests through seldom."""
-NARROW_QUEUE_INTERVALS = 1.5
+LOW_RATE_QUEUE_TIMEOUT_INTERVALS = 1.5
 """A narrow service's queue timeout, in intervals between two requests at its rate."""
-RETRY_AFTER_SECONDS_LEAST = 1.0
-RETRY_AFTER_SECONDS_MOST = 10.0
-DEMAND_SECONDS_LEAST = 0.4
+MIN_RETRY_AFTER_SECONDS = 1.0
+MAX_RETRY_AFTER_SECONDS = 10.0
+MIN_DEMAND_WINDOW_SECONDS = 0.4
 """Shortest time over which demand is measured."""
 DEMAND_RISE_WEIGHT = 0.6
-DEMAND_FALL_SECONDS = 2.0
-IN_FLIGHT_WAIT_SECONDS = 0.05
+DEMAND_DECAY_SECONDS = 2.0
+CAPACITY_POLL_SECONDS = 0.05
 """Longest sleep until room is looked for again."""
-TOKEN_WAIT_SECONDS_LEAST = 0.001
-RETRY_WAIT_SECONDS_LEAST = 0.005
+MIN_TOKEN_WAIT_SECONDS = 0.001
+MIN_RETRY_WAIT_SECONDS = 0.005
 
 
 class QueuedRequest:
@@ -54,20 +54,20 @@
     """
 
     __slots__ = (
+        "admission_task",
         "arrivals",
         "bucket",
         "budget",
         "capacity_changed",
         "demand",
-        "demand_at",
+        "demand_measured_at",
         "in_flight",
-        "queues",
+        "queues_by_route",
         "retries_waiting",
         "route_in_flight",
-        "running",
+        "route_rotation",
         "scheduler",
         "service",
-        "turns",
         "waiting",
     )
 
@@ -80,15 +80,15 @@
         self.budget = RetryBudget(service.repeat_share, 1.0)
         self.in_flight = 0
         self.route_in_flight: dict[str, int] = {}
-        self.queues: dict[str, deque[QueuedRequest]] = {}
-        self.turns: deque[str] = deque()
+        self.queues_by_route: dict[str, deque[QueuedRequest]] = {}
+        self.route_rotation: deque[str] = deque()
         self.waiting = 0
         self.retries_waiting = 0
         self.capacity_changed: Queue[bool] = Queue(scheduler)
         self.arrivals = 0
         self.demand = 0.0
-        self.demand_at = now
-        self.running: Task = scheduler.create_task(
+        self.demand_measured_at = now
+        self.admission_task: Task = scheduler.create_task(
             self.admit_waiting(), name=f"admission queue of {name}"
         )
 
@@ -102,20 +102,20 @@
             max(1.0, service.repeat_allowance / max(1, edges)) if service.repeat_allowance else 0.0,
         )
 
-    def measure(self) -> float:
+    def measure_demand(self) -> float:
         """Return the requests a second that lately came; quick to rise, slow to fall."""
         now = self.scheduler.now()
-        passed = now - self.demand_at
-        if passed >= DEMAND_SECONDS_LEAST:
-            rate = self.arrivals / passed
-            rises = rate > self.demand
-            weight = DEMAND_RISE_WEIGHT if rises else min(1.0, passed / DEMAND_FALL_SECONDS)
+        elapsed = now - self.demand_measured_at
+        if elapsed >= MIN_DEMAND_WINDOW_SECONDS:
+            rate = self.arrivals / elapsed
+            is_rising = rate > self.demand
+            weight = DEMAND_RISE_WEIGHT if is_rising else min(1.0, elapsed / DEMAND_DECAY_SECONDS)
             self.demand = self.demand * (1 - weight) + rate * weight
             self.arrivals = 0
-            self.demand_at = now
+            self.demand_measured_at = now
         return self.demand
 
-    def wanted(self) -> int:
+    def count_waiting(self) -> int:
         """Return the number of requests that wait for tokens."""
         return self.waiting + self.retries_waiting
 
@@ -126,10 +126,12 @@
 
     def queue_timeout(self) -> float:
         """Return the seconds that a request may wait: longer where tokens come seldom."""
-        narrow = min(NARROW_QUEUE_TIMEOUT_SECONDS, NARROW_QUEUE_INTERVALS / self.service.rate)
-        return max(QUEUE_TIMEOUT_SECONDS, narrow)
+        low_rate_timeout = min(
+            MAX_LOW_RATE_QUEUE_TIMEOUT_SECONDS, LOW_RATE_QUEUE_TIMEOUT_INTERVALS / self.service.rate
+        )
+        return max(QUEUE_TIMEOUT_SECONDS, low_rate_timeout)
 
-    def most_in_flight(self, share: float) -> int:
+    def max_route_in_flight(self, share: float) -> int:
         """Return the limit in flight of a route with a share of the service."""
         return max(1, math.ceil(self.service.flight * share))
 
@@ -137,10 +139,10 @@
         """Whether one more request of a route may be in flight."""
         return self.in_flight < self.service.flight and self.route_in_flight.get(
             route, 0
-        ) < self.most_in_flight(share)
+        ) < self.max_route_in_flight(share)
 
     async def acquire(
-        self, route: str, share: float, queue_timeout: float, goes_first: bool
+        self, route: str, share: float, queue_timeout: float, has_priority: bool
     ) -> float | None:
         """Wait for a slot and a token.
 
@@ -148,7 +150,7 @@
             route: name of the request's route.
             share: the part of queue and slots that the route may fill.
             queue_timeout: longest wait in seconds.
-            goes_first: whether the request goes before all who wait. A probe does: rejected, it
+            has_priority: whether the request goes before all who wait. A probe does: rejected, it
                 would tell of the crowd, not of the edge.
 
         Returns:
@@ -158,13 +160,13 @@
         self.arrivals += 1
         now = self.scheduler.now()
         if not self.waiting and self.has_capacity(route, share) and self.bucket.allow(now):
-            self.take_slot(route)
+            self.acquire_slot(route)
             return None
         wait = self.bucket.wait_for(now, self.waiting)
         queue_timeout = min(queue_timeout, self.queue_timeout())
-        if not goes_first and (wait > queue_timeout or self.is_full(route, share)):
+        if not has_priority and (wait > queue_timeout or self.is_full(route, share)):
             return wait
-        queued = self.enqueue(route, goes_first)
+        queued = self.enqueue(route, has_priority)
         try:
             admitted = await queued.admitted.get(queue_timeout)
         except GeneratorExit:
@@ -180,29 +182,32 @@
 
     def is_full(self, route: str, share: float) -> bool:
         """Whether the service's queue or the route's part of it is full."""
-        most = max(1, math.ceil(self.service.queue * share))
-        return self.waiting >= self.service.queue or len(self.queues.get(route, ())) >= most
+        route_limit = max(1, math.ceil(self.service.queue * share))
+        return (
+            self.waiting >= self.service.queue
+            or len(self.queues_by_route.get(route, ())) >= route_limit
+        )
 
-    def enqueue(self, route: str, goes_first: bool) -> QueuedRequest:
+    def enqueue(self, route: str, has_priority: bool) -> QueuedRequest:
         """Add a request to its route's queue, and the route to those that take turns."""
-        queue = self.queues.setdefault(route, deque())
+        queue = self.queues_by_route.setdefault(route, deque())
         queued = QueuedRequest(self.scheduler)
-        if goes_first:
+        if has_priority:
             queue.appendleft(queued)
-            if route in self.turns:
-                self.turns.remove(route)
-            self.turns.appendleft(route)
+            if route in self.route_rotation:
+                self.route_rotation.remove(route)
+            self.route_rotation.appendleft(route)
         else:
             queue.append(queued)
             if len(queue) == 1:
-                self.turns.append(route)
+                self.route_rotation.append(route)
         self.waiting += 1
         self.capacity_changed.put(True)
         return queued
 
     async def admit_retry(self, queue_timeout: float) -> bool:
         """Wait for a retry of an admitted request: in the budget and, perhaps soon, by rate."""
-        until = self.scheduler.now() + min(queue_timeout, self.queue_timeout())
+        deadline = self.scheduler.now() + min(queue_timeout, self.queue_timeout())
         if not self.budget.try_retry():
             return False
         self.retries_waiting += 1
@@ -210,16 +215,16 @@
             while not self.bucket.allow(self.scheduler.now()):
                 now = self.scheduler.now()
                 wait = self.bucket.wait_for(now, self.waiting)
-                if now >= until or now + wait > until:
+                if now >= deadline or now + wait > deadline:
                     return False
                 await self.scheduler.sleep(
-                    min(IN_FLIGHT_WAIT_SECONDS, max(RETRY_WAIT_SECONDS_LEAST, wait))
+                    min(CAPACITY_POLL_SECONDS, max(MIN_RETRY_WAIT_SECONDS, wait))
                 )
         finally:
             self.retries_waiting -= 1
         return True
 
-    def take_slot(self, route: str) -> None:
+    def acquire_slot(self, route: str) -> None:
         """Count a request that was admitted."""
         self.in_flight += 1
         self.route_in_flight[route] = self.route_in_flight.get(route, 0) + 1
@@ -227,9 +232,9 @@
     def release(self, route: str) -> None:
         """Give a request's slot back."""
         self.in_flight -= 1
-        left = self.route_in_flight.get(route, 1) - 1
-        if left:
-            self.route_in_flight[route] = left
+        remaining = self.route_in_flight.get(route, 1) - 1
+        if remaining:
+            self.route_in_flight[route] = remaining
         else:
             self.route_in_flight.pop(route, None)
         self.notify()
@@ -238,53 +243,53 @@
         """Admit waiting requests as room comes, route by route; runs as a task."""
         while True:
             self.drop_abandoned()
-            if not self.turns:
+            if not self.route_rotation:
                 self.capacity_changed.items.clear()
                 await self.capacity_changed.get()
                 continue
             now = self.scheduler.now()
             if self.in_flight >= self.service.flight:
-                await self.capacity_changed.get(IN_FLIGHT_WAIT_SECONDS)
+                await self.capacity_changed.get(CAPACITY_POLL_SECONDS)
                 continue
             wait = self.bucket.wait_for(now, 0)
             if wait > 0:
                 await self.capacity_changed.get(
-                    min(IN_FLIGHT_WAIT_SECONDS, max(TOKEN_WAIT_SECONDS_LEAST, wait))
+                    min(CAPACITY_POLL_SECONDS, max(MIN_TOKEN_WAIT_SECONDS, wait))
                 )
                 continue
             if not self.admit_next(now):
-                await self.capacity_changed.get(IN_FLIGHT_WAIT_SECONDS)
+                await self.capacity_changed.get(CAPACITY_POLL_SECONDS)
 
     def admit_next(self, now: float) -> bool:
         """Admit one request of the first route that has room; False where none has."""
-        for _ in range(len(self.turns)):
-            route = self.turns.popleft()
-            queue = self.queues[route]
-            self.drop_abandoned_of(queue)
+        for _ in range(len(self.route_rotation)):
+            route = self.route_rotation.popleft()
+            queue = self.queues_by_route[route]
+            self.drop_abandoned_from(queue)
             if not queue:
                 continue
             if not self.has_capacity(route, 1.0) or not self.bucket.allow(now):
-                self.turns.append(route)
+                self.route_rotation.append(route)
                 continue
             queued = queue.popleft()
             self.waiting -= 1
-            self.take_slot(route)
+            self.acquire_slot(route)
             queued.admitted.put(True)
             if queue:
-                self.turns.append(route)
+                self.route_rotation.append(route)
             return True
         return False
 
     def drop_abandoned(self) -> None:
         """Remove requests whose wait is over, and the routes for which none waits."""
-        for route in list(self.turns):
-            queue = self.queues[route]
-            self.drop_abandoned_of(queue)
+        for route in list(self.route_rotation):
+            queue = self.queues_by_route[route]
+            self.drop_abandoned_from(queue)
             if not queue:
-                self.turns.remove(route)
-                del self.queues[route]
+                self.route_rotation.remove(route)
+                del self.queues_by_route[route]
 
-    def drop_abandoned_of(self, queue: deque[QueuedRequest]) -> None:
+    def drop_abandoned_from(self, queue: deque[QueuedRequest]) -> None:
         """Remove requests whose wait is over from the front of one route's queue."""
         while queue and queue[0].abandoned:
             queue.popleft()
@@ -294,5 +299,5 @@
 def retry_after(wait: float) -> float:
     """Return seconds after which to come back, where the wait for room may have no known end."""
     if math.isinf(wait):
-        return RETRY_AFTER_SECONDS_LEAST
-    return min(RETRY_AFTER_SECONDS_MOST, max(RETRY_AFTER_SECONDS_LEAST, wait))
+        return MIN_RETRY_AFTER_SECONDS
+    return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, wait))
--- a/packages/edge/ryelock/edge/attempts.py
+++ b/packages/edge/ryelock/edge/attempts.py
@@ -19,29 +19,37 @@
 from ryelock.edge.upstream_response import UpstreamResponse
 from ryelock.http import ClientError, ResponseTimeoutError
 
-FULL_SECONDS = 0.15
+REJECTION_PAUSE_SECONDS = 0.15
 """How long a server that rejected a request is taken for full."""
 SHORT_ATTEMPT_SECONDS = 0.25
-SHORT_ATTEMPT_LATENCIES = 3.0
+SHORT_ATTEMPT_LATENCY_FACTOR = 3.0
 """An attempt shorter than the longer of both says nothing of its server."""
 TOO_MANY_REQUESTS = 429
 ROUTE_CHANGED = Failure(FailureKind.ROUTE_CHANGED, 503, "the term or the route changed; not sent")
-CALLER_LEFT = Failure(FailureKind.CALLER_LEFT, 499, "the caller left")
+CLIENT_DISCONNECTED = Failure(FailureKind.CLIENT_DISCONNECTED, 499, "the caller left")
 
-Ended = Result[UpstreamResponse, Failure]
+AttemptResult = Result[UpstreamResponse, Failure]
 
 
 class AttemptSequence:
     """All attempts of one request.
 
     Attributes:
-        tried: identities of the servers that were tried.
+        tried_servers: identities of the servers that were tried.
         failure: why there is no response, by the last attempt.
         error_response: a server's own failure (5xx), given to the caller where no other server
             can be tried.
     """
 
-    __slots__ = ("call", "client", "context", "error_response", "failure", "router", "tried")
+    __slots__ = (
+        "call",
+        "client",
+        "context",
+        "error_response",
+        "failure",
+        "router",
+        "tried_servers",
+    )
 
     def __init__(
         self, context: EdgeContext, router: Router, client: UpstreamClient, call: UpstreamCall
@@ -51,13 +59,13 @@
         self.router = router
         self.client = client
         self.call = call
-        self.tried: set[tuple[str, str, str]] = set()
+        self.tried_servers: set[tuple[str, str, str]] = set()
         self.failure = Failure(
             FailureKind.NO_SERVER, 503, f"no live server of service {call.request.service}"
         )
         self.error_response: UpstreamResponse | None = None
 
-    async def run(self) -> Ended:
+    async def run(self) -> AttemptResult:
         """Try servers in turn."""
         request = self.call.request
         limit = request.attempts_left
@@ -72,9 +80,9 @@
                 break
             self.drop_error_response()
             is_last = number + 1 >= limit or request.peer is not None
-            ended = await self.attempt_at(server, is_last)
-            if ended is not None:
-                return ended
+            result = await self.try_server(server, is_last)
+            if result is not None:
+                return result
         return Ok(self.error_response) if self.error_response is not None else Error(self.failure)
 
     def check_before_attempt(self) -> Failure | None:
@@ -82,13 +90,13 @@
         if not self.router.may_still_send(self.call.request):
             return ROUTE_CHANGED
         if self.call.exchange.client_disconnected:
-            return CALLER_LEFT
+            return CLIENT_DISCONNECTED
         return None
 
     async def admit_retry(self) -> bool:
         """Whether the budget of retries and the rate let one more attempt through."""
-        left = self.call.until - self.context.scheduler.now()
-        admitted = await self.call.queue.admit_retry(left)
+        remaining = self.call.deadline - self.context.scheduler.now()
+        admitted = await self.call.queue.admit_retry(remaining)
         if not admitted:
             self.call.request.retry_refused = True
         return admitted
@@ -99,7 +107,7 @@
         candidates: list[dict[str, object]] = []
         server = self.context.servers.pick(
             request.service,
-            self.tried,
+            self.tried_servers,
             request.zone_verdicts,
             candidates,
             self.context.member.edges,
@@ -115,29 +123,29 @@
             self.error_response.connection.abort()
             self.error_response = None
 
-    async def attempt_at(self, server: ServerState, is_last: bool) -> Ended | None:
+    async def try_server(self, server: ServerState, is_last: bool) -> AttemptResult | None:
         """Make one attempt; None where the next server is to be tried."""
-        self.tried.add(server.server.identity)
+        self.tried_servers.add(server.server.identity)
         attempt = Attempt(server.server.address, server.server.zone)
         self.call.request.attempts.append(attempt)
         started = self.context.scheduler.now()
         server.sent_at.append(started)
         try:
-            found = await self.client.fetch(self.call, server, attempt, is_last)
+            fetched = await self.client.fetch(self.call, server, attempt, is_last)
         finally:
             server.sent_at.remove(started)
-        taken = self.context.scheduler.now() - started
-        attempt.seconds = round(taken, 4)
-        if found.is_ok():
-            return self.on_response(found.ok, attempt, taken, is_last)
-        return self.on_error(found.error, server, attempt, taken)
+        elapsed = self.context.scheduler.now() - started
+        attempt.seconds = round(elapsed, 4)
+        if fetched.is_ok():
+            return self.on_response(fetched.ok, attempt, elapsed, is_last)
+        return self.on_error(fetched.error, server, attempt, elapsed)
 
     def on_response(
-        self, response: UpstreamResponse, attempt: Attempt, taken: float, is_last: bool
-    ) -> Ended | None:
+        self, response: UpstreamResponse, attempt: Attempt, elapsed: float, is_last: bool
+    ) -> AttemptResult | None:
         """A response ends the request, but for a failure that another server may make good."""
         failed = response.head.status >= 500
-        self.context.servers.record_result(response.server, not failed, taken)
+        self.context.servers.record_result(response.server, not failed, elapsed)
         attempt.status = response.head.status
         idempotent = self.call.request.request_class is RequestClass.IDEMPOTENT
         if failed and idempotent and not is_last and not self.context.profile.own:
@@ -146,36 +154,38 @@
         return Ok(response)
 
     def on_error(
-        self, error: ClientError, server: ServerState, attempt: Attempt, taken: float
-    ) -> Ended | None:
+        self, error: ClientError, server: ServerState, attempt: Attempt, elapsed: float
+    ) -> AttemptResult | None:
         """An error ends the request where it may have run, or where no time is left."""
         call = self.call
-        if call.exchange.client_disconnected and call.ends_with_caller:
+        if call.exchange.client_disconnected and call.cancelled_with_client:
             self.context.metrics.cancelled.add(call.request.service)
-            error = AttemptCancelledError(FailureKind.CALLER_LEFT, "the caller left", error.sent)
+            error = AttemptCancelledError(
+                FailureKind.CLIENT_DISCONNECTED, "the caller left", error.sent
+            )
         attempt.fault = error.reason
         if error.rejected:
             return self.on_rejected(error, server, attempt)
         if isinstance(error, AttemptCancelledError) and error.kind is FailureKind.RETRY_BUDGET:
             server.trial_in_flight = False
             return Error(OVER_RETRY_BUDGET)
-        if self.counts_against_server(error, server, taken):
-            self.context.servers.record_result(server, False, taken)
+        if self.counts_against_server(error, server, elapsed):
+            self.context.servers.record_result(server, False, elapsed)
         else:
             server.trial_in_flight = False
         if error.sent and call.request.request_class is RequestClass.AT_MOST_ONCE:
             return Error(unknown_outcome(error))
-        is_late = self.context.scheduler.now() >= call.until
-        status = 504 if is_late else 502
-        self.failure = Failure(kind_of(error, is_late), status, error.reason)
-        return Error(self.failure) if is_late else None
+        deadline_passed = self.context.scheduler.now() >= call.deadline
+        status = 504 if deadline_passed else 502
+        self.failure = Failure(failure_kind(error, deadline_passed), status, error.reason)
+        return Error(self.failure) if deadline_passed else None
 
     def on_rejected(
         self, error: ClientError, server: ServerState, attempt: Attempt
-    ) -> Ended | None:
+    ) -> AttemptResult | None:
         """A server did not run the request: another may be tried, unless it set a limit (429)."""
         attempt.rejected_status = error.rejected
-        self.context.servers.record_rejection(server, error.rejected, FULL_SECONDS)
+        self.context.servers.record_rejection(server, error.rejected, REJECTION_PAUSE_SECONDS)
         self.failure = Failure(
             FailureKind.SERVER_REJECTED,
             503,
@@ -184,19 +194,23 @@
         )
         return Error(self.failure) if error.rejected == TOO_MANY_REQUESTS else None
 
-    def counts_against_server(self, error: ClientError, server: ServerState, taken: float) -> bool:
+    def counts_against_server(
+        self, error: ClientError, server: ServerState, elapsed: float
+    ) -> bool:
         """Whether a failure tells of the server: not where the request had no time left for it.
 
         Nor where nothing was sent for reasons of the caller, the route or the listing.
         """
         if isinstance(error, AttemptCancelledError):
             return False
-        too_short = taken < max(SHORT_ATTEMPT_SECONDS, SHORT_ATTEMPT_LATENCIES * server.latency)
+        too_short = elapsed < max(
+            SHORT_ATTEMPT_SECONDS, SHORT_ATTEMPT_LATENCY_FACTOR * server.latency
+        )
         return not (
             too_short
             and isinstance(error, ResponseTimeoutError | ConnectFailedError)
             and not server.server.leaving
-            and taken < self.context.settings.connect_seconds
+            and elapsed < self.context.settings.connect_seconds
         )
 
 
@@ -211,7 +225,7 @@
         self.router = router
         self.client = client
 
-    async def run(self, call: UpstreamCall) -> Ended:
+    async def run(self, call: UpstreamCall) -> AttemptResult:
         """Send a request to servers in turn until one answers or it must be given up."""
         return await AttemptSequence(self.context, self.router, self.client, call).run()
 
@@ -220,15 +234,15 @@
     """Return the failure of a request that may run once and may have run."""
     timed_out = isinstance(error, ResponseTimeoutError)
     return Failure(
-        kind_of(error, timed_out),
+        failure_kind(error, timed_out),
         504 if timed_out else 502,
         f"outcome unknown: {error.reason}",
         True,
     )
 
 
-def kind_of(error: ClientError, is_late: bool) -> FailureKind:
+def failure_kind(error: ClientError, deadline_passed: bool) -> FailureKind:
     """Return the kind of a request's failure by the error of its last attempt."""
     if isinstance(error, AttemptCancelledError):
         return error.kind
-    return FailureKind.SERVER_SILENT if is_late else FailureKind.SERVER_FAILED
+    return FailureKind.SERVER_SILENT if deadline_passed else FailureKind.SERVER_FAILED
--- a/packages/edge/ryelock/edge/cache_fill.py
+++ b/packages/edge/ryelock/edge/cache_fill.py
@@ -87,9 +87,9 @@
                 self.context.store.remove(progress.fill.key)
             self.finish(progress, None)
             return None
-        bypasses = request.is_probe and not self.lookup.may_reuse(response, route, exchange)
-        stores = not bypasses and self.may_store(progress, response)
-        self.finish(progress, response if stores else None)
+        bypasses_cache = request.is_probe and not self.lookup.may_reuse(response, route, exchange)
+        should_store = not bypasses_cache and self.may_store(progress, response)
+        self.finish(progress, response if should_store else None)
         return response
 
     def storable(
--- a/packages/edge/ryelock/edge/cache_lookup.py
+++ b/packages/edge/ryelock/edge/cache_lookup.py
@@ -63,8 +63,8 @@
         """Wait for another request's fetch; None where what it brings may not answer this one."""
         result: Queue[StoredResponse | None] = Queue(self.context.scheduler)
         fill.waiting.append(result)
-        left = self.router.deadline(exchange, route) - self.context.scheduler.now()
-        stored = await result.get(max(0.0, left))
+        remaining = self.router.deadline(exchange, route) - self.context.scheduler.now()
+        stored = await result.get(max(0.0, remaining))
         if (
             stored is None
             or stored.vary != ()
--- a/packages/edge/ryelock/edge/configuration_rollout.py
+++ b/packages/edge/ryelock/edge/configuration_rollout.py
@@ -72,7 +72,7 @@
                 queue = queues[name] = AdmissionQueue(self.scheduler, name, service)
             queue.resize(service, self.member.edges)
         for name in [name for name in queues if name not in configuration.services]:
-            queues.pop(name).running.cancel()
+            queues.pop(name).admission_task.cancel()
 
 
 def changed_routes(previous: Plan, configuration: Configuration) -> set[str]:
--- a/packages/edge/ryelock/edge/failures.py
+++ b/packages/edge/ryelock/edge/failures.py
@@ -9,7 +9,7 @@
 class FailureKind(StrEnum):
     """Why a request has no server's answer; the values are the labels of the metrics."""
 
-    CALLER_LEFT = "caller left"
+    CLIENT_DISCONNECTED = "caller left"
     KEY_IN_USE = "idempotency key in use"
     KEY_NOT_CLAIMED = "idempotency key not claimed"
     NO_LEASE = "no lease"
@@ -17,7 +17,7 @@
     NO_SERVER = "no server"
     NO_SHARE = "no share of the rate"
     NOT_CACHED = "not cached"
-    OLD_VERSION = "older version here"
+    OUTDATED_VERSION = "older version here"
     OVER_RATE = "over the rate"
     OWNER_OVER_RATE = "owner over the rate"
     RETRY_BUDGET = "over the retry budget"
@@ -84,7 +84,7 @@
         super().__init__(f"the server failed: {status}", True)
 
 
-class ForeignResponseError(ClientError):
+class MismatchedResponseError(ClientError):
     """The response does not say that it belongs to this request."""
 
     def __init__(self, reason: str) -> None:
--- a/packages/edge/ryelock/edge/handler.py
+++ b/packages/edge/ryelock/edge/handler.py
@@ -10,7 +10,7 @@
 """
 
 from ryelock.cache import StoredResponse
-from ryelock.edge.admission import NO_LEASE, AdmissionController, caller_of
+from ryelock.edge.admission import NO_LEASE, AdmissionController, caller_digest
 from ryelock.edge.attempts import UpstreamAttempts
 from ryelock.edge.cache_fill import CacheFiller, FillInProgress
 from ryelock.edge.cache_lookup import CacheLookup
@@ -33,11 +33,11 @@
 
 CACHEABLE_METHODS = (b"GET", b"HEAD")
 NO_ROUTE = Failure(FailureKind.NO_ROUTE, 404, "no route")
-NOT_AN_OBJECT = Failure(FailureKind.NO_ROUTE, 404, "not an object to probe")
+NOT_CACHEABLE = Failure(FailureKind.NO_ROUTE, 404, "not an object to probe")
 KEY_IN_PROGRESS = Failure(
     FailureKind.KEY_IN_USE, 409, "an order with this Idempotency-Key is under way"
 )
-OLD_VERSION = Failure(FailureKind.OLD_VERSION, 503, "the version is not here yet")
+OUTDATED_VERSION = Failure(FailureKind.OUTDATED_VERSION, 503, "the version is not here yet")
 NOT_CACHED = Failure(FailureKind.NOT_CACHED, 504, "not in the cache")
 
 
@@ -47,10 +47,10 @@
     __slots__ = (
         "admission",
         "attempts",
+        "cache_filler",
+        "cache_lookup",
         "context",
-        "filler",
-        "lookup",
-        "owners",
+        "owner_client",
         "preview",
         "rejections",
         "relay",
@@ -64,9 +64,9 @@
         self.context = context
         self.router = Router(context)
         self.admission = AdmissionController(context, self.router)
-        self.lookup = CacheLookup(context, self.router)
-        self.filler = CacheFiller(context, self.lookup, validator)
-        self.owners = OwnerClient(context, self.router, validator)
+        self.cache_lookup = CacheLookup(context, self.router)
+        self.cache_filler = CacheFiller(context, self.cache_lookup, validator)
+        self.owner_client = OwnerClient(context, self.router, validator)
         self.attempts = UpstreamAttempts(
             context,
             self.router,
@@ -97,7 +97,7 @@
         if route is None:
             return NO_ROUTE
         if request.is_probe and not route.cached and not context.profile.own:
-            return NOT_AN_OBJECT
+            return NOT_CACHEABLE
         context.requests_served += not (request.is_probe or request.peer is not None)
         request.body = await exchange.read_body()
         exchange.may_refuse = request.request_class is RequestClass.IDEMPOTENT
@@ -134,13 +134,13 @@
             failure = await self.admission.claim_key(exchange, request, route, key)
             if failure is not None:
                 return failure
-        found = await self.attempts.run(self.upstream_call(exchange, request, route))
-        if found.is_ok():
-            await self.relay.stream(exchange, request, found.ok)
+        result = await self.attempts.run(self.upstream_call(exchange, request, route))
+        if result.is_ok():
+            await self.relay.stream(exchange, request, result.ok)
             return None
-        if key is not None and not found.error.outcome_unknown:
+        if key is not None and not result.error.outcome_unknown:
             self.admission.release_key(exchange, request, key)
-        return found.error
+        return result.error
 
     def idempotency_key(self, exchange: HttpExchange, request: Request) -> bytes | None:
         """Return the key of a request that may run once, if its caller gave one."""
@@ -153,23 +153,23 @@
     ) -> Failure | None:
         """Serve a stored response; else join a fetch under way; else fetch."""
         if request.peer is not None and request.peer.version > self.context.plan.version:
-            return OLD_VERSION
-        stored = self.lookup.find(exchange, request)
-        if stored is not None and self.lookup.may_reuse(stored, route, exchange):
+            return OUTDATED_VERSION
+        stored = self.cache_lookup.find(exchange, request)
+        if stored is not None and self.cache_lookup.may_reuse(stored, route, exchange):
             request.cache_status = CacheStatus.HIT
             await self.relay.send_stored(exchange, request, stored)
             return None
-        if self.lookup.is_only_if_cached(exchange):
+        if self.cache_lookup.is_only_if_cached(exchange):
             return NOT_CACHED
         if request.peer is not None:
             if request.attempts_left == LOOKUP:
                 return NOT_CACHED
             exchange.send_processing()
-        shareable = self.lookup.is_shareable(exchange, request)
-        fill = self.lookup.fill_in_progress(request) if shareable else None
+        shareable = self.cache_lookup.is_shareable(exchange, request)
+        fill = self.cache_lookup.fill_in_progress(request) if shareable else None
         if fill is not None:
             request.cache_status = CacheStatus.JOINED_FILL
-            joined = await self.lookup.join(fill, exchange, route)
+            joined = await self.cache_lookup.join(fill, exchange, route)
             if joined is not None:
                 await self.relay.send_stored(exchange, request, joined)
                 return None
@@ -192,9 +192,9 @@
             stored: a stored response that is stale but may still be what the server has.
             shareable: whether the response may answer others that wait for it.
         """
-        progress = self.filler.begin(request, stored, shareable)
+        progress = self.cache_filler.begin(request, stored, shareable)
         if shareable:
-            reply = await self.owners.ask(exchange, request, route, progress.stale)
+            reply = await self.owner_client.fetch(exchange, request, route, progress.stale)
             if isinstance(reply, OwnerRejection):
                 return owner_over_rate(reply)
             if reply is not None:
@@ -204,10 +204,10 @@
         if failure is not None:
             return failure
         request.cache_status = request.cache_status or CacheStatus.MISS
-        found = await self.attempts.run(self.upstream_call(exchange, request, route, progress))
-        if found.is_error():
-            return found.error
-        await self.serve_fetched(exchange, request, route, progress, found.ok)
+        result = await self.attempts.run(self.upstream_call(exchange, request, route, progress))
+        if result.is_error():
+            return result.error
+        await self.serve_fetched(exchange, request, route, progress, result.ok)
         return None
 
     def upstream_call(
@@ -242,7 +242,7 @@
             await self.relay.send_relayed(exchange, request, reply)
             return
         request.cache_status = CacheStatus.FROM_OWNER
-        self.filler.store_from_owner(progress, reply)
+        self.cache_filler.store_from_owner(progress, reply)
         await self.relay.send_stored(exchange, request, reply)
 
     async def serve_fetched(
@@ -254,7 +254,7 @@
         upstream: UpstreamResponse,
     ) -> None:
         """Store a server's response where it may be stored, and send it."""
-        stored = self.filler.store_from_server(exchange, request, route, progress, upstream)
+        stored = self.cache_filler.store_from_server(exchange, request, route, progress, upstream)
         if stored is None:
             await self.relay.stream(exchange, request, upstream)
             return
@@ -278,15 +278,17 @@
         if (
             context.profile.own
             and not request.is_probe
-            and (request.status >= 500 or request.outcome is Outcome.CUT)
+            and (request.status >= 500 or request.outcome is Outcome.TRUNCATED)
             and request.was_sent
         ):
-            context.retry_detector.report(caller_of(exchange, request), now)
+            context.retry_detector.report(caller_digest(exchange, request), now)
         if request.cache_status:
-            context.metrics.cache.add(request.service, request.asked_by, request.cache_status)
-        if request.outcome is Outcome.OPEN:
-            request.outcome = Outcome.CALLER_LEFT if exchange.client_disconnected else Outcome.ENDED
-        context.recent_requests.keep(request)
+            context.metrics.cache.add(request.service, request.sender_kind, request.cache_status)
+        if request.outcome is Outcome.IN_PROGRESS:
+            request.outcome = (
+                Outcome.CLIENT_DISCONNECTED if exchange.client_disconnected else Outcome.ENDED
+            )
+        context.recent_requests.add(request)
 
 
 def owner_over_rate(rejection: OwnerRejection) -> Failure:
--- a/packages/edge/ryelock/edge/idempotency.py
+++ b/packages/edge/ryelock/edge/idempotency.py
@@ -6,11 +6,11 @@
 class IdempotencyKeys:
     """Keys by service: in progress, or seen before; bounded."""
 
-    __slots__ = ("keys", "most")
+    __slots__ = ("keys", "max_keys")
 
-    def __init__(self, most: int = 20_000) -> None:
+    def __init__(self, max_keys: int = 20_000) -> None:
         """Create an empty record of at most so many keys."""
-        self.most = most
+        self.max_keys = max_keys
         self.keys: OrderedDict[tuple[str, bytes], bool] = OrderedDict()
 
     def in_progress(self, service: str, key: bytes) -> bool:
@@ -25,7 +25,7 @@
         """Record that a request with this key is under way."""
         self.keys[service, key] = True
         self.keys.move_to_end((service, key))
-        while len(self.keys) > self.most:
+        while len(self.keys) > self.max_keys:
             self.keys.popitem(last=False)
 
     def end(self, service: str, key: bytes) -> None:
--- a/packages/edge/ryelock/edge/idempotency_claims.py
+++ b/packages/edge/ryelock/edge/idempotency_claims.py
@@ -9,9 +9,9 @@
 from ryelock.runtime import Scheduler
 
 CALL_TIMEOUT_SECONDS = 0.4
-CALL_TIMEOUT_MIN_SECONDS = 0.05
-RETRY_PAUSE_SECONDS = 0.05
-RELEASE_SECONDS = 30.0
+MIN_CALL_TIMEOUT_SECONDS = 0.05
+RETRY_DELAY_SECONDS = 0.05
+RELEASE_TIMEOUT_SECONDS = 30.0
 RELEASE_STATUSES = ("released",)
 
 
@@ -19,13 +19,13 @@
     """What became of a claim; the values are those of the control leader's answer."""
 
     CLAIMED = "claimed"
-    KNOWN = "known"
+    ALREADY_CLAIMED = "known"
     """Another request has the key."""
-    UNANSWERED = ""
+    TIMED_OUT = ""
     """Nobody answered in time."""
 
 
-CLAIM_STATUSES = (ClaimStatus.CLAIMED.value, ClaimStatus.KNOWN.value)
+CLAIM_STATUSES = (ClaimStatus.CLAIMED.value, ClaimStatus.ALREADY_CLAIMED.value)
 
 
 class IdempotencyClaims:
@@ -52,7 +52,7 @@
     async def release(self, key: bytes, request: str) -> None:
         """Release a key whose request certainly did not run; retried for RELEASE_SECONDS."""
         message = IdempotencyKeyRequest(RELEASE, key, request)
-        await self.call(message, RELEASE_STATUSES, RELEASE_SECONDS)
+        await self.call(message, RELEASE_STATUSES, RELEASE_TIMEOUT_SECONDS)
 
     async def call(
         self, request: IdempotencyKeyRequest, final_statuses: tuple[str, ...], timeout: float
@@ -62,13 +62,15 @@
         deadline = self.scheduler.now() + timeout
         attempt = 0
         while self.scheduler.now() < deadline:
-            others = self.discovery.control_nodes
-            address = self.discovery.leader or others[attempt % len(others)]
+            control_nodes = self.discovery.control_nodes
+            address = self.discovery.leader or control_nodes[attempt % len(control_nodes)]
             attempt += 1
-            left = max(CALL_TIMEOUT_MIN_SECONDS, deadline - self.scheduler.now())
-            found = await self.rpc_clients.call(address, message, min(CALL_TIMEOUT_SECONDS, left))
-            status = str(found.ok.get("status")) if found.is_ok() else ""
+            remaining = max(MIN_CALL_TIMEOUT_SECONDS, deadline - self.scheduler.now())
+            result = await self.rpc_clients.call(
+                address, message, min(CALL_TIMEOUT_SECONDS, remaining)
+            )
+            status = str(result.ok.get("status")) if result.is_ok() else ""
             if status in final_statuses:
                 return status
-            await self.scheduler.sleep(RETRY_PAUSE_SECONDS)
+            await self.scheduler.sleep(RETRY_DELAY_SECONDS)
         return ""
--- a/packages/edge/ryelock/edge/idle_connections.py
+++ b/packages/edge/ryelock/edge/idle_connections.py
@@ -11,7 +11,7 @@
 
     connection: Connection
     reader: Reader
-    until: float
+    expires_at: float
 
 
 def is_clean(connection: Connection, reader: Reader) -> bool:
@@ -26,7 +26,7 @@
     """
     while idle_connections:
         idle = idle_connections.pop()
-        if is_clean(idle.connection, idle.reader) and now <= idle.until:
+        if is_clean(idle.connection, idle.reader) and now <= idle.expires_at:
             return idle
         idle.connection.close()
     return None
--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -59,19 +59,19 @@
 from ryelock.replicated_state import Route
 from ryelock.runtime import Connection
 
-CONNECT_SECONDS = 0.1
-LOOKUP_SECONDS = 0.25
-DEADLINE_PART = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.1
+LOOKUP_TIMEOUT_SECONDS = 0.25
+DEADLINE_FRACTION = 0.5
 """Part of the time left that an owner may take."""
-SILENCE_TARGET_PART = 0.75
+SILENCE_TARGET_FRACTION = 0.75
 """Part of the latency target up to which an owner that says nothing is waited for."""
-TIMEOUT_SECONDS_LEAST = 0.25
-WORKING_TARGET_PART = 1.0
+MIN_TIMEOUT_SECONDS = 0.25
+PROCESSING_TARGET_FRACTION = 1.0
 """An owner that works on a fetch is waited for up to this part of the latency target; then a server
 is asked from here, which also takes load from an owner whose connection is full."""
-HOME_PART = 0.7
+FORWARDED_TIMEOUT_FRACTION = 0.7
 """The owner of a zone waits less for the home's than the edge that asked waits for it."""
-UNFINAL_STATUSES = (304, 408, 421, 425, 429)
+RETRYABLE_STATUSES = (304, 408, 421, 425, 429)
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,11 +112,11 @@
         self.router = router
         self.validator = validator
 
-    def may_ask(self, request: Request) -> bool:
+    def may_use_owner(self, request: Request) -> bool:
         """Whether a request may go to another edge: no probe, and none without a name."""
         return not request.is_probe and (request.named_by_caller or self.context.profile.own)
 
-    async def ask(
+    async def fetch(
         self,
         exchange: HttpExchange,
         request: Request,
@@ -129,11 +129,11 @@
             What it gives; None where the object is to be fetched from a server here.
         """
         peers = self.context.peers
-        if peers is None or not self.may_ask(request):
+        if peers is None or not self.may_use_owner(request):
             return None
         peers.update_members(self.context.member.members)
         zone = "" if request.peer is None else request.peer.zone
-        owner = peers.owner((request.host, request.target), zone)
+        owner = peers.owner_to_ask((request.host, request.target), zone)
         if owner is None:
             return None
         return await OwnerRequest(self, peers, owner, exchange, request, route, stale).run()
@@ -144,28 +144,28 @@
 
     Attributes:
         stale: a stored response that the owner may say is unchanged.
-        keep: whether the connection can be used again.
+        reusable: whether the connection can be used again.
         sent_at: monotonic time of the last step's sending.
-        until: monotonic time up to which a silent owner is waited for.
-        working_until: the same for one that says that it is at work.
+        silence_deadline: monotonic time up to which a silent owner is waited for.
+        processing_deadline: the same for one that says that it is at work.
     """
 
     __slots__ = (
         "connection",
         "context",
         "exchange",
-        "keep",
         "owner",
         "peers",
+        "processing_deadline",
         "reader",
         "request",
+        "reusable",
         "route",
         "router",
         "sent_at",
+        "silence_deadline",
         "stale",
-        "until",
         "validator",
-        "working_until",
     )
 
     def __init__(
@@ -188,10 +188,10 @@
         self.request = request
         self.route = route
         self.stale = stale
-        self.keep = False
+        self.reusable = False
         self.sent_at = 0.0
-        self.until, self.working_until = self.timeouts()
-        idle = peers.take_connection(owner.request_address)
+        self.silence_deadline, self.processing_deadline = self.deadlines()
+        idle = peers.take_idle_connection(owner.request_address)
         if idle is not None:
             self.connection: Connection = idle.connection
             self.reader = idle.reader
@@ -199,18 +199,20 @@
             self.connection = self.context.network.connect(owner.request_address)
             self.reader = Reader(self.context.scheduler, self.connection)
 
-    def timeouts(self) -> tuple[float, float]:
+    def deadlines(self) -> tuple[float, float]:
         """Return until when the owner is waited for: while it is silent, and while it works."""
         now = self.context.scheduler.now()
-        left = self.router.deadline(self.exchange, self.route) - now
-        silent = working = most = DEADLINE_PART * max(0.0, left)
+        remaining = self.router.deadline(self.exchange, self.route) - now
+        silence_timeout = processing_timeout = limit = DEADLINE_FRACTION * max(0.0, remaining)
         target = self.route.target_seconds
         if target:
-            silent = min(most, max(TIMEOUT_SECONDS_LEAST, SILENCE_TARGET_PART * target))
-            working = min(most, max(TIMEOUT_SECONDS_LEAST, WORKING_TARGET_PART * target))
+            silence_timeout = min(limit, max(MIN_TIMEOUT_SECONDS, SILENCE_TARGET_FRACTION * target))
+            processing_timeout = min(
+                limit, max(MIN_TIMEOUT_SECONDS, PROCESSING_TARGET_FRACTION * target)
+            )
         if self.request.peer is not None:
-            working *= HOME_PART
-        return now + silent, now + working
+            processing_timeout *= FORWARDED_TIMEOUT_FRACTION
+        return now + silence_timeout, now + processing_timeout
 
     async def run(self) -> OwnerReply | None:
         """Ask the owner; None where the object is to be fetched from a server here.
@@ -221,7 +223,7 @@
         self.peers.requests_in_flight[self.owner.name] += 1
         try:
             if not self.connection.connected and not await self.connection.wait_connected(
-                CONNECT_SECONDS
+                CONNECT_TIMEOUT_SECONDS
             ):
                 self.peers.suspect(self.owner)
                 return None
@@ -231,20 +233,22 @@
             return reply
         finally:
             self.peers.requests_in_flight[self.owner.name] -= 1
-            if self.keep:
-                self.peers.keep_connection(self.owner.request_address, self.connection, self.reader)
+            if self.reusable:
+                self.peers.keep_idle_connection(
+                    self.owner.request_address, self.connection, self.reader
+                )
             else:
                 self.connection.abort()
 
     async def look_up_and_fetch(self) -> OwnerReply | None:
         """Have the owner fetch, after a lookup where its silence could not be paid for."""
-        if not self.can_pay_for_silence():
+        if not self.retry_budget_covers_timeouts():
             reply = await self.look_up()
             if not isinstance(reply, OwnerRejection) or reply.servers_reached != 0:
                 return reply
         return await self.fetch()
 
-    def can_pay_for_silence(self) -> bool:
+    def retry_budget_covers_timeouts(self) -> bool:
         """Whether the budget of retries has room for this request and all others to the owner.
 
         A fetch that the owner swallows may have reached a server, so the request that goes to
@@ -258,28 +262,28 @@
 
     async def look_up(self) -> OwnerReply | None:
         """Ask for a stored response. Whatever comes of it, no server was sent anything."""
-        until = min(self.until, self.context.scheduler.now() + LOOKUP_SECONDS)
-        self.send(LOOKUP, until)
-        return await self.receive(until)
+        deadline = min(self.silence_deadline, self.context.scheduler.now() + LOOKUP_TIMEOUT_SECONDS)
+        self.send(LOOKUP, deadline)
+        return await self.receive(deadline)
 
     async def fetch(self) -> OwnerReply | None:
         """Have the owner fetch; what it may have sent to servers is charged to the request."""
-        servers = max(1, self.request.attempts_left - 1)
-        self.send(servers, self.router.deadline(self.exchange, self.route))
-        reply = await self.receive(self.until, waits_longer=True)
+        max_servers = max(1, self.request.attempts_left - 1)
+        self.send(max_servers, self.router.deadline(self.exchange, self.route))
+        reply = await self.receive(self.silence_deadline, may_extend=True)
         if reply is None:
-            self.request.charge_owner(servers)
+            self.request.charge_owner(max_servers)
         elif isinstance(reply, OwnerRejection):
             reached = reply.servers_reached
-            self.request.charge_owner(servers if reached is None else reached)
+            self.request.charge_owner(max_servers if reached is None else reached)
         return reply
 
-    def send(self, servers: int, until: float) -> None:
+    def send(self, max_servers: int, deadline: float) -> None:
         """Send one step.
 
         Args:
-            servers: how many servers the owner may send the request to.
-            until: monotonic time up to which it may work on it.
+            max_servers: how many servers the owner may send the request to.
+            deadline: monotonic time up to which it may work on it.
         """
         profile = self.context.profile
         head = self.exchange.head
@@ -291,12 +295,12 @@
         if profile.identity and field(fields, profile.identity.lower()) is None:
             fields.append((profile.identity, self.request.identity.encode("latin-1")))
         if profile.deadline:
-            left = int((until - self.sent_at) * 1000)
-            fields.append((profile.deadline, b"%d" % max(1, left)))
+            remaining = int((deadline - self.sent_at) * 1000)
+            fields.append((profile.deadline, b"%d" % max(1, remaining)))
         if self.stale is not None and self.stale.etag is not None:
             fields.append((b"If-None-Match", self.stale.etag))
         fields.append((PEER_FIELD, self.peer_field()))
-        fields.append((SERVERS_FIELD, b"%d" % servers))
+        fields.append((SERVERS_FIELD, b"%d" % max_servers))
         send_request(self.connection, b"GET", head.target, fields, b"")
 
     def peer_field(self) -> bytes:
@@ -308,40 +312,46 @@
         purges, version = context.store.last_purge, context.plan.version
         return f"{session.name} {session.probe_secret} {purges} {version}".encode()
 
-    async def receive(self, until: float, waits_longer: bool = False) -> OwnerReply | None:
+    async def receive(self, deadline: float, may_extend: bool = False) -> OwnerReply | None:
         """Return the owner's reply, or None where it gave no whole one to this request.
 
         Args:
-            until: monotonic time up to which a silent owner is waited for.
-            waits_longer: whether to wait on where nothing can be sent to a server from here.
+            deadline: monotonic time up to which a silent owner is waited for.
+            may_extend: whether to wait on where nothing can be sent to a server from here.
         """
-        self.keep = False
+        self.reusable = False
         try:
-            found = await self.read_head(until)
-            if found.is_error() and waits_longer and self.depends_on_owner():
-                until = self.router.deadline(self.exchange, self.route)
-                found = await self.read_head(until)
-            if found.is_error():
+            result = await self.read_head(deadline)
+            if result.is_error() and may_extend and self.depends_on_owner():
+                deadline = self.router.deadline(self.exchange, self.route)
+                result = await self.read_head(deadline)
+            if result.is_error():
                 # An owner that answered others meanwhile is slow, not gone.
-                if not self.peers.answered_since(self.owner, self.sent_at):
+                if not self.peers.responded_since(self.owner, self.sent_at):
                     self.peers.suspect(self.owner)
                 return None
-            response = found.ok
-            if not self.validator.is_for(self.request, response.head):
+            response = result.ok
+            if not self.validator.belongs_to(self.request, response.head):
                 return None
             body, complete = await read_prefix(
-                response, max(until, self.working_until), self.context.settings.answer_bytes
+                response,
+                max(deadline, self.processing_deadline),
+                self.context.settings.answer_bytes,
             )
         except (IncompleteMessageError, ReadTimeoutError, FramingError):
             self.peers.suspect(self.owner)
             return None
-        self.keep = complete and response.keep_alive
-        return self.read_reply(response.head, body, complete)
+        self.reusable = complete and response.keep_alive
+        return self.parse_reply(response.head, body, complete)
 
-    async def read_head(self, until: float) -> Result[Response, ClientError]:
+    async def read_head(self, deadline: float) -> Result[Response, ClientError]:
         """Read the head of the final response."""
         return await read_response(
-            self.reader, b"GET", self.context.settings.head_bytes, until, self.working_until
+            self.reader,
+            b"GET",
+            self.context.settings.head_bytes,
+            deadline,
+            self.processing_deadline,
         )
 
     def depends_on_owner(self) -> bool:
@@ -351,7 +361,7 @@
             self.request.attempts_left <= 1 or queue is None or queue.budget.tokens < 1.0
         )
 
-    def read_reply(self, head: ResponseHead, body: bytes, complete: bool) -> OwnerReply:
+    def parse_reply(self, head: ResponseHead, body: bytes, complete: bool) -> OwnerReply:
         """Tell a stored response from a relayed one and from a rejection."""
         age = parse_seconds(field(head.fields, AGE_FIELD.lower()))
         fields = [
@@ -361,12 +371,12 @@
         ]
         server_head = ResponseHead(head.status, head.reason, 1, fields)
         if complete and age is not None:
-            self.peers.record_answer(self.owner)
-            stored = self.read_stored(server_head, body, age)
+            self.peers.record_response(self.owner)
+            stored = self.parse_stored_response(server_head, body, age)
             if stored is not None:
                 return stored
         elif complete and is_final(head.status) and field(head.fields, RELAYED_FIELD.lower()):
-            self.peers.record_answer(self.owner)
+            self.peers.record_response(self.owner)
             return RelayedResponse(server_head, body)
         return OwnerRejection(
             head.status,
@@ -374,7 +384,9 @@
             parse_seconds(field(head.fields, CAPACITY_FIELD.lower())),
         )
 
-    def read_stored(self, head: ResponseHead, body: bytes, age: float) -> StoredResponse | None:
+    def parse_stored_response(
+        self, head: ResponseHead, body: bytes, age: float
+    ) -> StoredResponse | None:
         """Return the owner's stored response, as old as the owner says and the way here took."""
         now = self.context.scheduler.now()
         if head.status == 304 and self.stale is not None:
@@ -390,4 +402,4 @@
 
 def is_final(status: int) -> bool:
     """Whether a second server could not do better: not the server's own failure, nor "not run"."""
-    return status < 500 and status not in UNFINAL_STATUSES
+    return status < 500 and status not in RETRYABLE_STATUSES
--- a/packages/edge/ryelock/edge/peers.py
+++ b/packages/edge/ryelock/edge/peers.py
@@ -1,7 +1,7 @@
 """Which edges keep an object for the others, and the connections to them.
 
 Each object has an owner in each zone and a home, the zone of its region whose owner alone fetches
-it from servers. All are found by rendezvous hashing among the edges that are ready, so every edge
+it from servers. All are owners by rendezvous hashing among the edges that are ready, so every edge
 finds the same ones from the members it knows, and an edge that comes or goes moves only its own
 objects. An edge that misses an object asks the owner of its zone; that one, unless its zone is the
 home, asks the home's owner. Each joins all who ask into one fetch. An owner that gave no response
@@ -32,26 +32,26 @@
 from ryelock.membership import Session
 from ryelock.runtime import Connection, Scheduler
 
-SUSPICION_SECONDS = 1.0
+INITIAL_SUSPICION_SECONDS = 1.0
 """How long an edge is suspected at first; it doubles with each further silence."""
-SUSPICION_SECONDS_MOST = 8.0
-IDLE_CONNECTIONS_MOST = 8
+MAX_SUSPICION_SECONDS = 8.0
+MAX_IDLE_CONNECTIONS = 8
 """Most idle connections to one edge."""
-IDLE_SECONDS = 4.0
+MAX_IDLE_SECONDS = 4.0
 """How long a connection may be idle before it is used again."""
-CACHED_OWNERS = 10_000
+OWNER_CACHE_SIZE = 10_000
 """Owners of so many objects are remembered, which saves a hash for each name."""
 HASH_BYTES = 8
 
 
 def owner_of(key: tuple[str, ...], names: list[str]) -> str:
     """Return the owner of a key among names; the same wherever the same names are known."""
-    stem = hashlib.blake2b("\n".join(key).encode(), digest_size=HASH_BYTES)
+    key_hash = hashlib.blake2b("\n".join(key).encode(), digest_size=HASH_BYTES)
 
     def weight(name: str) -> bytes:
-        mixed = stem.copy()
-        mixed.update(name.encode())
-        return mixed.digest()
+        name_hash = key_hash.copy()
+        name_hash.update(name.encode())
+        return name_hash.digest()
 
     return max(names, key=weight)
 
@@ -59,8 +59,8 @@
 class Owners(NamedTuple):
     """Names of the edges that keep an object: for this zone, and for the region."""
 
-    local: str
-    home: str
+    zone_owner: str
+    region_owner: str
 
 
 class Peers:
@@ -69,16 +69,17 @@
     Attributes:
         members: the membership that the rest was worked out from.
         sessions: ready edges of the region by name.
-        zones: names of those edges by zone, this edge first in its own.
+        names_by_zone: names of those edges by zone, this edge first in its own.
         requests_in_flight: requests to each edge that wait for its response.
     """
 
     __slots__ = (
-        "answered_at",
         "idle_connections",
+        "last_response_at",
         "members",
         "name",
-        "owners",
+        "names_by_zone",
+        "owners_by_key",
         "region",
         "regions",
         "requests_in_flight",
@@ -87,7 +88,6 @@
         "suspected_until",
         "suspicion_seconds",
         "zone",
-        "zones",
     )
 
     def __init__(
@@ -99,11 +99,11 @@
         self.regions = regions
         self.zone = zone
         self.region = regions.get(zone, zone)
-        self.zones: dict[str, list[str]] = {zone: [name]}
-        self.owners: LRUCache[tuple[str, ...], Owners] = LRUCache(CACHED_OWNERS)
+        self.names_by_zone: dict[str, list[str]] = {zone: [name]}
+        self.owners_by_key: LRUCache[tuple[str, ...], Owners] = LRUCache(OWNER_CACHE_SIZE)
         self.members: dict[str, Session] | None = None
         self.sessions: dict[str, Session] = {}
-        self.answered_at: dict[str, float] = {}
+        self.last_response_at: dict[str, float] = {}
         self.requests_in_flight: Counter[str] = Counter()
         self.suspected_until: dict[str, float] = {}
         self.suspicion_seconds: dict[str, float] = {}
@@ -121,9 +121,9 @@
         for name, session in sorted(self.sessions.items()):
             if name != self.name:
                 zones.setdefault(session.zone, []).append(name)
-        if zones != self.zones:
-            self.zones = zones
-            self.owners.clear()
+        if zones != self.names_by_zone:
+            self.names_by_zone = zones
+            self.owners_by_key.clear()
         addresses = {session.request_address for session in self.sessions.values()}
         for address in [address for address in self.idle_connections if address not in addresses]:
             for idle in self.idle_connections.pop(address):
@@ -139,34 +139,43 @@
         )
 
     @property
-    def names(self) -> list[str]:
+    def zone_edge_names(self) -> list[str]:
         """The edges of this zone, this one among them."""
-        return self.zones[self.zone]
+        return self.names_by_zone[self.zone]
 
     def owners_of(self, key: tuple[str, ...]) -> Owners:
         """Return the owners of an object in this zone and in its home."""
-        found = self.owners.get(key)
-        if found is None:
-            home = owner_of(key, list(self.zones))
-            found = Owners(owner_of(key, self.zones[self.zone]), owner_of(key, self.zones[home]))
-            self.owners[key] = found
-        return found
-
-    def owner(self, key: tuple[str, ...], asked_from: str = "") -> Session | None:
+        owners = self.owners_by_key.get(key)
+        if owners is None:
+            fetching_zone = owner_of(key, list(self.names_by_zone))
+            owners = Owners(
+                owner_of(key, self.names_by_zone[self.zone]),
+                owner_of(key, self.names_by_zone[fetching_zone]),
+            )
+            self.owners_by_key[key] = owners
+        return owners
+
+    def owner_to_ask(self, key: tuple[str, ...], requesting_zone: str = "") -> Session | None:
         """Return the other edge to be asked for an object; None where this one fetches it itself.
 
         Args:
             key: host and target of the object.
-            asked_from: zone of the edge that asks this one; empty where it is a client's request.
+            requesting_zone: zone of the edge that sent the request; empty for a client's.
         """
         owners = self.owners_of(key)
-        if asked_from and asked_from != self.zone:
+        if requesting_zone and requesting_zone != self.zone:
             return None
-        if not asked_from and owners.local != self.name and not self.is_suspected(owners.local):
-            return self.sessions[owners.local]
-        if owners.home == self.name or self.is_suspected(owners.home):
+        if (
+            not requesting_zone
+            and owners.zone_owner != self.name
+            and not self.is_suspected(owners.zone_owner)
+        ):
+            return self.sessions[owners.zone_owner]
+        if owners.region_owner == self.name or self.is_suspected(owners.region_owner):
             return None
-        return self.sessions[owners.home] if owners.home != owners.local else None
+        return (
+            self.sessions[owners.region_owner] if owners.region_owner != owners.zone_owner else None
+        )
 
     def is_suspected(self, name: str) -> bool:
         """Whether an edge is passed by for now."""
@@ -174,36 +183,36 @@
 
     def suspect(self, session: Session) -> None:
         """Pass an edge by for a while that doubles until it answers or starts anew."""
-        before = self.suspicion_seconds.get(session.identity, SUSPICION_SECONDS / 2)
+        previous = self.suspicion_seconds.get(session.identity, INITIAL_SUSPICION_SECONDS / 2)
         # Earlier incarnations of the edge are forgotten.
         self.suspicion_seconds = {
             identity: seconds
             for identity, seconds in self.suspicion_seconds.items()
             if identity.partition("/")[0] != session.name
         }
-        seconds = min(SUSPICION_SECONDS_MOST, 2 * before)
+        seconds = min(MAX_SUSPICION_SECONDS, 2 * previous)
         self.suspicion_seconds[session.identity] = seconds
         self.suspected_until[session.name] = self.scheduler.now() + seconds
 
-    def record_answer(self, session: Session) -> None:
+    def record_response(self, session: Session) -> None:
         """An edge answered: its next silence is taken for the first again."""
         self.suspicion_seconds.pop(session.identity, None)
-        self.answered_at[session.name] = self.scheduler.now()
+        self.last_response_at[session.name] = self.scheduler.now()
 
-    def answered_since(self, session: Session, since: float) -> bool:
+    def responded_since(self, session: Session, since: float) -> bool:
         """Whether an edge answered anything since a monotonic time: it is slow then, not gone."""
-        answered_at = self.answered_at.get(session.name)
-        return answered_at is not None and answered_at >= since
+        last_response_at = self.last_response_at.get(session.name)
+        return last_response_at is not None and last_response_at >= since
 
-    def take_connection(self, address: str) -> IdleConnection | None:
+    def take_idle_connection(self, address: str) -> IdleConnection | None:
         """Return an idle connection to an edge, or None."""
         return take_idle(self.idle_connections.get(address, []), self.scheduler.now())
 
-    def keep_connection(self, address: str, connection: Connection, reader: Reader) -> None:
+    def keep_idle_connection(self, address: str, connection: Connection, reader: Reader) -> None:
         """Keep a connection for another request, or close it."""
         idle_connections = self.idle_connections.setdefault(address, [])
-        if is_clean(connection, reader) and len(idle_connections) < IDLE_CONNECTIONS_MOST:
-            until = self.scheduler.now() + IDLE_SECONDS
-            idle_connections.append(IdleConnection(connection, reader, until))
+        if is_clean(connection, reader) and len(idle_connections) < MAX_IDLE_CONNECTIONS:
+            expires_at = self.scheduler.now() + MAX_IDLE_SECONDS
+            idle_connections.append(IdleConnection(connection, reader, expires_at))
         else:
             connection.close()
--- a/packages/edge/ryelock/edge/plan.py
+++ b/packages/edge/ryelock/edge/plan.py
@@ -58,7 +58,7 @@
     return not prefix.endswith("/") or path.startswith(prefix)
 
 
-def host_of(value: bytes | None) -> str:
+def parse_host(value: bytes | None) -> str:
     """Return a Host field (RFC 9110, 7.2) without its port, in lower case."""
     host = (value or b"").decode("latin-1").strip().lower()
     if host.startswith("["):
@@ -66,7 +66,7 @@
     return host.partition(":")[0]
 
 
-def path_of(target: str) -> str:
+def parse_path(target: str) -> str:
     """Return the path of a target, also of one in absolute form (RFC 9112, 3.2.2)."""
     path = target.partition("?")[0]
     scheme = path[:8].lower()
--- a/packages/edge/ryelock/edge/preview.py
+++ b/packages/edge/ryelock/edge/preview.py
@@ -2,7 +2,7 @@
 
 from ryelock.cache import may_reuse
 from ryelock.edge.context import EdgeContext
-from ryelock.edge.plan import path_of
+from ryelock.edge.plan import parse_path
 from ryelock.edge.request import Request
 from ryelock.edge.routing import Router
 
@@ -22,18 +22,18 @@
         context = self.context
         now = context.scheduler.now()
         request = Request("", method, target, host, now, context.scheduler.clock.wall())
-        request.path = path_of(target)
+        request.path = parse_path(target)
         request.zone_verdicts = context.member.verdicts()
         route = self.router.find_route(request)
-        found = {**request.to_wire(), "serving": context.member.serving}
+        description = {**request.to_wire(), "serving": context.member.serving}
         if route is None:
-            return {**found, "status": 404, "reason": "no route"}
+            return {**description, "status": 404, "reason": "no route"}
         stored = context.store.find((request.route_name, host, target), [])
         is_hit = stored is not None and may_reuse(stored, route, [], now)
         candidates: list[dict[str, object]] = []
         address = self.pick_address(request, candidates)
         return {
-            **found,
+            **description,
             "cache": "hit" if is_hit else "miss" if route.cached else "not cached",
             "servers_weighed": candidates,
             "would_go_to": "a copy" if is_hit else address,
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -296,7 +296,7 @@
             return {"fault": "no orders come here"}
         identity = query.get("order")
         if isinstance(identity, str):
-            kept = handler.context.recent_requests.kept.get(identity)
+            kept = handler.context.recent_requests.by_identity.get(identity)
             if kept is None:
                 return {"fault": f"order {identity} is not remembered here"}
             return kept.to_wire()
--- a/packages/edge/ryelock/edge/quota_shares.py
+++ b/packages/edge/ryelock/edge/quota_shares.py
@@ -31,7 +31,7 @@
 
     def demand(self) -> dict[str, float]:
         """Return the requests a second that lately came, by service."""
-        return {name: queue.measure() for name, queue in self.admission_queues.items()}
+        return {name: queue.measure_demand() for name, queue in self.admission_queues.items()}
 
     def held(self) -> dict[str, float]:
         """Return the shares held now, in requests a second by service."""
@@ -56,7 +56,9 @@
     def wanted(self) -> dict[str, int]:
         """Return the requests that wait for a grant, by service where there are any."""
         return {
-            name: queue.wanted() for name, queue in self.admission_queues.items() if queue.wanted()
+            name: queue.count_waiting()
+            for name, queue in self.admission_queues.items()
+            if queue.count_waiting()
         }
 
     def set_shares(self, shares: dict[str, float], expires_at: float, edges: int) -> None:
--- a/packages/edge/ryelock/edge/rejections.py
+++ b/packages/edge/ryelock/edge/rejections.py
@@ -15,15 +15,15 @@
 """Retry-After of a rejection that belongs to no route."""
 DEFAULT_BACKOFF_SECONDS = 1.0
 BACKOFF_JITTER_SECONDS = 2.0
-BACKOFF_LEAST_PART = 0.05
-BACKOFF_SPREAD_PART = 0.15
+MIN_BACKOFF_FRACTION = 0.05
+BACKOFF_JITTER_FRACTION = 0.15
 """A caller comes back after these parts of the latency target, spread by chance."""
-CAPACITY_RETRY_AFTER_SECONDS_MOST = 0.9
+MAX_CAPACITY_RETRY_AFTER_SECONDS = 0.9
 """A caller is not kept away longer than this for want of room: the rate's shares move sooner."""
 RETRY_LATER_STATUSES = (429, 503)
-OWN_RETRY_LATER_STATUSES = (429, 502, 503, 504)
-CALLER_GONE_STATUS = 499
-CROWDED = (b"X-Ryelock-Outcome", b"crowded")
+NATIVE_RETRY_LATER_STATUSES = (429, 502, 503, 504)
+CLIENT_CLOSED_REQUEST_STATUS = 499
+AT_CAPACITY = (b"X-Ryelock-Outcome", b"crowded")
 """Tells a prober that the service is at its rate, so that the edge is not taken for faulty."""
 
 
@@ -50,11 +50,11 @@
         ):
             failure = replace(failure, status=502, capacity_in=0.0)
         self.record(request, failure)
-        if failure.status == CALLER_GONE_STATUS or exchange.client_disconnected:
+        if failure.status == CLIENT_CLOSED_REQUEST_STATUS or exchange.client_disconnected:
             exchange.abort()
             return
         if self.context.profile.own:
-            fields = self.own_fields(exchange, request, failure)
+            fields = self.native_fields(exchange, request, failure)
         else:
             fields = self.profile_fields(request, failure, may_retry_later)
         fields += peer_fields(request)
@@ -62,21 +62,21 @@
             FailureKind.OVER_RATE,
             FailureKind.OWNER_OVER_RATE,
         ):
-            capacity_in = min(failure.capacity_in, CAPACITY_RETRY_AFTER_SECONDS_MOST)
+            capacity_in = min(failure.capacity_in, MAX_CAPACITY_RETRY_AFTER_SECONDS)
             fields.append((CAPACITY_FIELD, b"%.3f" % capacity_in))
         body = b"" if exchange.head.method == b"HEAD" else rejection_body(request, failure)
         await exchange.respond(failure.status, fields, body)
 
     def record(self, request: Request, failure: Failure) -> None:
         """Note the failure for the metrics and for explain."""
-        self.context.metrics.refusals.add(request.service, request.asked_by, failure.kind)
+        self.context.metrics.refusals.add(request.service, request.sender_kind, failure.kind)
         request.status = failure.status
         request.reason = failure.reason
         request.outcome = Outcome.UNKNOWN if failure.outcome_unknown else Outcome.NOT_RUN
         if request.request_class is RequestClass.IDEMPOTENT and request.was_sent:
             request.outcome = Outcome.NO_ANSWER
 
-    def own_fields(self, exchange: HttpExchange, request: Request, failure: Failure) -> Fields:
+    def native_fields(self, exchange: HttpExchange, request: Request, failure: Failure) -> Fields:
         """Return the fields of a rejection on the project's own interface.
 
         Retry-After (RFC 9110, 10.2.3) is spread by chance, lest all callers come back at once.
@@ -85,8 +85,8 @@
         has_key = field(exchange.head.fields, b"idempotency-key") is not None
         retry_after: Fields = []
         if request.is_probe and request.admission is AdmissionOutcome.NO_SHARE:
-            outcome = CROWDED
-        elif failure.status in OWN_RETRY_LATER_STATUSES and (
+            outcome = AT_CAPACITY
+        elif failure.status in NATIVE_RETRY_LATER_STATUSES and (
             not failure.outcome_unknown or has_key
         ):
             jitter = self.context.random.random() * BACKOFF_JITTER_SECONDS
@@ -108,8 +108,8 @@
             value = b"%.3f" % seconds if profile.fractions else b"%d" % math.ceil(seconds)
             fields.append((b"Retry-After", value))
         fields.append((profile.identity, request.identity.encode("latin-1")))
-        if request.is_probe and self.is_crowded(request):
-            fields.append(CROWDED)
+        if request.is_probe and self.is_at_capacity(request):
+            fields.append(AT_CAPACITY)
         return fields
 
     def retry_after(self, request: Request, failure: Failure) -> float:
@@ -123,9 +123,9 @@
         backoff = backoff_seconds(self.context, request.route)
         if not math.isfinite(failure.capacity_in):
             return backoff
-        return max(backoff, min(backoff + failure.capacity_in, CAPACITY_RETRY_AFTER_SECONDS_MOST))
+        return max(backoff, min(backoff + failure.capacity_in, MAX_CAPACITY_RETRY_AFTER_SECONDS))
 
-    def is_crowded(self, request: Request) -> bool:
+    def is_at_capacity(self, request: Request) -> bool:
         """Whether a request failed since the service is at its rate or its servers are full."""
         now = self.context.scheduler.now()
         return request.admission in (AdmissionOutcome.OVER_RATE, AdmissionOutcome.NO_SHARE) or any(
@@ -138,8 +138,8 @@
     """Return seconds after which to come back: within the time that is of full value."""
     if context.profile.own or not route.target_seconds:
         return DEFAULT_BACKOFF_SECONDS
-    spread = BACKOFF_SPREAD_PART * context.random.random()
-    return route.target_seconds * (BACKOFF_LEAST_PART + spread)
+    jitter = BACKOFF_JITTER_FRACTION * context.random.random()
+    return route.target_seconds * (MIN_BACKOFF_FRACTION + jitter)
 
 
 def rejection_body(request: Request, failure: Failure) -> bytes:
--- a/packages/edge/ryelock/edge/relay.py
+++ b/packages/edge/ryelock/edge/relay.py
@@ -22,7 +22,7 @@
 BODILESS_STATUSES = (204, 304)
 """Statuses whose responses have no body (RFC 9110, 6.4.1)."""
 
-CutError = IncompleteMessageError | ReadTimeoutError | FramingError
+RelayError = IncompleteMessageError | ReadTimeoutError | FramingError
 
 
 class ResponseRelay:
@@ -40,21 +40,21 @@
     ) -> None:
         """Send a server's response, chunk by chunk; it is cut where the server's is cut."""
         request.status = upstream.head.status
-        done = False
+        completed = False
         try:
             fields = self.streamed_fields(request, upstream)
             length = length_to_send(exchange.head.method, upstream)
             exchange.send_head(upstream.head.status, upstream.head.reason, fields, length, False)
             if await self.stream_body(exchange, upstream):
                 exchange.finish()
-                done = True
+                completed = True
                 request.outcome = Outcome.ANSWERED
                 exchange.detach_from_client()
                 self.release_connection(upstream)
         except (IncompleteMessageError, ReadTimeoutError, FramingError) as error:
-            self.on_cut(exchange, request, upstream, error)
+            self.on_relay_error(exchange, request, upstream, error)
         finally:
-            if not done:
+            if not completed:
                 exchange.detach_from_client()
                 exchange.abort()
                 upstream.connection.abort()
@@ -62,7 +62,7 @@
     def streamed_fields(self, request: Request, upstream: UpstreamResponse) -> Fields:
         """Return a server's fields that go on to the caller, and this edge's own."""
         fields = end_to_end(upstream.head.fields)
-        fields += self.own_fields(request) + peer_fields(request)
+        fields += self.native_fields(request) + peer_fields(request)
         if request.peer is not None:
             fields.append((RELAYED_FIELD, b"1"))
         return fields
@@ -71,28 +71,28 @@
         """Send the body; False where the caller takes no more."""
         now, idle_seconds = self.context.scheduler.now, self.context.settings.idle_seconds
         body = upstream.response.body
-        taken = await exchange.send(upstream.prefix, idle_seconds)
-        until = now() + idle_seconds
-        while taken and not body.complete:
-            chunk = await body.read_chunk(until)
+        accepted = await exchange.send(upstream.prefix, idle_seconds)
+        deadline = now() + idle_seconds
+        while accepted and not body.complete:
+            chunk = await body.read_chunk(deadline)
             if not chunk:
                 continue
-            until = now() + idle_seconds
-            taken = await exchange.send(chunk, idle_seconds)
-        if taken and upstream.reader.buffer and self.context.profile.own:
+            deadline = now() + idle_seconds
+            accepted = await exchange.send(chunk, idle_seconds)
+        if accepted and upstream.reader.buffer and self.context.profile.own:
             raise FramingError(502, "bytes behind the answer's end")
-        return taken
+        return accepted
 
-    def on_cut(
+    def on_relay_error(
         self,
         exchange: HttpExchange,
         request: Request,
         upstream: UpstreamResponse,
-        error: CutError,
+        error: RelayError,
     ) -> None:
         """A server's response ended early; that is the server's fault unless the caller left."""
-        request.reason = f"the server's answer was cut: {describe_cut(error)}"
-        request.outcome = Outcome.CUT
+        request.reason = f"the server's answer was cut: {describe_relay_error(error)}"
+        request.outcome = Outcome.TRUNCATED
         if exchange.client_disconnected:
             return
         self.context.servers.record_result(upstream.server, False, 0.0)
@@ -120,7 +120,7 @@
     ) -> None:
         """Send a server's response that the owner of the object relayed."""
         head = relayed.head
-        fields = [*head.fields, *self.own_fields(request)]
+        fields = [*head.fields, *self.native_fields(request)]
         length = None if head.status in BODILESS_STATUSES else len(relayed.body)
         request.status = head.status
         request.outcome = Outcome.ANSWERED
@@ -144,7 +144,7 @@
         if status == 200:
             self.served_objects.record(exchange, request, body or stored.etag)
         length = None if status == 304 else len(body)
-        fields = [*fields, *self.own_fields(request)]
+        fields = [*fields, *self.native_fields(request)]
         exchange.send_head(status, reason, fields, length, False)
         await self.send_body(exchange, body)
 
@@ -155,7 +155,7 @@
         else:
             exchange.abort()
 
-    def own_fields(self, request: Request) -> Fields:
+    def native_fields(self, request: Request) -> Fields:
         """Return the fields that this edge adds on the project's own interface."""
         if not self.context.profile.own:
             return []
@@ -189,7 +189,7 @@
     return None
 
 
-def describe_cut(error: CutError) -> str:
+def describe_relay_error(error: RelayError) -> str:
     """Return how explain names what cut a response; the names do not follow those of classes."""
     match error:
         case FramingError():
--- a/packages/edge/ryelock/edge/request.py
+++ b/packages/edge/ryelock/edge/request.py
@@ -32,7 +32,7 @@
 class AdmissionOutcome(StrEnum):
     """What admission control decided; the values stand in explain's answer."""
 
-    NOT_ASKED = ""
+    UNDECIDED = ""
     ADMITTED = "allowed"
     OVER_RETRY_BUDGET = "over the budget of repeats"
     OVER_RATE = "declined: over the service's rate or queue"
@@ -42,13 +42,13 @@
 class Outcome(StrEnum):
     """How a request ended; the values stand in explain and in the body of a rejection."""
 
-    OPEN = ""
+    IN_PROGRESS = ""
     ANSWERED = "answered"
-    CUT = "cut"
+    TRUNCATED = "cut"
     NOT_RUN = "not run"
     UNKNOWN = "unknown"
     NO_ANSWER = "no answer"
-    CALLER_LEFT = "caller left"
+    CLIENT_DISCONNECTED = "caller left"
     ENDED = "ended"
 
 
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerOrigin:
+class RequestingPeer:
     """What a peer edge tells of itself with a request that it asks this edge for.
 
     Attributes:
@@ -163,7 +163,7 @@
     body: bytes = b""
     named_by_caller: bool = False
     is_probe: bool = False
-    peer: PeerOrigin | None = None
+    peer: RequestingPeer | None = None
     is_retry: bool = False
     attempts_left: int = 0
     route: Route | None = None
@@ -173,7 +173,7 @@
     version: int = 0
     zone_verdicts: dict[str, str] = field(default_factory=dict)
     cache_status: CacheStatus = CacheStatus.UNUSED
-    admission: AdmissionOutcome = AdmissionOutcome.NOT_ASKED
+    admission: AdmissionOutcome = AdmissionOutcome.UNDECIDED
     retry_refused: bool = False
     candidates: list[dict[str, object]] = field(default_factory=list)
     attempts: list[Attempt | OwnerAttempt] = field(default_factory=list)
@@ -181,7 +181,7 @@
     held_key: bytes | None = None
     fill: Fill | None = None
     status: int = 0
-    outcome: Outcome = Outcome.OPEN
+    outcome: Outcome = Outcome.IN_PROGRESS
     reason: str = ""
     duration: float = 0.0
 
@@ -215,7 +215,7 @@
         return any(attempt.may_have_run for attempt in self.attempts)
 
     @property
-    def asked_by(self) -> str:
+    def sender_kind(self) -> str:
         """Who sent it: a client, another edge or a prober; the value of a metric's label."""
         return "prober" if self.is_probe else "edge" if self.peer is not None else "client"
 
@@ -248,16 +248,16 @@
 class RecentRequests:
     """The last requests of this edge by identity, for explain; bounded."""
 
-    __slots__ = ("kept", "most")
+    __slots__ = ("by_identity", "max_requests")
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_requests: int) -> None:
         """Create an empty record of at most so many requests."""
-        self.most = most
-        self.kept: OrderedDict[str, Request] = OrderedDict()
+        self.max_requests = max_requests
+        self.by_identity: OrderedDict[str, Request] = OrderedDict()
 
-    def keep(self, request: Request) -> None:
+    def add(self, request: Request) -> None:
         """Remember an ended request, without its body."""
         request.body = b""
-        self.kept[request.identity] = request
-        while len(self.kept) > self.most:
-            self.kept.popitem(last=False)
+        self.by_identity[request.identity] = request
+        while len(self.by_identity) > self.max_requests:
+            self.by_identity.popitem(last=False)
--- a/packages/edge/ryelock/edge/response_validator.py
+++ b/packages/edge/ryelock/edge/response_validator.py
@@ -7,7 +7,7 @@
 
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.failures import (
-    ForeignResponseError,
+    MismatchedResponseError,
     ServerBusyError,
     ServerRejectedError,
     UnsealedResponseError,
@@ -41,9 +41,9 @@
             return not at_most_once
         if request.is_probe or not request.named_by_caller:
             return False
-        return not at_most_once or request.identity not in self.context.recent_requests.kept
+        return not at_most_once or request.identity not in self.context.recent_requests.by_identity
 
-    def is_for(self, request: Request, head: ResponseHead) -> bool:
+    def belongs_to(self, request: Request, head: ResponseHead) -> bool:
         """Whether a response says that it is this request's, where responses say whose they are."""
         identity_field = self.context.profile.identity
         if not identity_field:
@@ -51,14 +51,14 @@
         identity = field(head.fields, identity_field.lower())
         return identity is not None and identity.decode("latin-1") == request.identity
 
-    def is_left_over(self, request: Request, head: ResponseHead, reused: bool) -> bool:
+    def should_skip(self, request: Request, head: ResponseHead, reused: bool) -> bool:
         """Whether a response is to be skipped, since this request's may still follow it.
 
         A server may send one too many; it comes where the next request's is due. One under another
         name is skipped on any connection; one under no name only on a reused connection: on a new
         one nothing else can be due.
         """
-        if request.is_probe or self.is_for(request, head):
+        if request.is_probe or self.belongs_to(request, head):
             return False
         return reused or field(head.fields, self.context.profile.identity.lower()) is not None
 
@@ -70,8 +70,8 @@
         profile = self.context.profile
         if profile.own:
             return None
-        if not request.is_probe and not self.is_for(request, head):
-            return ForeignResponseError(self.foreign_reason(head))
+        if not request.is_probe and not self.belongs_to(request, head):
+            return MismatchedResponseError(self.mismatch_reason(head))
         if head.status == MISDIRECTED or self.is_rejection(head):
             return ServerRejectedError(head.status)
         if not self.is_sealed(head):
@@ -80,7 +80,7 @@
             return ServerBusyError(head.status)
         return None
 
-    def foreign_reason(self, head: ResponseHead) -> str:
+    def mismatch_reason(self, head: ResponseHead) -> str:
         """Return why a response is taken for another request's."""
         if field(head.fields, self.context.profile.identity.lower()) is None:
             return "an answer that does not say whose it is"
--- a/packages/edge/ryelock/edge/retry_detector.py
+++ b/packages/edge/ryelock/edge/retry_detector.py
@@ -5,9 +5,9 @@
 
 from collections import OrderedDict
 
-Caller = bytes
+CallerDigest = bytes
 """Digest of who asks for what: address, client, credentials, method, host and target."""
-NEW_REPORTS_MOST = 200
+MAX_NEW_REPORTS = 200
 
 
 class RetryDetector:
@@ -19,44 +19,44 @@
     other edges, a moment later, since a caller may retry at any of them.
     """
 
-    __slots__ = ("failures", "most", "new_reports", "seconds")
+    __slots__ = ("failures", "max_callers", "new_reports", "window_seconds")
 
-    def __init__(self, seconds: float, most: int = 20_000) -> None:
+    def __init__(self, window_seconds: float, max_callers: int = 20_000) -> None:
         """Create a detector.
 
         Args:
-            seconds: how long after a failure a request counts as its retry.
-            most: how many callers are remembered.
+            window_seconds: how long after a failure a request counts as its retry.
+            max_callers: how many callers are remembered.
         """
-        self.seconds = seconds
-        self.most = most
-        self.failures: OrderedDict[Caller, list[float]] = OrderedDict()
-        self.new_reports: list[Caller] = []
+        self.window_seconds = window_seconds
+        self.max_callers = max_callers
+        self.failures: OrderedDict[CallerDigest, list[float]] = OrderedDict()
+        self.new_reports: list[CallerDigest] = []
 
-    def report(self, caller: Caller, now: float) -> None:
+    def report(self, caller: CallerDigest, now: float) -> None:
         """Record a failure of this edge's, also for the other edges."""
-        if len(self.new_reports) < NEW_REPORTS_MOST:
+        if len(self.new_reports) < MAX_NEW_REPORTS:
             self.new_reports.append(caller)
         self.record(caller, now)
 
-    def take_new_reports(self) -> list[Caller]:
+    def take_new_reports(self) -> list[CallerDigest]:
         """Return this edge's failures since the last call, for the other edges."""
         new_reports, self.new_reports = self.new_reports, []
         return new_reports
 
-    def record(self, caller: Caller, now: float) -> None:
+    def record(self, caller: CallerDigest, now: float) -> None:
         """Record a failure of this edge's or another's."""
         self.failures.setdefault(caller, []).append(now)
         self.failures.move_to_end(caller)
-        while len(self.failures) > self.most:
+        while len(self.failures) > self.max_callers:
             self.failures.popitem(last=False)
 
-    def is_retry(self, caller: Caller, now: float) -> bool:
+    def is_retry(self, caller: CallerDigest, now: float) -> bool:
         """Whether a request of this caller follows a recent failure."""
         failed_at = self.failures.get(caller)
-        return failed_at is not None and now - failed_at[-1] <= self.seconds
+        return failed_at is not None and now - failed_at[-1] <= self.window_seconds
 
-    def count_retry(self, caller: Caller) -> None:
+    def count_retry(self, caller: CallerDigest) -> None:
         """A retry was sent: it uses up one failure, the oldest."""
         failed_at = self.failures.get(caller)
         if failed_at is not None:
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -2,8 +2,8 @@
 
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.peer_protocol import PEER_FIELD, SERVERS_FIELD, parse_count
-from ryelock.edge.plan import has_dot_segments, host_of, path_of
-from ryelock.edge.request import PeerOrigin, Request, RequestClass
+from ryelock.edge.plan import has_dot_segments, parse_host, parse_path
+from ryelock.edge.request import Request, RequestClass, RequestingPeer
 from ryelock.http import Fields, HttpExchange, field
 from ryelock.replicated_state import Route
 
@@ -11,7 +11,7 @@
 """Methods that may be retried (RFC 9110, 9.2.1)."""
 RESPONSE_MARGIN_SECONDS = 0.02
 """Part of a caller's deadline that is left for the response to reach it."""
-NUMBER_DIGITS_MOST = 18
+MAX_NUMBER_DIGITS = 18
 
 
 class Router:
@@ -39,18 +39,18 @@
             else f"{context.name}-{context.member.session.incarnation}-{context.requests_opened}",
             head.method.decode("latin-1"),
             head.target.decode("latin-1"),
-            host_of(field(head.fields, b"host")),
+            parse_host(field(head.fields, b"host")),
             exchange.received_at,
             context.scheduler.clock.wall(),
         )
-        request.path = path_of(request.target)
+        request.path = parse_path(request.target)
         request.named_by_caller = bool(identity)
         request.is_probe = self.is_probe(field(head.fields, b"x-ryelock-probe"))
-        request.peer = self.peer_origin(head.fields)
+        request.peer = self.requesting_peer(head.fields)
         request.zone_verdicts = context.member.verdicts()
         return request
 
-    def peer_origin(self, fields: Fields) -> PeerOrigin | None:
+    def requesting_peer(self, fields: Fields) -> RequestingPeer | None:
         """Return the edge that a request comes from, if it is a member; None for any other caller.
 
         What is fetched for another edge goes under the caller's name: servers repeat no other.
@@ -70,14 +70,17 @@
         ):
             return None
         max_attempts = parse_count(field(fields, SERVERS_FIELD.lower()))
-        return PeerOrigin(session.zone, int(parts[2]), int(parts[3]), max_attempts)
+        return RequestingPeer(session.zone, int(parts[2]), int(parts[3]), max_attempts)
 
     def is_probe(self, value: bytes | None) -> bool:
         """Whether a request comes from a prober that is a member; others may claim it in vain."""
-        name, _, mark = (value or b"").decode("latin-1").partition(" ")
+        name, _, secret = (value or b"").decode("latin-1").partition(" ")
         session = self.context.member.members.get(name)
         return (
-            session is not None and session.probes and mark != "" and session.probe_secret == mark
+            session is not None
+            and session.probes
+            and secret != ""
+            and session.probe_secret == secret
         )
 
     def find_route(self, request: Request) -> Route | None:
@@ -113,16 +116,16 @@
 
         The earliest of the listener's, the route's and the caller's own deadline.
         """
-        until = exchange.deadline
+        deadline = exchange.deadline
         if route.deadline_seconds:
-            until = min(until, exchange.received_at + route.deadline_seconds)
+            deadline = min(deadline, exchange.received_at + route.deadline_seconds)
         deadline_field = self.context.profile.deadline
         if deadline_field:
             value = field(exchange.head.fields, deadline_field.lower()) or b""
             if value.isdigit() and len(value) < 10:
-                callers = exchange.received_at + int(value) / 1000
-                until = min(until, callers - RESPONSE_MARGIN_SECONDS)
-        return until
+                client_deadline = exchange.received_at + int(value) / 1000
+                deadline = min(deadline, client_deadline - RESPONSE_MARGIN_SECONDS)
+        return deadline
 
     def may_still_send(self, request: Request) -> bool:
         """Whether the lease holds and the version in force still names this service.
@@ -144,4 +147,4 @@
 
 def is_number(text: str) -> bool:
     """Whether a text is a whole number of a size that the wire allows."""
-    return text.isascii() and text.isdigit() and len(text) <= NUMBER_DIGITS_MOST
+    return text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
--- a/packages/edge/ryelock/edge/served_objects.py
+++ b/packages/edge/ryelock/edge/served_objects.py
@@ -5,7 +5,7 @@
 from ryelock.http import HttpExchange, field
 from ryelock.replicated_state import MAX_DERIVED_WATCHES
 
-TARGET_LENGTH_MOST = 300
+MAX_TARGET_LENGTH = 300
 
 
 class ServedObjects:
@@ -28,7 +28,7 @@
             or request.is_probe
             or not content
             or exchange.head.method != b"GET"
-            or len(request.target) > TARGET_LENGTH_MOST
+            or len(request.target) > MAX_TARGET_LENGTH
             or field(fields, b"authorization") is not None
             or field(fields, b"cookie") is not None
         ):
@@ -40,7 +40,12 @@
     def report(self) -> list[list[str]]:
         """Return route, host and target of each object; what needs no watch is forgotten."""
         derivable = self.context.member.replicated_state.derivable
-        self.latest = {route: found for route, found in self.latest.items() if route in derivable}
+        self.latest = {
+            route: served_object
+            for route, served_object in self.latest.items()
+            if route in derivable
+        }
         return [
-            [route, *found] for route, found in sorted(self.latest.items())[:MAX_DERIVED_WATCHES]
+            [route, *served_object]
+            for route, served_object in sorted(self.latest.items())[:MAX_DERIVED_WATCHES]
         ]
--- a/packages/edge/ryelock/edge/upstream_client.py
+++ b/packages/edge/ryelock/edge/upstream_client.py
@@ -32,9 +32,9 @@
 from ryelock.http.errors import ResponseCutError, UnusableResponseError
 from ryelock.runtime import Connection
 
-RESPONSES_SKIPPED_MOST = 2
+MAX_SKIPPED_RESPONSES = 2
 """How many responses to other requests are skipped on one connection."""
-ATTEMPT_PART = 0.6
+ATTEMPT_TIMEOUT_FRACTION = 0.6
 """Part of the time left that an attempt may take where another one can follow it."""
 
 
@@ -94,14 +94,14 @@
             self.context.metrics.attempts.add(call.request.service)
             sent_at = self.context.scheduler.now()
             self.writer.write(call, server, upstream.connection)
-            found = await self.receive(call, server, upstream, sent_at, is_last)
-            succeeded = found.is_ok()
-            return found
+            result = await self.receive(call, server, upstream, sent_at, is_last)
+            succeeded = result.is_ok()
+            return result
         except FramingError as error:
-            self.log_broken(call.request, server, error.reason)
+            self.log_broken_response(call.request, server, error.reason)
             return Error(UnusableResponseError(error.reason))
         except IncompleteMessageError:
-            self.log_broken(call.request, server, "cut")
+            self.log_broken_response(call.request, server, "cut")
             return Error(ResponseCutError("the answer was cut"))
         except ReadTimeoutError:
             return Error(ResponseTimeoutError("no answer in time"))
@@ -128,22 +128,22 @@
         the request leaves.
         """
         context, connection = self.context, upstream.connection
-        left = min(context.settings.connect_seconds, call.until - context.scheduler.now())
-        if not connection.connected and not await connection.wait_connected(max(0.0, left)):
+        remaining = min(context.settings.connect_seconds, call.deadline - context.scheduler.now())
+        if not connection.connected and not await connection.wait_connected(max(0.0, remaining)):
             return ConnectFailedError()
         if not context.servers.is_live(server, call.request.service, context.scheduler.now()):
             return AttemptCancelledError(
                 FailureKind.SERVER_LEAVING, "the server is leaving or gone"
             )
         if call.exchange.client_disconnected:
-            return AttemptCancelledError(FailureKind.CALLER_LEFT, "the caller left")
+            return AttemptCancelledError(FailureKind.CLIENT_DISCONNECTED, "the caller left")
         if not self.router.may_still_send(call.request):
             return AttemptCancelledError(FailureKind.ROUTE_CHANGED, "the term or the route changed")
         if upstream.has_stray_bytes:
             return StrayBytesError()
-        if call.ends_with_caller:
+        if call.cancelled_with_client:
             call.exchange.abort_with_client(connection)
-        if not self.admission.count_send(call.exchange, call.request):
+        if not self.admission.charge_retry_budget(call.exchange, call.request):
             return AttemptCancelledError(FailureKind.RETRY_BUDGET, "over the budget of repeats")
         return None
 
@@ -157,19 +157,19 @@
     ) -> Result[UpstreamResponse, ClientError]:
         """Read this request's response, as far as it is to be read before it is judged."""
         request, own = call.request, self.context.profile.own
-        found = await self.read_own_response(
+        result = await self.read_matching_response(
             call, upstream, self.response_deadline(call, sent_at, is_last)
         )
-        if found.is_error():
-            return Error(found.error)
-        response, prefix, complete = found.ok
+        if result.is_error():
+            return Error(result.error)
+        response, prefix, complete = result.ok
         if request.is_probe and not own:
             response.keep_alive = False
         error = self.validator.find_error(request, response.head)
         if error is not None:
             return Error(error)
         if complete and upstream.reader.buffer and own:
-            self.log_broken(request, server, "bytes behind the answer")
+            self.log_broken_response(request, server, "bytes behind the answer")
             return Error(UnusableResponseError("bytes behind the answer's end"))
         return Ok(
             UpstreamResponse(
@@ -189,21 +189,21 @@
 
         An attempt that another one may follow leaves a part of the time to that.
         """
-        until = min(call.until, sent_at + self.service_seconds(call.request))
+        deadline = min(call.deadline, sent_at + self.service_timeout_seconds(call.request))
         idempotent = call.request.request_class is RequestClass.IDEMPOTENT
         if idempotent and not is_last and not self.context.profile.own:
-            until = min(until, sent_at + ATTEMPT_PART * (call.until - sent_at))
-        return until
+            deadline = min(deadline, sent_at + ATTEMPT_TIMEOUT_FRACTION * (call.deadline - sent_at))
+        return deadline
 
-    def service_seconds(self, request: Request) -> float:
+    def service_timeout_seconds(self, request: Request) -> float:
         """Return the longest time that the request's service may take."""
         queue = self.context.admission_queues.get(request.service)
         if queue is None:
             return self.context.settings.order_seconds
         return queue.service.answer_seconds
 
-    async def read_own_response(
-        self, call: UpstreamCall, upstream: UpstreamConnection, until: float
+    async def read_matching_response(
+        self, call: UpstreamCall, upstream: UpstreamConnection, deadline: float
     ) -> Result[tuple[Response, bytes, bool], ClientError]:
         """Read up to the response that is not left over from another request.
 
@@ -212,19 +212,21 @@
         """
         settings = self.context.settings
         storable_bytes = settings.answer_bytes if call.for_cache else None
-        for _ in range(RESPONSES_SKIPPED_MOST + 1):
-            found = await read_response(upstream.reader, call.method, settings.head_bytes, until)
-            if found.is_error():
-                return Error(found.error)
-            response = found.ok
-            prefix, complete = await read_prefix(response, call.until, storable_bytes)
-            if not complete or not self.validator.is_left_over(
+        for _ in range(MAX_SKIPPED_RESPONSES + 1):
+            result = await read_response(
+                upstream.reader, call.method, settings.head_bytes, deadline
+            )
+            if result.is_error():
+                return Error(result.error)
+            response = result.ok
+            prefix, complete = await read_prefix(response, call.deadline, storable_bytes)
+            if not complete or not self.validator.should_skip(
                 call.request, response.head, upstream.reused
             ):
                 break
         return Ok((response, prefix, complete))
 
-    def log_broken(self, request: Request, server: ServerState, fault: str) -> None:
+    def log_broken_response(self, request: Request, server: ServerState, fault: str) -> None:
         """Log that a server's response breaks HTTP."""
         self.context.log.write(
             RESPONSE_BROKEN,
--- a/packages/edge/ryelock/edge/upstream_request.py
+++ b/packages/edge/ryelock/edge/upstream_request.py
@@ -25,7 +25,7 @@
         queue: the admission queue that let it through.
         for_cache: whether the response is fetched for the cache, so that it serves others too.
         stored: a stored response to be validated (RFC 9111, 4.3.1).
-        until: monotonic time up to which it may be worked on.
+        deadline: monotonic time up to which it may be worked on.
     """
 
     exchange: HttpExchange
@@ -34,7 +34,7 @@
     queue: AdmissionQueue
     for_cache: bool
     stored: StoredResponse | None
-    until: float
+    deadline: float
 
     @property
     def method(self) -> bytes:
@@ -42,7 +42,7 @@
         return b"GET" if self.for_cache else self.exchange.head.method
 
     @property
-    def ends_with_caller(self) -> bool:
+    def cancelled_with_client(self) -> bool:
         """Whether a server's work is for this caller alone and may be broken off when it leaves.
 
         What is fetched for the cache serves others too, and what may run once is left to end.
@@ -97,8 +97,8 @@
     def add_profile_fields(self, call: UpstreamCall, server: ServerState, fields: Fields) -> None:
         """Tell the server how much time is left and which incarnation of it is meant."""
         profile = self.context.profile
-        left = call.until - self.context.scheduler.now()
-        fields.append((profile.deadline, b"%d" % max(1, int(left * 1000))))
+        remaining = call.deadline - self.context.scheduler.now()
+        fields.append((profile.deadline, b"%d" % max(1, int(remaining * 1000))))
         fields.append((profile.expected, server.server.incarnation.encode()))
 
 
--- a/packages/edge/ryelock/edge/upstream_response.py
+++ b/packages/edge/ryelock/edge/upstream_response.py
@@ -6,7 +6,7 @@
 from ryelock.http import Reader, Response, ResponseHead
 from ryelock.runtime import Connection
 
-PREFIX_BYTES_MOST = 65_536
+MAX_PREFIX_BYTES = 65_536
 """Longest body that is read whole before its head goes to the caller."""
 
 
@@ -36,30 +36,30 @@
 
 
 async def read_prefix(
-    response: Response, until: float, storable_bytes: int | None
+    response: Response, deadline: float, storable_bytes: int | None
 ) -> tuple[bytes, bool]:
     """Read a short or storable body whole, and nothing of a longer one.
 
     Args:
         response: the response whose head was read.
-        until: monotonic time up to which the body is waited for.
+        deadline: monotonic time up to which the body is waited for.
         storable_bytes: longest body that is read for the cache; None where it is not to be stored.
 
     Returns:
         What was read, and whether it is the whole body.
     """
-    most = PREFIX_BYTES_MOST if storable_bytes is None else storable_bytes
+    max_bytes = MAX_PREFIX_BYTES if storable_bytes is None else storable_bytes
     body = response.body
     if body.complete:
         return b"", True
     if body.chunked and storable_bytes is None:
         return b"", False
-    if not body.chunked and body.bytes_left > most:
+    if not body.chunked and body.bytes_left > max_bytes:
         return b"", False
     chunks: list[bytes] = []
     total = 0
-    while total <= most:
-        chunk = await body.read_chunk(until)
+    while total <= max_bytes:
+        chunk = await body.read_chunk(deadline)
         if not chunk and body.complete:
             return b"".join(chunks), True
         chunks.append(chunk)
--- a/packages/testing/ryelock/testing/cases/answers.py
+++ b/packages/testing/ryelock/testing/cases/answers.py
@@ -100,7 +100,7 @@
         self.certain = all(arrival.turned_away for arrival in arrivals[:-1])
         self.right = told.body == body_of(name, target.encode())
         self.injected = False
-        request = fleet.handler().context.recent_requests.kept.get(name)
+        request = fleet.handler().context.recent_requests.by_identity.get(name)
         attempts = request.attempts if request is not None else []
         self.why = [
             attempt.fault
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -119,7 +119,7 @@
 
 
 def every_answer_is_mine() -> list[Patch]:
-    return [mock.patch.object(ResponseValidator, "is_for", lambda *_arguments: True)]
+    return [mock.patch.object(ResponseValidator, "belongs_to", lambda *_arguments: True)]
 
 
 def idle_bytes_are_read() -> list[Patch]:
--- a/tests/edge/test_owner_client.py
+++ b/tests/edge/test_owner_client.py
@@ -33,7 +33,7 @@
     found = [
         target
         for target in (f"/covers/{place}" for place in range(400))
-        if owner_of((HOST, target), handler.context.peers.names) == owner
+        if owner_of((HOST, target), handler.context.peers.zone_edge_names) == owner
     ]
     return found[number]
 
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -11,7 +11,7 @@
 
 from ryelock.control_plane.membership_changes import MembershipChanges
 from ryelock.edge.peers import Peers, owner_of
-from ryelock.edge.request import PeerOrigin
+from ryelock.edge.request import RequestingPeer
 from ryelock.edge.routing import Router
 from ryelock.edge.session_messages import MembershipUpdate
 from ryelock.http import fetch, field
@@ -33,7 +33,7 @@
     return next(
         f"/covers/{number}"
         for number in range(300)
-        if owner_of((HOST, f"/covers/{number}"), handler.context.peers.names) == owner
+        if owner_of((HOST, f"/covers/{number}"), handler.context.peers.zone_edge_names) == owner
     )
 
 
@@ -129,13 +129,13 @@
 
     def test_an_owner_behind_a_purge_is_not_believed(self) -> None:
         """Without the number of purges an edge takes back what it has just dropped."""
-        plain = Router.peer_origin
+        plain = Router.requesting_peer
 
-        def believing(router: Router, fields: Any) -> PeerOrigin | None:
+        def believing(router: Router, fields: Any) -> RequestingPeer | None:
             origin = plain(router, fields)
             return None if origin is None else replace(origin, purges=0, version=0)
 
-        with mock.patch.object(Router, "peer_origin", believing):
+        with mock.patch.object(Router, "requesting_peer", believing):
             found = [self.behind(seed) for seed in range(3)]
         self.assertTrue(all(found), "an owner that is behind gave an old copy")
         self.assertFalse(any(self.behind(seed) for seed in range(3)))
@@ -173,7 +173,7 @@
         handler = scenario.node(scenario.edges[0]).traffic.handler
         assert handler is not None and isinstance(handler.context.peers, Peers)
         handler.context.peers.update_members(handler.context.member.members)
-        self.assertIsNone(handler.context.peers.owner(("", "/covers/1")))
+        self.assertIsNone(handler.context.peers.owner_to_ask(("", "/covers/1")))
 
 
 class MembersTests(testtools.TestCase):
@@ -279,7 +279,7 @@
     def way(self, members: dict[str, Session], name: str, key: tuple[str, str]) -> list[str]:
         """The edges that a request goes through, from the one that a client asked."""
         found, asked_from = [name], ""
-        while (owner := self.view(found[-1], members).owner(key, asked_from)) is not None:
+        while (owner := self.view(found[-1], members).owner_to_ask(key, asked_from)) is not None:
             asked_from = members[found[-1]].zone
             found.append(owner.name)
         return found
@@ -322,13 +322,13 @@
             key = (HOST, f"/covers/{number}")
             for name in members:
                 peers = self.view(name, members)
-                first = peers.owner(key)
+                first = peers.owner_to_ask(key)
                 if first is None:
                     continue
                 peers.suspect(first)
                 owners = peers.owners_of(key)
-                then = peers.owner(key)
-                if owners.home in (name, first.name):
+                then = peers.owner_to_ask(key)
+                if owners.region_owner in (name, first.name):
                     self.assertIsNone(then)
                 else:
-                    self.assertEqual(owners.home, then.name if then else "")
+                    self.assertEqual(owners.region_owner, then.name if then else "")
--- a/tests/edge/test_request.py
+++ b/tests/edge/test_request.py
@@ -66,9 +66,9 @@
         for identity in ("r1", "r2", "r3"):
             request = new_request(identity)
             request.body = b"body"
-            recent.keep(request)
-        self.assertEqual(["r2", "r3"], list(recent.kept))
-        self.assertEqual({b""}, {request.body for request in recent.kept.values()})
+            recent.add(request)
+        self.assertEqual(["r2", "r3"], list(recent.by_identity))
+        self.assertEqual({b""}, {request.body for request in recent.by_identity.values()})
 
 
 if __name__ == "__main__":
--- a/tests/edge/test_retry_detector.py
+++ b/tests/edge/test_retry_detector.py
@@ -3,7 +3,7 @@
 import unittest
 
 from ryelock.edge.idempotency import IdempotencyKeys
-from ryelock.edge.retry_detector import NEW_REPORTS_MOST, RetryDetector
+from ryelock.edge.retry_detector import MAX_NEW_REPORTS, RetryDetector
 
 CALLER = b"caller"
 
@@ -33,10 +33,10 @@
         self.assertEqual([], detector.take_new_reports())
 
     def test_reports_and_callers_are_bounded(self) -> None:
-        detector = RetryDetector(30.0, most=3)
-        for number in range(NEW_REPORTS_MOST + 5):
+        detector = RetryDetector(30.0, max_callers=3)
+        for number in range(MAX_NEW_REPORTS + 5):
             detector.report(b"%d" % number, 100.0)
-        self.assertEqual(NEW_REPORTS_MOST, len(detector.take_new_reports()))
+        self.assertEqual(MAX_NEW_REPORTS, len(detector.take_new_reports()))
         self.assertEqual(3, len(detector.failures))
 
 
@@ -52,7 +52,7 @@
         self.assertTrue(keys.was_seen("pages", b"k"))
 
     def test_keys_are_bounded(self) -> None:
-        keys = IdempotencyKeys(most=2)
+        keys = IdempotencyKeys(max_keys=2)
         for key in (b"1", b"2", b"3"):
             keys.begin("pages", key)
         self.assertFalse(keys.was_seen("pages", b"1"))
--- a/tests/edge/test_upstream.py
+++ b/tests/edge/test_upstream.py
@@ -3,11 +3,11 @@
 import unittest
 from typing import cast
 
-from ryelock.edge.attempts import kind_of, unknown_outcome
+from ryelock.edge.attempts import failure_kind, unknown_outcome
 from ryelock.edge.failures import AttemptCancelledError, ConnectFailedError, FailureKind
 from ryelock.edge.owner_client import is_final
 from ryelock.edge.peer_protocol import parse_count, parse_seconds
-from ryelock.edge.relay import describe_cut, keep_alive_seconds, length_to_send
+from ryelock.edge.relay import describe_relay_error, keep_alive_seconds, length_to_send
 from ryelock.edge.servers import ServerState
 from ryelock.edge.upstream_request import origin_form
 from ryelock.edge.upstream_response import UpstreamResponse
@@ -96,12 +96,12 @@
 
     def test_a_cancelled_attempt_keeps_its_kind(self) -> None:
         error = AttemptCancelledError(FailureKind.SERVER_LEAVING, "leaving")
-        self.assertIs(FailureKind.SERVER_LEAVING, kind_of(error, is_late=True))
+        self.assertIs(FailureKind.SERVER_LEAVING, failure_kind(error, deadline_passed=True))
 
     def test_any_other_error_is_the_servers_or_its_silence(self) -> None:
         error = ConnectFailedError()
-        self.assertIs(FailureKind.SERVER_FAILED, kind_of(error, is_late=False))
-        self.assertIs(FailureKind.SERVER_SILENT, kind_of(error, is_late=True))
+        self.assertIs(FailureKind.SERVER_FAILED, failure_kind(error, deadline_passed=False))
+        self.assertIs(FailureKind.SERVER_SILENT, failure_kind(error, deadline_passed=True))
 
     def test_explain_names_cuts_by_names_that_stay(self) -> None:
         """Whatever class stands behind them: operators search for these texts."""
@@ -110,7 +110,7 @@
             (IncompleteMessageError(), "IncompleteMessageError()"),
             (ReadTimeoutError(), "ReadTimeoutError()"),
         ):
-            self.assertEqual(text, describe_cut(error))
+            self.assertEqual(text, describe_relay_error(error))
 
 
 if __name__ == "__main__":
--- a/tests/platform/test_platform_takeouts.py
+++ b/tests/platform/test_platform_takeouts.py
@@ -117,7 +117,7 @@
     "answers_names": (
         broken_by(Manner.TWIN, SAFE, "GET", "/plain/"),
         ResponseValidator,
-        "is_for",
+        "belongs_to",
         lambda _self, _order, _head: True,
     ),
     "seals": (
--- a/tests/rate_limit/test_rate_sharing.py
+++ b/tests/rate_limit/test_rate_sharing.py
@@ -121,7 +121,7 @@
             shared = deque([Manner.HANGING])
             for life in deployment.of_service("pages"):
                 life.manners = shared
-            owner = peers.owner((HOST, f"/covers/{number}"))
+            owner = peers.owner_to_ask((HOST, f"/covers/{number}"))
             note = deployment.ask(CACHEABLE, "GET", f"/covers/{number}", deadline=8.0)
             self.assertTrue(note.served)
             if owner is not None:
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -299,8 +299,8 @@
                 mock.patch.object(ServerStandIn, "serve", serve),
                 mock.patch.object(
                     RejectionResponder,
-                    "is_crowded",
-                    RejectionResponder.is_crowded if tells else lambda *_arguments: False,
+                    "is_at_capacity",
+                    RejectionResponder.is_at_capacity if tells else lambda *_arguments: False,
                 ),
             ):
                 fleet = Derived(8)
