--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: whether a request may go to its service, and the caller's idempotency key."""
+"""Admission control: rate limit, queue, retry budget and idempotency key of a request."""
 
 import hashlib
 
@@ -13,13 +13,12 @@
 from ryelock.replicated_state import Route
 
 QUEUE_TIMEOUT_TARGET_FRACTION = 0.2
-"""Part of a route's latency target that a request may wait in the queue."""
+"""Longest wait in the queue, as a fraction of the route's latency target."""
 CLAIM_TIMEOUT_SECONDS = 1.0
-"""Longest wait for the claim of an idempotency key."""
 RETRY_BUDGET_BACKOFF_SECONDS = 2.0
 CALLER_FIELDS = (b"user-agent", b"authorization", b"cookie")
 RETRY_FIELDS = (b"x-retry-count", b"x-retry-attempt", b"retry-attempt")
-"""Fields by which callers mark retries; a value of 0 marks a first attempt."""
+"""Fields by which clients mark retries; a value of 0 marks a first attempt."""
 
 SERVICE_UNKNOWN = Failure(FailureKind.SERVICE_UNKNOWN, 503, "the service is not known here yet")
 OVER_RETRY_BUDGET = Failure(
@@ -46,27 +45,30 @@
 
 
 class AdmissionController:
-    """Admits requests to services, by the service's queue, rate and budget of retries."""
+    """Admits requests to services within their rate limits, queues and retry budgets."""
 
     __slots__ = ("context", "router")
 
     def __init__(self, context: EdgeContext, router: Router) -> None:
-        """Create the admission control of an edge."""
+        """Create the controller."""
         self.context = context
         self.router = router
 
     async def admit(
         self, exchange: HttpExchange, request: Request, route: Route, key: bytes | None = None
     ) -> Failure | None:
-        """Take a slot at the service: at once, after a short wait, or not at all.
+        """Acquire a slot at the service, after a wait in its queue if necessary.
 
-        Whoever serves the request gives `request.admitted_to` its slot back.
+        The request handler releases the slot through `request.admitted_to`.
 
         Args:
-            exchange: the caller's exchange.
+            exchange: the client's exchange.
             request: the request.
             route: its route.
-            key: its Idempotency-Key, if it has one.
+            key: its Idempotency-Key, if any.
+
+        Returns:
+            The failure of a request that is not admitted; None for one that is.
         """
         queue = self.context.admission_queues.get(request.service)
         if queue is None:
@@ -93,7 +95,7 @@
         return None
 
     def is_retry(self, exchange: HttpExchange, request: Request, key: bytes | None) -> bool:
-        """Whether a caller sends again: by its key, by a field, or by an earlier failure."""
+        """Return True for a client's retry: by its key, a retry field or an earlier failure."""
         if key is not None and self.context.idempotency_keys.was_seen(request.service, key):
             return True
         fields = exchange.head.fields
@@ -103,10 +105,10 @@
         return self.context.retry_detector.is_retry(caller_digest(exchange, request), now)
 
     def queue_timeout(self, exchange: HttpExchange, route: Route, queue: AdmissionQueue) -> float:
-        """Return the seconds that a request may wait, counted from its arrival.
+        """Return the seconds that a request may still wait in the queue.
 
-        A request that has already waited for another's fetch of the same object does not wait
-        as long again here.
+        The timeout counts from the request's arrival, so that time spent waiting for another
+        request's fetch is deducted.
         """
         deadline = min(
             self.router.deadline(exchange, route),
@@ -118,7 +120,7 @@
         return timeout
 
     def reject_over_rate(self, request: Request, queue: AdmissionQueue, wait: float) -> Failure:
-        """Return the failure of a request that got no slot; `wait` is the seconds until room."""
+        """Return the failure of a request without a slot; one is expected in `wait` seconds."""
         bucket = queue.bucket
         holds_no_share = (
             bucket.current_share(self.context.scheduler.now()) <= 0 and not bucket.uses_grants
@@ -135,7 +137,7 @@
         )
 
     def check_after_wait(self, exchange: HttpExchange) -> Failure | None:
-        """The caller may have left, or the lease run out, while the request waited."""
+        """Return a failure if the client disconnected or the lease expired during the wait."""
         if exchange.client_disconnected:
             return CLIENT_DISCONNECTED
         if not self.context.member.serving:
@@ -145,9 +147,9 @@
     async def claim_key(
         self, exchange: HttpExchange, request: Request, route: Route, key: bytes
     ) -> Failure | None:
-        """Have a majority of control nodes record the key before its request is sent.
+        """Have a majority of control nodes record the key before the request is sent.
 
-        Without that record another edge could send the same request a second time.
+        Without that record another edge could send a request with the same key.
         """
         remaining = self.router.deadline(exchange, route) - self.context.scheduler.now()
         status = await self.context.member.claim(
@@ -163,17 +165,18 @@
         return KEY_NOT_CLAIMED
 
     def release_key(self, exchange: HttpExchange, request: Request, key: bytes) -> None:
-        """Give a key back whose request certainly did not run, in the background."""
+        """Release, in the background, the key of a request that certainly did not run."""
         self.context.scheduler.create_task(
             self.context.member.release(key_digest(exchange, request, key), request.identity),
             name="release",
         )
 
     def charge_retry_budget(self, exchange: HttpExchange, request: Request) -> bool:
-        """Account for a request that is about to be sent; False where it must not be.
+        """Charge the retry budget before an attempt; return False if it may not be made.
 
-        At its first sending a first request earns room for retries, a retry takes some. Only what
-        is sent counts: a service that nothing reaches earns no retries.
+        Only a request's first attempt counts here: it adds to the budget, or takes from it if the
+        client marked the request as a retry or it is detected as one. Requests that are never sent
+        do not add to the budget, so a service that is unreachable gets no retries.
         """
         queue = self.context.admission_queues.get(request.service)
         if queue is None or request.was_sent:
@@ -190,7 +193,7 @@
 
 
 def caller_digest(exchange: HttpExchange, request: Request) -> CallerDigest:
-    """Return the digest of who asks for what; ports differ from one connection to the next."""
+    """Return a digest of client and request, without the client's port, which varies."""
     fields = exchange.head.fields
     return digest(
         exchange.connection.peer.rpartition(":")[0].encode(),
@@ -202,7 +205,7 @@
 
 
 def key_digest(exchange: HttpExchange, request: Request, key: bytes) -> bytes:
-    """Return the digest of a caller's key with service, target and the caller's credentials."""
+    """Return a digest of an idempotency key with its service, target and credentials."""
     return digest(
         request.service.encode(),
         request.method.encode(),
@@ -214,6 +217,6 @@
 
 
 def digest(*parts: bytes) -> bytes:
-    """Return 16 bytes that stand for all parts; their lengths keep ("ab", "c") from ("a", "bc")."""
+    """Return a 16-byte digest; lengths are included so that ("ab", "c") and ("a", "bc") differ."""
     joined = b"".join(b"%d:%s" % (len(part), part) for part in parts)
     return hashlib.sha256(joined).digest()[:16]
--- a/packages/edge/ryelock/edge/admission_queue.py
+++ b/packages/edge/ryelock/edge/admission_queue.py
@@ -1,9 +1,9 @@
-"""The admission queue of one service: its rate, its limit in flight, and queues by route.
+"""The admission queue of one service: rate limit, concurrency limit, and a queue for each route.
 
-A request is admitted at once where there is room and nobody waits. Otherwise it waits in its
-route's queue, if its turn will come while the response is still of use; if not it is rejected at
-once, with a time to come back. Routes take turns, and no route may fill more than its share of the
-queue and of the limit in flight, so cheap requests cannot starve others.
+A request is admitted at once if the limits allow it and no request waits. Otherwise it waits in its
+route's queue, unless the expected wait exceeds its timeout: then it is rejected at once, with a
+Retry-After. Routes are served round-robin, so that one cannot starve the others. Each is limited to
+its share of the queue; beyond its share of the concurrency limit, its requests have to queue.
 """
 
 import math
@@ -15,42 +15,46 @@
 
 QUEUE_TIMEOUT_SECONDS = 1.0
 MAX_LOW_RATE_QUEUE_TIMEOUT_SECONDS = 3.0
-"""Longest wait at a service whose rate lets requests through seldom."""
 LOW_RATE_QUEUE_TIMEOUT_INTERVALS = 1.5
-"""A narrow service's queue timeout, in intervals between two requests at its rate."""
+"""Queue timeout of a service with a low rate limit, in intervals between requests at that rate."""
 MIN_RETRY_AFTER_SECONDS = 1.0
 MAX_RETRY_AFTER_SECONDS = 10.0
 MIN_DEMAND_WINDOW_SECONDS = 0.4
-"""Shortest time over which demand is measured."""
 DEMAND_RISE_WEIGHT = 0.6
 DEMAND_DECAY_SECONDS = 2.0
 CAPACITY_POLL_SECONDS = 0.05
-"""Longest sleep until room is looked for again."""
+"""Longest wait before the limits are checked again, in case no notification comes."""
 MIN_TOKEN_WAIT_SECONDS = 0.001
 MIN_RETRY_WAIT_SECONDS = 0.005
 
 
 class QueuedRequest:
-    """A request that waits; `abandoned` once its wait is over, admitted or not."""
+    """A waiting request; `abandoned` once it no longer waits, so that its entry is dropped."""
 
     __slots__ = ("abandoned", "admitted")
 
     def __init__(self, scheduler: Scheduler) -> None:
-        """Create the entry of a request that begins to wait."""
+        """Create the entry of a request."""
         self.admitted: Queue[bool] = Queue(scheduler)
         self.abandoned = False
 
 
 class AdmissionQueue:
-    """What lets requests through to one service.
+    """Admits requests to one service.
 
     Attributes:
-        service: the service by the configuration in force.
-        bucket: tokens of this edge's share of the service's rate.
-        budget: the retries that may be sent.
-        in_flight: requests that hold a slot.
-        waiting: requests that wait in a queue; those that gave up count until they are dropped.
-        demand: requests a second that lately came.
+        service: the service's settings in the configuration in force.
+        bucket: token bucket with this edge's share of the service's rate.
+        budget: retry budget of the service on this edge.
+        in_flight: number of requests that hold a slot.
+        route_in_flight: the same by route.
+        queues_by_route: waiting requests by route.
+        route_rotation: routes with waiting requests, in the order in which they are served.
+        waiting: number of queued requests, including abandoned ones that are not dropped yet.
+        retries_waiting: number of retries that wait for a token.
+        capacity_changed: wakes the admission task.
+        arrivals: number of requests since `demand_measured_at`.
+        demand: smoothed arrival rate in requests a second.
     """
 
     __slots__ = (
@@ -72,7 +76,7 @@
     )
 
     def __init__(self, scheduler: Scheduler, name: str, service: Service) -> None:
-        """Create the queue of a service and start the task that admits who waits."""
+        """Create the queue of a service and start its admission task."""
         self.scheduler = scheduler
         self.service = service
         now = scheduler.now()
@@ -93,7 +97,7 @@
         )
 
     def resize(self, service: Service, edges: int) -> None:
-        """Follow the service's settings and the number of edges that share it."""
+        """Apply the service's settings and the number of edges that share its retry budget."""
         self.service = service
         self.bucket.burst_seconds = service.burst_seconds
         self.bucket.limited = service.limited
@@ -103,7 +107,7 @@
         )
 
     def measure_demand(self) -> float:
-        """Return the requests a second that lately came; quick to rise, slow to fall."""
+        """Return the arrival rate in requests a second, smoothed more when it falls."""
         now = self.scheduler.now()
         elapsed = now - self.demand_measured_at
         if elapsed >= MIN_DEMAND_WINDOW_SECONDS:
@@ -116,27 +120,27 @@
         return self.demand
 
     def count_waiting(self) -> int:
-        """Return the number of requests that wait for tokens."""
+        """Return the number of requests and retries that wait."""
         return self.waiting + self.retries_waiting
 
     def notify(self) -> None:
-        """Have those who wait looked at again: room may have come."""
+        """Wake the admission task after a change of the limits or the requests in flight."""
         if self.waiting:
             self.capacity_changed.put(True)
 
     def queue_timeout(self) -> float:
-        """Return the seconds that a request may wait: longer where tokens come seldom."""
+        """Return the seconds that a request may wait; more for a service with a low rate limit."""
         low_rate_timeout = min(
             MAX_LOW_RATE_QUEUE_TIMEOUT_SECONDS, LOW_RATE_QUEUE_TIMEOUT_INTERVALS / self.service.rate
         )
         return max(QUEUE_TIMEOUT_SECONDS, low_rate_timeout)
 
     def max_route_in_flight(self, share: float) -> int:
-        """Return the limit in flight of a route with a share of the service."""
+        """Return the concurrency limit of a route with a share of the service."""
         return max(1, math.ceil(self.service.flight * share))
 
     def has_capacity(self, route: str, share: float) -> bool:
-        """Whether one more request of a route may be in flight."""
+        """Return True if the concurrency limits allow one more request of a route."""
         return self.in_flight < self.service.flight and self.route_in_flight.get(
             route, 0
         ) < self.max_route_in_flight(share)
@@ -148,14 +152,14 @@
 
         Args:
             route: name of the request's route.
-            share: the part of queue and slots that the route may fill.
+            share: fraction of the queue and of the concurrency limit that the route may use.
             queue_timeout: longest wait in seconds.
-            has_priority: whether the request goes before all who wait. A probe does: rejected, it
-                would tell of the crowd, not of the edge.
+            has_priority: whether to put the request at the front and never reject it without a
+                wait. Set for probes, which would else report the load and not the edge's health.
 
         Returns:
-            None once admitted; else seconds until there is room, an estimate, infinite while this
-            edge holds no share of the rate.
+            None if admitted; else the estimated seconds until the request could be admitted,
+            infinite while this edge has no share of the rate.
         """
         self.arrivals += 1
         now = self.scheduler.now()
@@ -170,7 +174,7 @@
         try:
             admitted = await queued.admitted.get(queue_timeout)
         except GeneratorExit:
-            # Cancelled between the admission and this task's turn: the slot would be lost.
+            # The task was cancelled after the admission, before it ran: the slot would leak.
             if queued.admitted.items:
                 self.release(route)
             raise
@@ -181,7 +185,7 @@
         return None
 
     def is_full(self, route: str, share: float) -> bool:
-        """Whether the service's queue or the route's part of it is full."""
+        """Return True if the service's queue or the route's share of it is full."""
         route_limit = max(1, math.ceil(self.service.queue * share))
         return (
             self.waiting >= self.service.queue
@@ -189,7 +193,7 @@
         )
 
     def enqueue(self, route: str, has_priority: bool) -> QueuedRequest:
-        """Add a request to its route's queue, and the route to those that take turns."""
+        """Add a request to its route's queue, and the route to the rotation."""
         queue = self.queues_by_route.setdefault(route, deque())
         queued = QueuedRequest(self.scheduler)
         if has_priority:
@@ -206,7 +210,10 @@
         return queued
 
     async def admit_retry(self, queue_timeout: float) -> bool:
-        """Wait for a retry of an admitted request: in the budget and, perhaps soon, by rate."""
+        """Take a retry from the budget and wait for a token; return False if either fails.
+
+        The request keeps its slot. The retry stays charged if no token comes in time.
+        """
         deadline = self.scheduler.now() + min(queue_timeout, self.queue_timeout())
         if not self.budget.try_retry():
             return False
@@ -225,12 +232,12 @@
         return True
 
     def acquire_slot(self, route: str) -> None:
-        """Count a request that was admitted."""
+        """Count an admitted request as in flight."""
         self.in_flight += 1
         self.route_in_flight[route] = self.route_in_flight.get(route, 0) + 1
 
     def release(self, route: str) -> None:
-        """Give a request's slot back."""
+        """Release a request's slot."""
         self.in_flight -= 1
         remaining = self.route_in_flight.get(route, 1) - 1
         if remaining:
@@ -240,7 +247,7 @@
         self.notify()
 
     async def admit_waiting(self) -> None:
-        """Admit waiting requests as room comes, route by route; runs as a task."""
+        """Admit waiting requests as the limits allow; runs as a task until cancelled."""
         while True:
             self.drop_abandoned()
             if not self.route_rotation:
@@ -261,7 +268,7 @@
                 await self.capacity_changed.get(CAPACITY_POLL_SECONDS)
 
     def admit_next(self, now: float) -> bool:
-        """Admit one request of the first route that has room; False where none has."""
+        """Admit a request of the first route in the rotation that may; return False if none may."""
         for _ in range(len(self.route_rotation)):
             route = self.route_rotation.popleft()
             queue = self.queues_by_route[route]
@@ -281,7 +288,7 @@
         return False
 
     def drop_abandoned(self) -> None:
-        """Remove requests whose wait is over, and the routes for which none waits."""
+        """Drop abandoned requests, and routes without waiting requests."""
         for route in list(self.route_rotation):
             queue = self.queues_by_route[route]
             self.drop_abandoned_from(queue)
@@ -290,14 +297,14 @@
                 del self.queues_by_route[route]
 
     def drop_abandoned_from(self, queue: deque[QueuedRequest]) -> None:
-        """Remove requests whose wait is over from the front of one route's queue."""
+        """Drop abandoned requests from the front of one route's queue."""
         while queue and queue[0].abandoned:
             queue.popleft()
             self.waiting -= 1
 
 
 def retry_after(wait: float) -> float:
-    """Return seconds after which to come back, where the wait for room may have no known end."""
+    """Return the seconds for Retry-After, for an estimated wait that may be infinite."""
     if math.isinf(wait):
         return MIN_RETRY_AFTER_SECONDS
     return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, wait))
--- a/packages/edge/ryelock/edge/attempts.py
+++ b/packages/edge/ryelock/edge/attempts.py
@@ -1,4 +1,4 @@
-"""Sends a request to one server after another until one answers or it must be given up."""
+"""Attempts at upstream servers, in turn, until one responds or no further attempt is allowed."""
 
 from expression import Error, Ok, Result
 
@@ -20,10 +20,11 @@
 from ryelock.http import ClientError, ResponseTimeoutError
 
 REJECTION_PAUSE_SECONDS = 0.15
-"""How long a server that rejected a request is taken for full."""
+"""How long a server gets no requests after it rejected one."""
 SHORT_ATTEMPT_SECONDS = 0.25
 SHORT_ATTEMPT_LATENCY_FACTOR = 3.0
-"""An attempt shorter than the longer of both says nothing of its server."""
+"""A timeout does not count against a server if the attempt was shorter than SHORT_ATTEMPT_SECONDS
+or this multiple of the server's latency."""
 TOO_MANY_REQUESTS = 429
 ROUTE_CHANGED = Failure(FailureKind.ROUTE_CHANGED, 503, "the term or the route changed; not sent")
 CLIENT_DISCONNECTED = Failure(FailureKind.CLIENT_DISCONNECTED, 499, "the caller left")
@@ -32,13 +33,12 @@
 
 
 class AttemptSequence:
-    """All attempts of one request.
+    """The attempts of one request.
 
     Attributes:
         tried_servers: identities of the servers that were tried.
-        failure: why there is no response, by the last attempt.
-        error_response: a server's own failure (5xx), given to the caller where no other server
-            can be tried.
+        failure: failure of the last attempt.
+        error_response: last 5xx response, sent to the client if no other server can be tried.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
     def __init__(
         self, context: EdgeContext, router: Router, client: UpstreamClient, call: UpstreamCall
     ) -> None:
-        """Create the sequence of a request of which nothing was sent from here."""
+        """Create the sequence before the first attempt."""
         self.context = context
         self.router = router
         self.client = client
@@ -66,7 +66,7 @@
         self.error_response: UpstreamResponse | None = None
 
     async def run(self) -> AttemptResult:
-        """Try servers in turn."""
+        """Make attempts until one is final."""
         request = self.call.request
         limit = request.attempts_left
         for number in range(limit):
@@ -86,7 +86,7 @@
         return Ok(self.error_response) if self.error_response is not None else Error(self.failure)
 
     def check_before_attempt(self) -> Failure | None:
-        """Lease, route and caller may have gone since the last attempt."""
+        """Return a failure if lease or route changed or the client disconnected meanwhile."""
         if not self.router.may_still_send(self.call.request):
             return ROUTE_CHANGED
         if self.call.exchange.client_disconnected:
@@ -94,7 +94,7 @@
         return None
 
     async def admit_retry(self) -> bool:
-        """Whether the budget of retries and the rate let one more attempt through."""
+        """Wait for the retry budget and the rate limit; return True if they allow an attempt."""
         remaining = self.call.deadline - self.context.scheduler.now()
         admitted = await self.call.queue.admit_retry(remaining)
         if not admitted:
@@ -102,7 +102,7 @@
         return admitted
 
     def pick_server(self, is_first: bool) -> ServerState | None:
-        """Return the server for the next attempt, one that was not tried where there is one."""
+        """Return the server for the next attempt, preferably an untried one."""
         request = self.call.request
         candidates: list[dict[str, object]] = []
         server = self.context.servers.pick(
@@ -118,13 +118,13 @@
         return server
 
     def drop_error_response(self) -> None:
-        """Another server is tried: the last one's failure goes to nobody."""
+        """Discard the last 5xx response, since another server is tried."""
         if self.error_response is not None:
             self.error_response.connection.abort()
             self.error_response = None
 
     async def try_server(self, server: ServerState, is_last: bool) -> AttemptResult | None:
-        """Make one attempt; None where the next server is to be tried."""
+        """Make one attempt; return None if another server is to be tried."""
         self.tried_servers.add(server.server.identity)
         attempt = Attempt(server.server.address, server.server.zone)
         self.call.request.attempts.append(attempt)
@@ -143,7 +143,7 @@
     def on_response(
         self, response: UpstreamResponse, attempt: Attempt, elapsed: float, is_last: bool
     ) -> AttemptResult | None:
-        """A response ends the request, but for a failure that another server may make good."""
+        """Return the response, unless it is a 5xx and another server may be tried."""
         failed = response.head.status >= 500
         self.context.servers.record_result(response.server, not failed, elapsed)
         attempt.status = response.head.status
@@ -156,7 +156,11 @@
     def on_error(
         self, error: ClientError, server: ServerState, attempt: Attempt, elapsed: float
     ) -> AttemptResult | None:
-        """An error ends the request where it may have run, or where no time is left."""
+        """Return the final failure; None if another server may be tried.
+
+        Final are: an error after an at-most-once request was sent, a passed deadline, and an
+        exhausted retry budget.
+        """
         call = self.call
         if call.exchange.client_disconnected and call.cancelled_with_client:
             self.context.metrics.cancelled.add(call.request.service)
@@ -183,7 +187,7 @@
     def on_rejected(
         self, error: ClientError, server: ServerState, attempt: Attempt
     ) -> AttemptResult | None:
-        """A server did not run the request: another may be tried, unless it set a limit (429)."""
+        """Handle a rejection without a run: try another server, except after 429."""
         attempt.rejected_status = error.rejected
         self.context.servers.record_rejection(server, error.rejected, REJECTION_PAUSE_SECONDS)
         self.failure = Failure(
@@ -197,9 +201,10 @@
     def counts_against_server(
         self, error: ClientError, server: ServerState, elapsed: float
     ) -> bool:
-        """Whether a failure tells of the server: not where the request had no time left for it.
+        """Return True if an error counts as a failure of the server.
 
-        Nor where nothing was sent for reasons of the caller, the route or the listing.
+        A timeout of an attempt with little time left does not, nor does an attempt that was
+        cancelled because of the client, the route or the server list.
         """
         if isinstance(error, AttemptCancelledError):
             return False
@@ -215,23 +220,23 @@
 
 
 class UpstreamAttempts:
-    """Makes the attempts of requests that were admitted."""
+    """Makes the attempts of admitted requests."""
 
     __slots__ = ("client", "context", "router")
 
     def __init__(self, context: EdgeContext, router: Router, client: UpstreamClient) -> None:
-        """Create the maker of an edge's attempts."""
+        """Create the component."""
         self.context = context
         self.router = router
         self.client = client
 
     async def run(self, call: UpstreamCall) -> AttemptResult:
-        """Send a request to servers in turn until one answers or it must be given up."""
+        """Send a request to servers in turn; return a response or the final failure."""
         return await AttemptSequence(self.context, self.router, self.client, call).run()
 
 
 def unknown_outcome(error: ClientError) -> Failure:
-    """Return the failure of a request that may run once and may have run."""
+    """Return the failure of an at-most-once request that may have run."""
     timed_out = isinstance(error, ResponseTimeoutError)
     return Failure(
         failure_kind(error, timed_out),
@@ -242,7 +247,7 @@
 
 
 def failure_kind(error: ClientError, deadline_passed: bool) -> FailureKind:
-    """Return the kind of a request's failure by the error of its last attempt."""
+    """Return the failure kind for the error of the last attempt."""
     if isinstance(error, AttemptCancelledError):
         return error.kind
     return FailureKind.SERVER_SILENT if deadline_passed else FailureKind.SERVER_FAILED
--- a/packages/edge/ryelock/edge/cache_fill.py
+++ b/packages/edge/ryelock/edge/cache_fill.py
@@ -1,7 +1,7 @@
-"""Fills the cache: what of a server's or a peer's response is stored, and who is woken by it.
+"""Fills the cache with responses of servers and peers, and wakes the requests that wait for them.
 
-A purge that comes while a fetch is under way invalidates it: what the fetch brings answers its own
-request and is not stored.
+A purge during a fetch invalidates it: the response serves the request that fetched it and is not
+stored.
 """
 
 from dataclasses import dataclass
@@ -20,11 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FillInProgress:
-    """One request's fetch for the cache.
+    """A fetch for the cache in progress.
 
     Attributes:
-        fill: what others wait for.
-        stale: a stored response that may turn out to be unchanged.
+        fill: the fill that other requests may join.
+        stale: a stored response that may be revalidated.
         purged_before: number of the newest purge when the fetch began.
     """
 
@@ -34,14 +34,14 @@
 
 
 class CacheFiller:
-    """Stores what fetches bring."""
+    """Stores the responses of fetches."""
 
     __slots__ = ("context", "lookup", "validator")
 
     def __init__(
         self, context: EdgeContext, lookup: CacheLookup, validator: ResponseValidator
     ) -> None:
-        """Create the filler of an edge's cache."""
+        """Create the filler."""
         self.context = context
         self.lookup = lookup
         self.validator = validator
@@ -49,9 +49,9 @@
     def begin(
         self, request: Request, stored: StoredResponse | None, shareable: bool
     ) -> FillInProgress:
-        """Begin a fetch; others can wait for it where it is shareable and the first of its key.
+        """Begin a fetch; other requests may join it if it is shareable and the first for its key.
 
-        Whoever serves the request ends `request.fill`, so that nobody waits for ever.
+        The request handler ends `request.fill` in any case, so that no request waits forever.
         """
         store, key = self.context.store, request.cache_key
         fill = store.begin_fill(key) if shareable and key not in store.fills else Fill(key)
@@ -60,7 +60,7 @@
         return FillInProgress(fill, stale, store.last_purge)
 
     def store_from_owner(self, progress: FillInProgress, response: StoredResponse) -> None:
-        """Store what the owner of the object gave."""
+        """Store a response from the object's owner, unless it was purged meanwhile."""
         self.finish(progress, response if self.may_store(progress, response) else None)
 
     def store_from_server(
@@ -71,13 +71,14 @@
         progress: FillInProgress,
         upstream: UpstreamResponse,
     ) -> StoredResponse | None:
-        """Store a server's response where it may be stored.
+        """Store a server's response if it is cacheable.
 
-        A probe that asks past the cache leaves what is stored as it is: it must not mend what it
-        then looks at as a reader would.
+        A probe that bypasses the cache does not change it: it would repair the stored response that
+        a later probe is to check as a client gets it.
 
         Returns:
-            The response in the form that is sent; None where the server's is to be streamed.
+            The response to send in the form of a stored one; None if the server's response is to be
+            streamed.
         """
         response = self.storable(exchange, request, route, progress, upstream)
         if response is None:
@@ -100,7 +101,7 @@
         progress: FillInProgress,
         upstream: UpstreamResponse,
     ) -> StoredResponse | None:
-        """Return what may be stored: a new response, or one that its server says is unchanged."""
+        """Return a storable response: a new one, or the stale one freshened by a 304."""
         head, now = upstream.head, self.context.scheduler.now()
         if head.status == NOT_MODIFIED and progress.stale is not None:
             request.cache_status = CacheStatus.REVALIDATED
@@ -113,11 +114,11 @@
         )
 
     def may_store(self, progress: FillInProgress, response: StoredResponse) -> bool:
-        """Whether no purge since the fetch began names the response."""
+        """Return True if no purge since the fetch began matches the response."""
         fill = progress.fill
         purged = self.context.store.is_purged_since(progress.purged_before, fill.key, response)
         return not fill.invalidated and not purged
 
     def finish(self, progress: FillInProgress, response: StoredResponse | None) -> None:
-        """Store a response, if there is one, and wake those who wait for it."""
+        """End the fill: store the response, if any, and wake the requests that wait for it."""
         self.context.store.end_fill(progress.fill, response)
--- a/packages/edge/ryelock/edge/context.py
+++ b/packages/edge/ryelock/edge/context.py
@@ -1,4 +1,4 @@
-"""What the steps of a request's path share: the parts and the state of one edge."""
+"""Components and state of one edge that the steps of the request path share."""
 
 from random import Random
 
@@ -21,14 +21,14 @@
 
 
 class EdgeContext:
-    """The parts of one edge that a request needs on its way.
+    """Components and state of one edge that requests use.
 
     Attributes:
-        plan: the present configuration version; another object once a new one is in force.
-        admission_queues: by service, as services come and go.
-        peers: the other edges of the region; None where edges do not share what they store.
-        requests_opened: requests since the start, which numbers those without a caller's name.
-        requests_served: those that a client sent, without probes and peers.
+        plan: routing plan of the configuration version in force; replaced with each version.
+        admission_queues: admission queues by service.
+        peers: the other edges of the region; None if edges do not share their caches.
+        requests_opened: number of requests since the start; part of the identities generated here.
+        requests_served: number of routed requests from clients, not from probers or peers.
     """
 
     __slots__ = (
@@ -63,7 +63,7 @@
         random: Random,
         profile: ProtocolProfile,
     ) -> None:
-        """Create the parts of an edge that has served nothing yet."""
+        """Create the components of an edge that starts."""
         self.settings = settings
         self.profile = profile
         self.name = settings.name
--- a/packages/edge/ryelock/edge/failures.py
+++ b/packages/edge/ryelock/edge/failures.py
@@ -1,4 +1,4 @@
-"""How a request can end without a server's response, and how one attempt at a server can."""
+"""Failures of a request, and errors of one attempt at a server."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class FailureKind(StrEnum):
-    """Why a request has no server's answer; the values are the labels of the metrics."""
+    """Kind of a failure; the values are labels of the metrics."""
 
     CLIENT_DISCONNECTED = "caller left"
     KEY_IN_USE = "idempotency key in use"
@@ -31,16 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a request has no server's response.
+    """A request that ends without a server's response.
 
     Attributes:
-        kind: why, as the metrics count it.
-        status: HTTP status for the caller.
-        reason: why, for the caller and for explain.
+        kind: kind for the metrics.
+        status: HTTP status for the client.
+        reason: reason for the client and explain.
         outcome_unknown: whether a server may have run the request.
-        retry_after: seconds after which the caller should come back.
-        capacity_in: seconds until the service's rate is expected to have room; 0 where the rate is
-            not the reason, infinite where that is not known.
+        retry_after: seconds after which the client should retry.
+        capacity_in: seconds until the service's rate limit is expected to allow a request; 0 if the
+            limit is not the reason, infinite if the time is unknown.
     """
 
     kind: FailureKind
@@ -52,16 +52,22 @@
 
 
 class AttemptCancelledError(ClientError):
-    """An attempt that was given up here, for a reason that tells nothing of the server."""
+    """This edge cancelled the attempt for a reason unrelated to the server."""
 
     def __init__(self, kind: FailureKind, reason: str, sent: bool = False) -> None:
-        """Create the error; `sent` tells whether the server may have got the request."""
+        """Create the error.
+
+        Args:
+            kind: kind of the request's failure.
+            reason: reason for the client and explain.
+            sent: whether the server may have received the request.
+        """
         super().__init__(reason, sent)
         self.kind = kind
 
 
 class ConnectFailedError(ClientError):
-    """No connection to the server came about, so nothing was sent."""
+    """The connection to the server was not established, so nothing was sent."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -69,31 +75,31 @@
 
 
 class ServerRejectedError(ClientError):
-    """The server says for certain that it did not run the request."""
+    """The server stated that it did not run the request."""
 
     def __init__(self, status: int) -> None:
-        """Create the error of a response's status."""
+        """Create the error with the response's status."""
         super().__init__(f"the server declined: {status}", False, status)
 
 
 class ServerBusyError(ClientError):
-    """The server answers that it is busy, which does not say that it did not run the request."""
+    """The server reported that it is busy, without stating that it did not run the request."""
 
     def __init__(self, status: int) -> None:
-        """Create the error of a response's status."""
+        """Create the error with the response's status."""
         super().__init__(f"the server failed: {status}", True)
 
 
 class MismatchedResponseError(ClientError):
-    """The response does not say that it belongs to this request."""
+    """The response does not have the request's identity."""
 
     def __init__(self, reason: str) -> None:
-        """Create the error with what the response says instead."""
+        """Create the error with the reason."""
         super().__init__(reason, True)
 
 
 class UnsealedResponseError(ClientError):
-    """The response is a success without its server's seal."""
+    """The response is a success without the server's seal."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -101,7 +107,7 @@
 
 
 class StrayBytesError(ClientError):
-    """Bytes stood on the connection before the request was sent, so nothing was."""
+    """Bytes arrived on the connection before the request, which therefore was not sent."""
 
     def __init__(self) -> None:
         """Create the error."""
--- a/packages/edge/ryelock/edge/handler.py
+++ b/packages/edge/ryelock/edge/handler.py
@@ -1,12 +1,16 @@
-"""A request's path through an edge: `RequestHandler.serve`, read from top to bottom.
+"""The request path of an edge, from a request's head to the end of its response.
 
-The rules it keeps: nothing is served without a lease; nothing is sent to a server that is not
-live in a listing of the request's own service at that moment; a request that may run once is
-never sent again after a byte of it may have left; what is given up on is answered at once; a
-response is either complete or ends by ending the connection.
+Invariants:
 
-The steps are objects over one EdgeContext: routing.py, cache_lookup.py, owner_client.py,
-admission.py, attempts.py (over upstream_client.py), cache_fill.py, relay.py and rejections.py.
+- Nothing is served without a lease.
+- A request goes only to a server that is live, at that moment, in the list of the request's
+  service.
+- An at-most-once request is not sent again once a byte of it may have left.
+- A request that cannot be served is rejected at once.
+- A response is complete, or its connection is closed so that the client sees it is not.
+
+The steps share one EdgeContext. In order: routing.py, cache_lookup.py, owner_client.py,
+admission.py, attempts.py (which uses upstream_client.py), cache_fill.py, relay.py, rejections.py.
 """
 
 from ryelock.cache import StoredResponse
@@ -42,7 +46,7 @@
 
 
 class RequestHandler:
-    """Serves requests; one instance a process."""
+    """Serves the requests of one edge."""
 
     __slots__ = (
         "admission",
@@ -59,7 +63,7 @@
     )
 
     def __init__(self, context: EdgeContext) -> None:
-        """Create the path over what its steps share."""
+        """Create the handler and its steps."""
         validator = ResponseValidator(context)
         self.context = context
         self.router = Router(context)
@@ -89,7 +93,7 @@
             self.record(exchange, request)
 
     async def respond(self, exchange: HttpExchange, request: Request) -> Failure | None:
-        """Answer a request from the cache or a server; a failure is left for the caller."""
+        """Respond from the cache or a server; return the failure if there is no response."""
         context = self.context
         if not context.member.serving:
             return NO_LEASE
@@ -106,7 +110,7 @@
         return await self.forward(exchange, request, route)
 
     def may_use_cache(self, exchange: HttpExchange, request: Request, route: Route) -> bool:
-        """Whether a request is for an object: a GET or HEAD without a body, on a cached route."""
+        """Return True for a GET or HEAD without a body on a cached route."""
         return (
             request.request_class is RequestClass.IDEMPOTENT
             and route.cached
@@ -117,10 +121,10 @@
     async def forward(
         self, exchange: HttpExchange, request: Request, route: Route
     ) -> Failure | None:
-        """Serve from a server, past the cache.
+        """Serve from a server, bypassing the cache.
 
-        A request with an Idempotency-Key goes out only once a majority of control nodes has
-        recorded the key; one that certainly did not run gives it back.
+        A request with an Idempotency-Key is sent only after a majority of control nodes has
+        recorded the key. The key is released if the request certainly did not run.
         """
         key = self.idempotency_key(exchange, request)
         if key is not None and self.context.idempotency_keys.in_progress(request.service, key):
@@ -143,7 +147,7 @@
         return result.error
 
     def idempotency_key(self, exchange: HttpExchange, request: Request) -> bytes | None:
-        """Return the key of a request that may run once, if its caller gave one."""
+        """Return the Idempotency-Key of an at-most-once request, if the client gave one."""
         if request.request_class is not RequestClass.AT_MOST_ONCE:
             return None
         return field(exchange.head.fields, b"idempotency-key")
@@ -151,7 +155,7 @@
     async def serve_cached(
         self, exchange: HttpExchange, request: Request, route: Route
     ) -> Failure | None:
-        """Serve a stored response; else join a fetch under way; else fetch."""
+        """Serve a stored response, else the result of a fetch in progress, else fetch."""
         if request.peer is not None and request.peer.version > self.context.plan.version:
             return OUTDATED_VERSION
         stored = self.cache_lookup.find(exchange, request)
@@ -183,14 +187,14 @@
         stored: StoredResponse | None,
         shareable: bool,
     ) -> Failure | None:
-        """Serve and fill the cache from the object's owner, else from a server.
+        """Serve from the object's owner, else from a server, and fill the cache.
 
         Args:
-            exchange: the caller's exchange.
+            exchange: the client's exchange.
             request: the request.
             route: its route.
-            stored: a stored response that is stale but may still be what the server has.
-            shareable: whether the response may answer others that wait for it.
+            stored: a stored response that is stale and may be revalidated.
+            shareable: whether the response may serve other requests that wait for it.
         """
         progress = self.cache_filler.begin(request, stored, shareable)
         if shareable:
@@ -217,7 +221,7 @@
         route: Route,
         progress: FillInProgress | None = None,
     ) -> UpstreamCall:
-        """Return what is asked of the servers for a request that was admitted."""
+        """Return the call to upstream servers for an admitted request."""
         assert request.admitted_to is not None
         return UpstreamCall(
             exchange,
@@ -236,7 +240,7 @@
         progress: FillInProgress,
         reply: StoredResponse | RelayedResponse,
     ) -> None:
-        """Send what the owner of the object gave: a stored response, or a server's as it came."""
+        """Send the owner's reply: a stored response, which fills the cache, or a relayed one."""
         if isinstance(reply, RelayedResponse):
             request.cache_status = CacheStatus.RELAYED_BY_OWNER
             await self.relay.send_relayed(exchange, request, reply)
@@ -253,7 +257,7 @@
         progress: FillInProgress,
         upstream: UpstreamResponse,
     ) -> None:
-        """Store a server's response where it may be stored, and send it."""
+        """Send a server's response, and store it if it is cacheable."""
         stored = self.cache_filler.store_from_server(exchange, request, route, progress, upstream)
         if stored is None:
             await self.relay.stream(exchange, request, upstream)
@@ -262,7 +266,7 @@
         await self.relay.send_stored(exchange, request, stored)
 
     def release(self, request: Request) -> None:
-        """Give back all that a request holds: slot, key, and the fill that others wait for."""
+        """Release a request's admission slot, idempotency key and cache fill."""
         if request.admitted_to is not None:
             request.admitted_to.release(request.route_name)
         if request.held_key is not None:
@@ -271,7 +275,7 @@
             self.context.store.end_fill(request.fill, None)
 
     def record(self, exchange: HttpExchange, request: Request) -> None:
-        """Note how a request ended: for the metrics, for explain, and to know its retry."""
+        """Record the outcome of a request for metrics, explain and retry detection."""
         context = self.context
         now = context.scheduler.now()
         request.duration = now - request.started
@@ -292,7 +296,7 @@
 
 
 def owner_over_rate(rejection: OwnerRejection) -> Failure:
-    """Return the failure of a request whose object's owner has no room in the service's rate."""
+    """Return the failure of a request whose owner is at the service's rate limit."""
     return Failure(
         FailureKind.OWNER_OVER_RATE,
         503,
--- a/packages/edge/ryelock/edge/idempotency_claims.py
+++ b/packages/edge/ryelock/edge/idempotency_claims.py
@@ -16,27 +16,27 @@
 
 
 class ClaimStatus(StrEnum):
-    """What became of a claim; the values are those of the control leader's answer."""
+    """Result of a claim; the values are those of the control leader's reply."""
 
     CLAIMED = "claimed"
     ALREADY_CLAIMED = "known"
     """Another request has the key."""
     TIMED_OUT = ""
-    """Nobody answered in time."""
+    """No control node gave a final status in time."""
 
 
 CLAIM_STATUSES = (ClaimStatus.CLAIMED.value, ClaimStatus.ALREADY_CLAIMED.value)
 
 
 class IdempotencyClaims:
-    """Claims and releases keys, through another control node where the leader is unknown."""
+    """Client for claims and releases; uses any control node if the leader is unknown."""
 
     __slots__ = ("discovery", "rpc_clients", "scheduler")
 
     def __init__(
         self, scheduler: Scheduler, rpc_clients: RpcClients, discovery: LeaderDiscovery
     ) -> None:
-        """Create the client; `discovery` tells which control node to ask."""
+        """Create the client; `discovery` provides the control nodes' addresses."""
         self.scheduler = scheduler
         self.rpc_clients = rpc_clients
         self.discovery = discovery
@@ -44,20 +44,20 @@
     async def claim(self, key: bytes, request: str, timeout: float) -> ClaimStatus:
         """Claim a key for a request within `timeout` seconds.
 
-        A request that claims again gets the same answer, so a lost answer does no harm.
+        Claims are idempotent for a request, so they are repeated if a reply is lost.
         """
         message = IdempotencyKeyRequest(CLAIM, key, request)
         return ClaimStatus(await self.call(message, CLAIM_STATUSES, timeout))
 
     async def release(self, key: bytes, request: str) -> None:
-        """Release a key whose request certainly did not run; retried for RELEASE_SECONDS."""
+        """Release a key whose request certainly did not run."""
         message = IdempotencyKeyRequest(RELEASE, key, request)
         await self.call(message, RELEASE_STATUSES, RELEASE_TIMEOUT_SECONDS)
 
     async def call(
         self, request: IdempotencyKeyRequest, final_statuses: tuple[str, ...], timeout: float
     ) -> str:
-        """Repeat a call until a control node gives a final status; "" after `timeout` seconds."""
+        """Retry a call until it gives a final status; return "" after `timeout` seconds."""
         message = encode(request)
         deadline = self.scheduler.now() + timeout
         attempt = 0
--- a/packages/edge/ryelock/edge/idle_connections.py
+++ b/packages/edge/ryelock/edge/idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections to a server or a peer, and which of them may be used again."""
+"""Idle connections to servers and peers, and the conditions for their reuse."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class IdleConnection(NamedTuple):
-    """A connection that may be used again up to a monotonic time in seconds."""
+    """A connection that may be reused until `expires_at`, in monotonic seconds."""
 
     connection: Connection
     reader: Reader
@@ -15,14 +15,14 @@
 
 
 def is_clean(connection: Connection, reader: Reader) -> bool:
-    """Whether a connection is open and no byte stands on it that nothing asked for."""
+    """Return True if a connection is open and no unread bytes have arrived on it."""
     return not (connection.closed or reader.buffer or connection.received.items)
 
 
 def take_idle(idle_connections: list[IdleConnection], now: float) -> IdleConnection | None:
-    """Return the connection that was used last and may be used again; close those that may not.
+    """Return the most recently used connection that may be reused; close those that may not.
 
-    Bytes that came while it was idle answer no request, so such a connection is never reused.
+    Bytes that arrived on an idle connection belong to no request, so it must not be reused.
     """
     while idle_connections:
         idle = idle_connections.pop()
--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -1,21 +1,21 @@
-"""Asks the edge that keeps an object (its owner) for it.
-
-An owner that begins a fetch, or joins one, says so at once (102 Processing): one that is silent is
-told from one whose server is slow. One at work is waited for somewhat longer, up to the route's
-latency target.
-
-A request to an owner has one step or two on one connection. Where the budget of retries has no
-room for the owner's silence, a lookup comes first, which lets the owner send nothing to a server:
-it answers at once, with a stored response or that it has none. The fetch waits for a fill that is
-under way there, or begins one, and names how many servers it may send to; its response names how
-many it reached. So a silent owner has sent nothing to a server unless it fell silent within the
-fetch itself, and what it may have sent is known: nothing after a lookup, at most the number that
-the fetch named after a silence, the number it reported otherwise.
-
-Weighed: one step always (an owner that hangs then costs a retry for each request that it swallowed,
-and requests are rejected once none is left), a lookup always (on a site of 98 machines the round
-trips cost 0.05 to 0.1 of a scale day's value), and `Expect: 100-continue` as the second step (the
-same round trip, with framing that depends on whether the body is still to come).
+"""Client of an object's owner: the edge that stores the object for its zone or region.
+
+It guards against three failures of an owner:
+
+- An owner that hangs looks like one whose server is slow. So an owner that starts or joins a fetch
+  sends 102 (Processing) at once. A request that gets no 102 is given up at `silence_deadline`, one
+  that got it at `processing_deadline`.
+- An owner that hangs during a fetch may have sent the request to servers, and to send it to one
+  more is then a retry. So a fetch limits how many servers the owner may use (X-Ryelock-Servers),
+  and the response reports how many it reached. After a timeout the limit is charged to the request.
+- An owner that hangs would thereby use up the service's retry budget, and requests would be
+  rejected. So where the budget does not cover a timeout of every request in flight to the owner, a
+  lookup precedes the fetch on the same connection. A lookup lets the owner use no server, so its
+  timeout costs no retry. The owner answers it at once: with a stored response, or with a rejection
+  after which the fetch is sent.
+
+A lookup costs a round trip, so it is left out where the budget suffices. `Expect: 100-continue` in
+its place would cost the same, with framing that depends on whether the body follows.
 """
 
 from dataclasses import dataclass
@@ -62,21 +62,21 @@
 CONNECT_TIMEOUT_SECONDS = 0.1
 LOOKUP_TIMEOUT_SECONDS = 0.25
 DEADLINE_FRACTION = 0.5
-"""Part of the time left that an owner may take."""
+"""Fraction of the time before the request's deadline that is given to the owner."""
 SILENCE_TARGET_FRACTION = 0.75
-"""Part of the latency target up to which an owner that says nothing is waited for."""
+"""Timeout for the first byte from the owner, as a fraction of the route's latency target."""
 MIN_TIMEOUT_SECONDS = 0.25
 PROCESSING_TARGET_FRACTION = 1.0
-"""An owner that works on a fetch is waited for up to this part of the latency target; then a server
-is asked from here, which also takes load from an owner whose connection is full."""
+"""Timeout after a 102, as a fraction of the latency target. The direct fetch that follows also
+relieves an owner whose network link is saturated."""
 FORWARDED_TIMEOUT_FRACTION = 0.7
-"""The owner of a zone waits less for the home's than the edge that asked waits for it."""
+"""Reduces the timeout of a zone's owner, so that it expires before that of the edge it serves."""
 RETRYABLE_STATUSES = (304, 408, 421, 425, 429)
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedResponse:
-    """A server's whole response that is not stored, as the owner relayed it."""
+    """A server's complete response that must not be stored, relayed by the owner."""
 
     head: ResponseHead
     body: bytes
@@ -84,13 +84,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerRejection:
-    """The owner has nothing for this request.
+    """A reply of the owner that carries no response for the client.
 
     Attributes:
-        status: what it answered.
-        servers_reached: how many servers it reached; None where it does not say.
-        capacity_in: seconds until it expects room in the service's rate; None where that is not why
-            it has nothing.
+        status: HTTP status of the reply.
+        servers_reached: number of servers that the owner reached; None if not reported.
+        capacity_in: seconds until the service's rate limit should allow a request; None if the rate
+            limit was not the reason.
     """
 
     status: int
@@ -102,19 +102,23 @@
 
 
 class OwnerClient:
-    """Asks the owners of objects."""
+    """Requests objects from their owners."""
 
     __slots__ = ("context", "router", "validator")
 
     def __init__(self, context: EdgeContext, router: Router, validator: ResponseValidator) -> None:
-        """Create the client of an edge."""
+        """Create the client."""
         self.context = context
         self.router = router
         self.validator = validator
 
     def may_use_owner(self, request: Request) -> bool:
-        """Whether a request may go to another edge: no probe, and none without a name."""
-        return not request.is_probe and (request.named_by_caller or self.context.profile.own)
+        """Return True if a request may go to another edge.
+
+        A probe may not: it checks this edge. Nor may, where the protocol has identities, a request
+        whose client gave none: servers echo only identities that clients gave.
+        """
+        return not request.is_probe and (request.has_client_identity or self.context.profile.own)
 
     async def fetch(
         self,
@@ -123,10 +127,16 @@
         route: Route,
         stale: StoredResponse | None,
     ) -> OwnerReply | None:
-        """Ask the edge that keeps an object for the zone or the region.
+        """Request an object from its owner.
+
+        Args:
+            exchange: the client's exchange.
+            request: the request.
+            route: its route.
+            stale: a stored response that the owner may revalidate.
 
         Returns:
-            What it gives; None where the object is to be fetched from a server here.
+            The owner's reply; None if this edge has to fetch the object from a server.
         """
         peers = self.context.peers
         if peers is None or not self.may_use_owner(request):
@@ -140,14 +150,14 @@
 
 
 class OwnerRequest:
-    """One request to the owner of its object.
+    """One request to the owner of an object: an optional lookup, then a fetch.
 
     Attributes:
-        stale: a stored response that the owner may say is unchanged.
-        reusable: whether the connection can be used again.
-        sent_at: monotonic time of the last step's sending.
-        silence_deadline: monotonic time up to which a silent owner is waited for.
-        processing_deadline: the same for one that says that it is at work.
+        stale: a stored response that the owner may revalidate.
+        reusable: whether the connection can serve another request.
+        sent_at: monotonic time at which the lookup or fetch was sent.
+        silence_deadline: monotonic time by which the owner must send a first response, be it 102.
+        processing_deadline: monotonic time by which it must respond after a 102.
     """
 
     __slots__ = (
@@ -178,7 +188,7 @@
         route: Route,
         stale: StoredResponse | None,
     ) -> None:
-        """Take a connection to the owner; nothing is sent yet."""
+        """Take an idle connection to the owner or open one; nothing is sent yet."""
         self.context = client.context
         self.router = client.router
         self.validator = client.validator
@@ -200,7 +210,7 @@
             self.reader = Reader(self.context.scheduler, self.connection)
 
     def deadlines(self) -> tuple[float, float]:
-        """Return until when the owner is waited for: while it is silent, and while it works."""
+        """Return the silence deadline and the processing deadline."""
         now = self.context.scheduler.now()
         remaining = self.router.deadline(self.exchange, self.route) - now
         silence_timeout = processing_timeout = limit = DEADLINE_FRACTION * max(0.0, remaining)
@@ -215,10 +225,10 @@
         return now + silence_timeout, now + processing_timeout
 
     async def run(self) -> OwnerReply | None:
-        """Ask the owner; None where the object is to be fetched from a server here.
+        """Send the request; return None if this edge has to fetch the object from a server.
 
-        An owner without room in the service's rate rejects for all: what was fetched here instead
-        would take as much of the rate, and serve this edge alone.
+        A rejection for the service's rate limit is returned, not worked around: a direct fetch
+        would use the same rate and fill the cache of this edge only.
         """
         self.peers.requests_in_flight[self.owner.name] += 1
         try:
@@ -241,7 +251,7 @@
                 self.connection.abort()
 
     async def look_up_and_fetch(self) -> OwnerReply | None:
-        """Have the owner fetch, after a lookup where its silence could not be paid for."""
+        """Send the fetch, after a lookup if the retry budget does not cover a timeout."""
         if not self.retry_budget_covers_timeouts():
             reply = await self.look_up()
             if not isinstance(reply, OwnerRejection) or reply.servers_reached != 0:
@@ -249,10 +259,10 @@
         return await self.fetch()
 
     def retry_budget_covers_timeouts(self) -> bool:
-        """Whether the budget of retries has room for this request and all others to the owner.
+        """Return True if the retry budget covers a timeout of all requests in flight to the owner.
 
-        A fetch that the owner swallows may have reached a server, so the request that goes to
-        another one then is a retry.
+        A fetch that times out may have reached a server; sending the request to another server is
+        then a retry.
         """
         queue = self.context.admission_queues.get(self.request.service)
         return (
@@ -261,13 +271,13 @@
         )
 
     async def look_up(self) -> OwnerReply | None:
-        """Ask for a stored response. Whatever comes of it, no server was sent anything."""
+        """Request a stored response; the owner sends nothing to a server for it."""
         deadline = min(self.silence_deadline, self.context.scheduler.now() + LOOKUP_TIMEOUT_SECONDS)
         self.send(LOOKUP, deadline)
         return await self.receive(deadline)
 
     async def fetch(self) -> OwnerReply | None:
-        """Have the owner fetch; what it may have sent to servers is charged to the request."""
+        """Request a fetch; charge the servers that the owner may have reached to the request."""
         max_servers = max(1, self.request.attempts_left - 1)
         self.send(max_servers, self.router.deadline(self.exchange, self.route))
         reply = await self.receive(self.silence_deadline, may_extend=True)
@@ -279,11 +289,11 @@
         return reply
 
     def send(self, max_servers: int, deadline: float) -> None:
-        """Send one step.
+        """Send a lookup or a fetch.
 
         Args:
-            max_servers: how many servers the owner may send the request to.
-            deadline: monotonic time up to which it may work on it.
+            max_servers: maximum number of servers that the owner may send the request to.
+            deadline: monotonic time by which the owner has to respond.
         """
         profile = self.context.profile
         head = self.exchange.head
@@ -304,20 +314,21 @@
         send_request(self.connection, b"GET", head.target, fields, b"")
 
     def peer_field(self) -> bytes:
-        """Return what the owner is told of this edge.
+        """Return the field that identifies this edge and its state to the owner.
 
-        An owner that knows of fewer purges uses nothing that it has stored.
+        An owner that has applied fewer purges than this edge does not use its stored responses.
         """
         context, session = self.context, self.context.member.session
         purges, version = context.store.last_purge, context.plan.version
         return f"{session.name} {session.probe_secret} {purges} {version}".encode()
 
     async def receive(self, deadline: float, may_extend: bool = False) -> OwnerReply | None:
-        """Return the owner's reply, or None where it gave no whole one to this request.
+        """Return the owner's reply; None if it is late, broken or for another request.
 
         Args:
-            deadline: monotonic time up to which a silent owner is waited for.
-            may_extend: whether to wait on where nothing can be sent to a server from here.
+            deadline: monotonic time by which the owner must send a first response.
+            may_extend: whether to wait until the request's deadline if no server may be tried from
+                here.
         """
         self.reusable = False
         try:
@@ -326,7 +337,7 @@
                 deadline = self.router.deadline(self.exchange, self.route)
                 result = await self.read_head(deadline)
             if result.is_error():
-                # An owner that answered others meanwhile is slow, not gone.
+                # An owner that has responded to other requests since then is slow, not down.
                 if not self.peers.responded_since(self.owner, self.sent_at):
                     self.peers.suspect(self.owner)
                 return None
@@ -345,7 +356,7 @@
         return self.parse_reply(response.head, body, complete)
 
     async def read_head(self, deadline: float) -> Result[Response, ClientError]:
-        """Read the head of the final response."""
+        """Read the head of the final response; a 102 extends the deadline."""
         return await read_response(
             self.reader,
             b"GET",
@@ -355,14 +366,14 @@
         )
 
     def depends_on_owner(self) -> bool:
-        """Whether no server may be sent the request from here, so that only the owner is left."""
+        """Return True if this edge may not send the request to a server itself."""
         queue = self.context.admission_queues.get(self.request.service)
         return not self.connection.closed and (
             self.request.attempts_left <= 1 or queue is None or queue.budget.tokens < 1.0
         )
 
     def parse_reply(self, head: ResponseHead, body: bytes, complete: bool) -> OwnerReply:
-        """Tell a stored response from a relayed one and from a rejection."""
+        """Return the reply as a stored response, a relayed response or a rejection."""
         age = parse_seconds(field(head.fields, AGE_FIELD.lower()))
         fields = [
             pair
@@ -387,7 +398,13 @@
     def parse_stored_response(
         self, head: ResponseHead, body: bytes, age: float
     ) -> StoredResponse | None:
-        """Return the owner's stored response, as old as the owner says and the way here took."""
+        """Return the owner's stored response; its age includes the time of the transfer.
+
+        Args:
+            head: head of the response, without the fields between edges.
+            body: body of the response.
+            age: age in seconds that the owner reported.
+        """
         now = self.context.scheduler.now()
         if head.status == 304 and self.stale is not None:
             stored: StoredResponse | None = freshen(self.stale, head, self.sent_at, now)
@@ -401,5 +418,5 @@
 
 
 def is_final(status: int) -> bool:
-    """Whether a second server could not do better: not the server's own failure, nor "not run"."""
+    """Return True if another server would not give a better response to the request."""
     return status < 500 and status not in RETRYABLE_STATUSES
--- a/packages/edge/ryelock/edge/peer_protocol.py
+++ b/packages/edge/ryelock/edge/peer_protocol.py
@@ -1,33 +1,33 @@
-"""Header fields by which edges ask one another for objects, and how their values are read."""
+"""Header fields of the requests and responses between edges, and parsers of their values."""
 
 from ryelock.edge.request import Request
 from ryelock.http import Fields
 
 PEER_FIELD = b"X-Ryelock-Peer"
-"""Name, mark, newest purge and configuration version of the edge that asks."""
+"""Name, probe secret, newest purge and configuration version of the requesting edge."""
 SERVERS_FIELD = b"X-Ryelock-Servers"
-"""In a request: how many servers it may be sent to; in a response: how many it reached."""
+"""In a request: maximum number of servers it may be sent to; in a response: number reached."""
 RELAYED_FIELD = b"X-Ryelock-Relayed"
-"""Marks a server's response that is relayed and not stored."""
+"""Marks a server's response that is relayed and must not be stored."""
 AGE_FIELD = b"X-Ryelock-Age"
 """Age in seconds of a stored response, more precise than Age (RFC 9111, 5.1)."""
 CAPACITY_FIELD = b"X-Ryelock-Room-In"
-"""Seconds until the owner expects room in the service's rate."""
+"""Seconds until the owner expects the service's rate limit to allow a request."""
 PEER_FIELDS = frozenset(
     name.lower() for name in (PEER_FIELD, SERVERS_FIELD, RELAYED_FIELD, AGE_FIELD, CAPACITY_FIELD)
 )
-"""Fields that never go to a server or a client, in lower case."""
+"""Fields that are never forwarded to a server or a client, in lower case."""
 LOOKUP = 0
-"""The number of servers by which a peer asks only for a stored response."""
+"""Value of SERVERS_FIELD in a request for a stored response only."""
 
 
 def parse_count(value: bytes | None) -> int | None:
-    """Return a number of up to three digits; None where the field holds none."""
+    """Return a count of up to three digits; None if the value is missing or invalid."""
     return int(value) if value is not None and value.isdigit() and len(value) < 4 else None
 
 
 def parse_seconds(value: bytes | None) -> float | None:
-    """Return seconds from 0 up to 1e9; None where the field holds none."""
+    """Return a duration from 0 to below 1e9 seconds; None if it is missing or invalid."""
     try:
         seconds = float(value or b"none")
     except ValueError:
@@ -36,7 +36,7 @@
 
 
 def peer_fields(request: Request) -> Fields:
-    """Return what a peer that asks is told: how many servers its request reached from here."""
+    """Return the field that tells a peer how many servers its request reached; empty for others."""
     if request.peer is None:
         return []
     return [(SERVERS_FIELD, b"%d" % request.servers_reached)]
--- a/packages/edge/ryelock/edge/peers.py
+++ b/packages/edge/ryelock/edge/peers.py
@@ -1,23 +1,17 @@
-"""Which edges keep an object for the others, and the connections to them.
-
-Each object has an owner in each zone and a home, the zone of its region whose owner alone fetches
-it from servers. All are owners by rendezvous hashing among the edges that are ready, so every edge
-finds the same ones from the members it knows, and an edge that comes or goes moves only its own
-objects. An edge that misses an object asks the owner of its zone; that one, unless its zone is the
-home, asks the home's owner. Each joins all who ask into one fetch. An owner that gave no response
-is suspected for a moment: its objects are fetched directly until it answers or is no member any
-more.
-
-Weighed:
-
-- owners in each zone and no home, which was so at first: each zone then fetches every object for
-  itself, and where the origin's rate is narrow that takes several times of it (four zones of one
-  region: 219 fetches a second where 105 do);
-- one owner for a whole region, asked by all: the bytes between zones rise by two thirds, and the
-  owner of a popular large object fills its network link;
-- a home for all regions (a round trip between regions for every fetch);
-- a list of owners sent by the leader (a message more for what all can work out);
-- stored responses pushed to all (bytes for objects that nobody asks for there).
+"""The edges of a region: which of them owns an object, and the idle connections to them.
+
+Each object has two owners: one in each zone, and one in the region. The region's owner alone
+fetches the object from servers, as an origin shield does. Owners are found by rendezvous hashing of
+the ready edges, so all edges with the same membership find the same owners without a message, and a
+change of membership moves only the objects of the edge that joined or left.
+
+An edge that misses an object in its cache asks the owner in its zone; that one asks the owner in
+the region. Each of them joins concurrent requests for an object into one fetch. An owner that does
+not respond is suspected: for a time its objects are fetched without it.
+
+The owner in the zone keeps traffic between zones low, and keeps the network link of the region's
+owner from being saturated by a popular large object. The owner in the region keeps each zone from
+fetching every object again, which an origin with a low rate limit does not allow.
 """
 
 import hashlib
@@ -33,19 +27,19 @@
 from ryelock.runtime import Connection, Scheduler
 
 INITIAL_SUSPICION_SECONDS = 1.0
-"""How long an edge is suspected at first; it doubles with each further silence."""
+"""Doubles with each further timeout, up to MAX_SUSPICION_SECONDS."""
 MAX_SUSPICION_SECONDS = 8.0
 MAX_IDLE_CONNECTIONS = 8
-"""Most idle connections to one edge."""
+"""Limit for each edge."""
 MAX_IDLE_SECONDS = 4.0
-"""How long a connection may be idle before it is used again."""
+"""Longest idle time of a connection that is reused."""
 OWNER_CACHE_SIZE = 10_000
-"""Owners of so many objects are remembered, which saves a hash for each name."""
+"""Number of objects whose owners are cached; a miss costs one hash for each edge."""
 HASH_BYTES = 8
 
 
 def owner_of(key: tuple[str, ...], names: list[str]) -> str:
-    """Return the owner of a key among names; the same wherever the same names are known."""
+    """Return the owner of a key among edge names, by rendezvous hashing."""
     key_hash = hashlib.blake2b("\n".join(key).encode(), digest_size=HASH_BYTES)
 
     def weight(name: str) -> bytes:
@@ -57,20 +51,25 @@
 
 
 class Owners(NamedTuple):
-    """Names of the edges that keep an object: for this zone, and for the region."""
+    """Names of the owners of an object in this zone and in the region."""
 
     zone_owner: str
     region_owner: str
 
 
 class Peers:
-    """The edges of one region as one of them sees them.
+    """One edge's view of the edges of its region.
 
     Attributes:
-        members: the membership that the rest was worked out from.
-        sessions: ready edges of the region by name.
-        names_by_zone: names of those edges by zone, this edge first in its own.
-        requests_in_flight: requests to each edge that wait for its response.
+        members: the membership from which the view was built.
+        sessions: sessions of the region's ready edges by name.
+        names_by_zone: names of those edges by zone, this edge first in its own zone.
+        owners_by_key: cache of objects' owners.
+        last_response_at: monotonic time of the last response, by name.
+        requests_in_flight: number of requests without a response yet, by name.
+        suspected_until: monotonic time at which a suspicion ends, by name.
+        suspicion_seconds: length of the last suspicion, by the identity of the edge's incarnation.
+        idle_connections: idle connections by request address.
     """
 
     __slots__ = (
@@ -93,7 +92,14 @@
     def __init__(
         self, scheduler: Scheduler, name: str, zone: str, regions: Mapping[str, str]
     ) -> None:
-        """Create the view of an edge of a zone; a zone that `regions` lacks is its own region."""
+        """Create the view of one edge.
+
+        Args:
+            scheduler: the edge's scheduler.
+            name: name of the edge.
+            zone: zone of the edge.
+            regions: region of each zone; a zone that is missing is its own region.
+        """
         self.scheduler = scheduler
         self.name = name
         self.regions = regions
@@ -110,7 +116,7 @@
         self.idle_connections: dict[str, list[IdleConnection]] = {}
 
     def update_members(self, members: dict[str, Session]) -> None:
-        """Follow the membership; the same table again costs nothing."""
+        """Rebuild the view if the membership has changed."""
         if members is self.members:
             return
         self.members = members
@@ -130,7 +136,7 @@
                 idle.connection.close()
 
     def is_peer(self, name: str, session: Session) -> bool:
-        """Whether a member is a ready edge of the region that takes requests."""
+        """Return True if a member is a ready edge of the region that accepts requests."""
         return bool(
             session.role == "edge"
             and self.regions.get(session.zone, session.zone) == self.region
@@ -140,11 +146,11 @@
 
     @property
     def zone_edge_names(self) -> list[str]:
-        """The edges of this zone, this one among them."""
+        """Names of the ready edges of this zone, including this edge."""
         return self.names_by_zone[self.zone]
 
     def owners_of(self, key: tuple[str, ...]) -> Owners:
-        """Return the owners of an object in this zone and in its home."""
+        """Return the owners of an object; the key also selects the zone of the region's owner."""
         owners = self.owners_by_key.get(key)
         if owners is None:
             fetching_zone = owner_of(key, list(self.names_by_zone))
@@ -156,7 +162,9 @@
         return owners
 
     def owner_to_ask(self, key: tuple[str, ...], requesting_zone: str = "") -> Session | None:
-        """Return the other edge to be asked for an object; None where this one fetches it itself.
+        """Return the edge to request an object from; None if this edge fetches it from a server.
+
+        A request crosses zones at most once: one that came from another zone goes no further.
 
         Args:
             key: host and target of the object.
@@ -178,13 +186,13 @@
         )
 
     def is_suspected(self, name: str) -> bool:
-        """Whether an edge is passed by for now."""
+        """Return True if an edge gets no requests for now."""
         return self.suspected_until.get(name, 0.0) > self.scheduler.now()
 
     def suspect(self, session: Session) -> None:
-        """Pass an edge by for a while that doubles until it answers or starts anew."""
+        """Suspect an edge, for twice as long as before unless it responded or restarted since."""
         previous = self.suspicion_seconds.get(session.identity, INITIAL_SUSPICION_SECONDS / 2)
-        # Earlier incarnations of the edge are forgotten.
+        # Drops the entries of earlier incarnations of the edge.
         self.suspicion_seconds = {
             identity: seconds
             for identity, seconds in self.suspicion_seconds.items()
@@ -195,21 +203,21 @@
         self.suspected_until[session.name] = self.scheduler.now() + seconds
 
     def record_response(self, session: Session) -> None:
-        """An edge answered: its next silence is taken for the first again."""
+        """Record a response of an edge, which resets the length of its next suspicion."""
         self.suspicion_seconds.pop(session.identity, None)
         self.last_response_at[session.name] = self.scheduler.now()
 
     def responded_since(self, session: Session, since: float) -> bool:
-        """Whether an edge answered anything since a monotonic time: it is slow then, not gone."""
+        """Return True if an edge has responded to any request since a monotonic time."""
         last_response_at = self.last_response_at.get(session.name)
         return last_response_at is not None and last_response_at >= since
 
     def take_idle_connection(self, address: str) -> IdleConnection | None:
-        """Return an idle connection to an edge, or None."""
+        """Return an idle connection to an address, or None."""
         return take_idle(self.idle_connections.get(address, []), self.scheduler.now())
 
     def keep_idle_connection(self, address: str, connection: Connection, reader: Reader) -> None:
-        """Keep a connection for another request, or close it."""
+        """Keep a connection for reuse, or close it."""
         idle_connections = self.idle_connections.setdefault(address, [])
         if is_clean(connection, reader) and len(idle_connections) < MAX_IDLE_CONNECTIONS:
             expires_at = self.scheduler.now() + MAX_IDLE_SECONDS
--- a/packages/edge/ryelock/edge/plan.py
+++ b/packages/edge/ryelock/edge/plan.py
@@ -1,7 +1,6 @@
-"""One version of the configuration, laid out for requests: names are indices from here on.
+"""The routing table of one configuration version.
 
-A plan lives as long as its version. Routes are found by host and by the longest path prefix
-that ends at a '/' or, where the prefix itself has none, at the end of the path.
+A route matches by host and by the longest path prefix that ends at a path segment boundary.
 """
 
 from ryelock.replicated_state import Configuration, Route
@@ -11,10 +10,11 @@
     """The routing table of one configuration version.
 
     Attributes:
-        version: the version.
-        route_names: names of the routes, in the order of their indices.
+        version: the configuration version.
+        route_names: names of the routes by index.
         routes: the routes by index.
-        table: indices of routes by host and by path without its last slash; the host "" is any.
+        table: indices of routes by host and by path without a trailing slash; the host "" matches
+            any host.
     """
 
     __slots__ = (
@@ -25,7 +25,7 @@
     )
 
     def __init__(self, version: int, configuration: Configuration) -> None:
-        """Lay out a configuration."""
+        """Build the table of a configuration."""
         self.version = version
         self.route_names = sorted(configuration.routes)
         self.routes: list[Route] = [configuration.routes[name] for name in self.route_names]
@@ -38,7 +38,7 @@
                 indices.sort(key=lambda index: len(self.routes[index].path), reverse=True)
 
     def resolve(self, host: str, path: str) -> int:
-        """Return the index of a request's route, or -1; a host of its own goes before any host."""
+        """Return the index of a request's route, or -1; an exact host precedes any host."""
         for paths in (self.table.get(host), self.table.get("")):
             if not paths:
                 continue
@@ -54,12 +54,15 @@
 
 
 def matches_prefix(prefix: str, path: str) -> bool:
-    """Whether a route's path begins a request's; one with a slash at its end needs that too."""
+    """Return True if a route's path matches, including its trailing slash if it has one.
+
+    The path is known to start with the prefix up to that slash.
+    """
     return not prefix.endswith("/") or path.startswith(prefix)
 
 
 def parse_host(value: bytes | None) -> str:
-    """Return a Host field (RFC 9110, 7.2) without its port, in lower case."""
+    """Return the host of a Host field (RFC 9110, 7.2) without its port, in lower case."""
     host = (value or b"").decode("latin-1").strip().lower()
     if host.startswith("["):
         return host.partition("]")[0] + "]"
@@ -67,7 +70,7 @@
 
 
 def parse_path(target: str) -> str:
-    """Return the path of a target, also of one in absolute form (RFC 9112, 3.2.2)."""
+    """Return the path of a request target in origin or absolute form (RFC 9112, 3.2)."""
     path = target.partition("?")[0]
     scheme = path[:8].lower()
     if scheme.startswith(("http://", "https://")):
@@ -78,9 +81,9 @@
 
 
 def has_dot_segments(path: str) -> bool:
-    """Whether a path has '.' or '..' segments (RFC 3986, 3.3), as they are or escaped.
+    """Return True if a path has '.' or '..' segments (RFC 3986, 3.3), literal or escaped.
 
-    Servers read those differently: one could be led to a path that no route names.
+    Servers resolve them differently, so such a request could reach a path outside its route.
     """
     lowered = path.lower().replace("%2e", ".")
     segments = lowered.replace("\\", "/").replace("%2f", "/").replace("%5c", "/").split("/")
--- a/packages/edge/ryelock/edge/preview.py
+++ b/packages/edge/ryelock/edge/preview.py
@@ -1,4 +1,4 @@
-"""Tells an operator what would become of a request, without sending it."""
+"""Preview of a request for explain: route, cache state and server, without sending it."""
 
 from ryelock.cache import may_reuse
 from ryelock.edge.context import EdgeContext
@@ -8,17 +8,17 @@
 
 
 class RequestPreview:
-    """Answers operators who ask what would happen to a request."""
+    """Describes how a request would be served at present."""
 
     __slots__ = ("context", "router")
 
     def __init__(self, context: EdgeContext, router: Router) -> None:
-        """Create the preview of an edge's path."""
+        """Create the preview."""
         self.context = context
         self.router = router
 
     def describe(self, method: str, target: str, host: str) -> dict[str, object]:
-        """Return what explain tells of a request that was not sent."""
+        """Return the preview of a request in the form that explain shows."""
         context = self.context
         now = context.scheduler.now()
         request = Request("", method, target, host, now, context.scheduler.clock.wall())
@@ -41,7 +41,10 @@
         }
 
     def pick_address(self, request: Request, candidates: list[dict[str, object]]) -> str:
-        """Return the server that would be picked; a trial that this would begin is taken back."""
+        """Return the address of the server that would be picked.
+
+        If the pick starts a trial of an ejected server, the trial is cancelled.
+        """
         state = self.context.servers.pick(request.service, set(), request.zone_verdicts, candidates)
         if state is None:
             return "no live server"
@@ -50,7 +53,7 @@
         return state.server.address
 
     def admission_state(self, service: str, now: float) -> dict[str, object]:
-        """Return what the service's admission queue holds; empty where there is none."""
+        """Return the state of the service's admission queue; empty if there is none."""
         queue = self.context.admission_queues.get(service)
         if queue is None:
             return {}
--- a/packages/edge/ryelock/edge/rejections.py
+++ b/packages/edge/ryelock/edge/rejections.py
@@ -1,4 +1,4 @@
-"""The final response of a request that is given up: why, what became of it, when to come back."""
+"""Responses to rejected requests: reason, outcome and Retry-After."""
 
 import json
 import math
@@ -12,35 +12,35 @@
 from ryelock.replicated_state import Route
 
 UNROUTED_RETRY_AFTER_SECONDS = 0.2
-"""Retry-After of a rejection that belongs to no route."""
+"""Retry-After of a request without a route."""
 DEFAULT_BACKOFF_SECONDS = 1.0
 BACKOFF_JITTER_SECONDS = 2.0
 MIN_BACKOFF_FRACTION = 0.05
 BACKOFF_JITTER_FRACTION = 0.15
-"""A caller comes back after these parts of the latency target, spread by chance."""
+"""Backoff and its random jitter, as fractions of the route's latency target."""
 MAX_CAPACITY_RETRY_AFTER_SECONDS = 0.9
-"""A caller is not kept away longer than this for want of room: the rate's shares move sooner."""
+"""Limit of Retry-After for the rate limit: its shares are rebalanced sooner than that."""
 RETRY_LATER_STATUSES = (429, 503)
 NATIVE_RETRY_LATER_STATUSES = (429, 502, 503, 504)
 CLIENT_CLOSED_REQUEST_STATUS = 499
 AT_CAPACITY = (b"X-Ryelock-Outcome", b"crowded")
-"""Tells a prober that the service is at its rate, so that the edge is not taken for faulty."""
+"""Tells a prober that the service is at its limits, so that the probe does not fail the edge."""
 
 
 class RejectionResponder:
-    """Answers requests that are given up."""
+    """Responds to rejected requests."""
 
     __slots__ = ("context",)
 
     def __init__(self, context: EdgeContext) -> None:
-        """Create the responder of an edge."""
+        """Create the responder."""
         self.context = context
 
     async def reject(self, exchange: HttpExchange, request: Request, failure: Failure) -> None:
-        """Send the final response of a request that is given up, at once.
+        """Respond to a rejected request.
 
-        No caller is led to think that a request which may run once has not run where a server may
-        have run it: such a one gets 502 in place of a status that asks it to come back.
+        An at-most-once request that may have run gets 502 in place of a status that invites a
+        retry, since the client would take that for a request that has not run.
         """
         may_retry_later = failure.status in RETRY_LATER_STATUSES
         if (
@@ -68,7 +68,7 @@
         await exchange.respond(failure.status, fields, body)
 
     def record(self, request: Request, failure: Failure) -> None:
-        """Note the failure for the metrics and for explain."""
+        """Record the failure for metrics and explain."""
         self.context.metrics.refusals.add(request.service, request.sender_kind, failure.kind)
         request.status = failure.status
         request.reason = failure.reason
@@ -77,9 +77,9 @@
             request.outcome = Outcome.NO_ANSWER
 
     def native_fields(self, exchange: HttpExchange, request: Request, failure: Failure) -> Fields:
-        """Return the fields of a rejection on the project's own interface.
+        """Return the fields of a rejection under the native protocol profile.
 
-        Retry-After (RFC 9110, 10.2.3) is spread by chance, lest all callers come back at once.
+        Retry-After (RFC 9110, 10.2.3) has random jitter, so that clients do not retry all at once.
         """
         outcome = (b"X-Ryelock-Outcome", request.outcome.replace(" ", "-").encode())
         has_key = field(exchange.head.fields, b"idempotency-key") is not None
@@ -100,7 +100,7 @@
         ]
 
     def profile_fields(self, request: Request, failure: Failure, may_retry_later: bool) -> Fields:
-        """Return the fields of a rejection on an interface with names of its own."""
+        """Return the fields of a rejection under another protocol profile."""
         profile = self.context.profile
         seconds = self.retry_after(request, failure)
         fields: Fields = [(b"Content-Type", b"application/json")]
@@ -113,10 +113,10 @@
         return fields
 
     def retry_after(self, request: Request, failure: Failure) -> float:
-        """Return the seconds after which a caller should come back.
+        """Return the seconds after which a client should retry.
 
-        Not before the service's rate is expected to have room: a caller that comes back sooner
-        is rejected again and uses up its attempts.
+        Not before the service's rate limit should allow the request: an earlier retry is rejected
+        again and uses up the client's attempts.
         """
         if request.route is None:
             return UNROUTED_RETRY_AFTER_SECONDS
@@ -126,7 +126,7 @@
         return max(backoff, min(backoff + failure.capacity_in, MAX_CAPACITY_RETRY_AFTER_SECONDS))
 
     def is_at_capacity(self, request: Request) -> bool:
-        """Whether a request failed since the service is at its rate or its servers are full."""
+        """Return True if the service is at its rate limit or a server of it is full."""
         now = self.context.scheduler.now()
         return request.admission in (AdmissionOutcome.OVER_RATE, AdmissionOutcome.NO_SHARE) or any(
             now < state.full_until
@@ -135,7 +135,7 @@
 
 
 def backoff_seconds(context: EdgeContext, route: Route) -> float:
-    """Return seconds after which to come back: within the time that is of full value."""
+    """Return the backoff in seconds; a retry after it can still meet the latency target."""
     if context.profile.own or not route.target_seconds:
         return DEFAULT_BACKOFF_SECONDS
     jitter = BACKOFF_JITTER_FRACTION * context.random.random()
@@ -143,6 +143,6 @@
 
 
 def rejection_body(request: Request, failure: Failure) -> bytes:
-    """Return the body of a rejection: one JSON object on a line."""
+    """Return the body of a rejection: a JSON object on one line."""
     content = {"error": failure.reason, "outcome": request.outcome.value, "order": request.identity}
     return json.dumps(content).encode() + b"\n"
--- a/packages/edge/ryelock/edge/relay.py
+++ b/packages/edge/ryelock/edge/relay.py
@@ -1,4 +1,4 @@
-"""Sends responses to callers: a server's as it comes, a stored one, or one relayed by a peer."""
+"""Responses to clients: streamed from a server, from the cache, or relayed by a peer."""
 
 from ryelock.cache import StoredResponse, answer_from
 from ryelock.edge.context import EdgeContext
@@ -26,19 +26,19 @@
 
 
 class ResponseRelay:
-    """Sends responses to callers: each is complete, or ends by ending the connection."""
+    """Sends responses to clients; aborts the connection if one cannot be completed."""
 
     __slots__ = ("context", "served_objects")
 
     def __init__(self, context: EdgeContext, served_objects: ServedObjects) -> None:
-        """Create the relay of an edge."""
+        """Create the relay."""
         self.context = context
         self.served_objects = served_objects
 
     async def stream(
         self, exchange: HttpExchange, request: Request, upstream: UpstreamResponse
     ) -> None:
-        """Send a server's response, chunk by chunk; it is cut where the server's is cut."""
+        """Stream a server's response; abort the client's connection if the server's ends early."""
         request.status = upstream.head.status
         completed = False
         try:
@@ -60,7 +60,7 @@
                 upstream.connection.abort()
 
     def streamed_fields(self, request: Request, upstream: UpstreamResponse) -> Fields:
-        """Return a server's fields that go on to the caller, and this edge's own."""
+        """Return the server's end-to-end fields and those that this edge adds."""
         fields = end_to_end(upstream.head.fields)
         fields += self.native_fields(request) + peer_fields(request)
         if request.peer is not None:
@@ -68,7 +68,7 @@
         return fields
 
     async def stream_body(self, exchange: HttpExchange, upstream: UpstreamResponse) -> bool:
-        """Send the body; False where the caller takes no more."""
+        """Send the body; return False if the client stops receiving."""
         now, idle_seconds = self.context.scheduler.now, self.context.settings.idle_seconds
         body = upstream.response.body
         accepted = await exchange.send(upstream.prefix, idle_seconds)
@@ -90,7 +90,10 @@
         upstream: UpstreamResponse,
         error: RelayError,
     ) -> None:
-        """A server's response ended early; that is the server's fault unless the caller left."""
+        """Record an incomplete or malformed response, and the server's failure.
+
+        It is no failure of the server if the client disconnected.
+        """
         request.reason = f"the server's answer was cut: {describe_relay_error(error)}"
         request.outcome = Outcome.TRUNCATED
         if exchange.client_disconnected:
@@ -104,7 +107,7 @@
         )
 
     def release_connection(self, upstream: UpstreamResponse) -> None:
-        """Keep a server's connection for other requests where its response was read to the end."""
+        """Keep a server's connection for reuse if its response is complete; else close it."""
         if upstream.response.keep_alive and upstream.response.body.complete:
             self.context.servers.keep_idle_connection(
                 upstream.server,
@@ -130,7 +133,7 @@
     async def send_stored(
         self, exchange: HttpExchange, request: Request, stored: StoredResponse
     ) -> None:
-        """Send a stored response: whole, in part, or as not modified (RFC 9111, 4.3.2)."""
+        """Send a stored response: complete, as a range, or as 304 (RFC 9111, 4.3.2)."""
         now = self.context.scheduler.now()
         status, reason, fields, body = answer_from(stored, exchange.head, now)
         identity_field = self.context.profile.identity
@@ -149,14 +152,14 @@
         await self.send_body(exchange, body)
 
     async def send_body(self, exchange: HttpExchange, body: bytes) -> None:
-        """Send a whole body and end the exchange."""
+        """Send a complete body and finish the exchange."""
         if await exchange.send(body, self.context.settings.idle_seconds):
             exchange.finish()
         else:
             exchange.abort()
 
     def native_fields(self, request: Request) -> Fields:
-        """Return the fields that this edge adds on the project's own interface."""
+        """Return the fields that this edge adds under the native protocol profile."""
         if not self.context.profile.own:
             return []
         fields: Fields = [(b"Via", b"1.1 ryelock"), (b"X-Ryelock-Order", request.identity.encode())]
@@ -166,9 +169,9 @@
 
 
 def length_to_send(method: bytes, upstream: UpstreamResponse) -> int | None:
-    """Return the Content-Length of a streamed response; None for a chunked one.
+    """Return the Content-Length of a streamed response; None if it is chunked or unknown.
 
-    To HEAD, and with 304, it is the length that a GET's 200 would have (RFC 9110, 8.6).
+    For HEAD and 304 it is the length of a 200 response to GET (RFC 9110, 8.6).
     """
     status = upstream.head.status
     if method != b"HEAD" and status != 304:
@@ -181,7 +184,7 @@
 
 
 def keep_alive_seconds(head: ResponseHead) -> float | None:
-    """Return the seconds that a server keeps an idle connection; None where it says nothing."""
+    """Return the timeout of a server's Keep-Alive field in seconds; None if there is none."""
     for parameter in tokens(head.fields, b"keep-alive"):
         name, _, value = parameter.partition(b"=")
         if name.strip() == b"timeout" and value.strip().isdigit():
@@ -190,7 +193,7 @@
 
 
 def describe_relay_error(error: RelayError) -> str:
-    """Return how explain names what cut a response; the names do not follow those of classes."""
+    """Return the name of an error in explain, which stays the same if the class is renamed."""
     match error:
         case FramingError():
             return f"FramingError({error.reason!r})"
--- a/packages/edge/ryelock/edge/request.py
+++ b/packages/edge/ryelock/edge/request.py
@@ -1,4 +1,4 @@
-"""The record of one request: what was decided on its way, and what explain tells of it later."""
+"""The record of one request: its classification, decisions and attempts, as explain shows them."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -10,14 +10,18 @@
 
 
 class RequestClass(StrEnum):
-    """Whether a request may be sent to a second server; the values stand in explain's answer."""
+    """Delivery semantics of a request; the values appear in explain.
+
+    An idempotent request may be sent to a second server after a failure; an at-most-once request
+    may not if the first one may have received it.
+    """
 
     IDEMPOTENT = "repeatable"
     AT_MOST_ONCE = "once"
 
 
 class CacheStatus(StrEnum):
-    """How the cache took part in a response; the values stand in explain, metrics and a field."""
+    """How the cache served a request; the values appear in explain, metrics and X-Ryelock-Cache."""
 
     UNUSED = ""
     HIT = "hit"
@@ -30,7 +34,7 @@
 
 
 class AdmissionOutcome(StrEnum):
-    """What admission control decided; the values stand in explain's answer."""
+    """Decision of admission control; the values appear in explain."""
 
     UNDECIDED = ""
     ADMITTED = "allowed"
@@ -40,7 +44,7 @@
 
 
 class Outcome(StrEnum):
-    """How a request ended; the values stand in explain and in the body of a rejection."""
+    """Final state of a request; the values appear in explain and in the body of a rejection."""
 
     IN_PROGRESS = ""
     ANSWERED = "answered"
@@ -57,16 +61,17 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One try at one upstream server.
+    """One attempt at an upstream server.
 
     Attributes:
         server: address of the server.
         zone: zone of the server.
-        sent: whether a byte of the request may have left for the server.
-        seconds: how long the attempt took; None while it is under way.
-        status: status of the response; None where there was none that could be used.
-        fault: why there was none.
-        rejected_status: status by which the server said that it did not run the request, else 0.
+        sent: whether a byte of the request may have been sent.
+        seconds: duration of the attempt; None while it is in progress.
+        status: status of the response; None if there was no usable response.
+        fault: reason why there was none.
+        rejected_status: status with which the server rejected the request without running it; 0
+            if it did not.
     """
 
     server: str
@@ -79,16 +84,16 @@
 
     @property
     def servers_reached(self) -> int:
-        """How many servers may have received the request."""
+        """Number of servers that may have received the request."""
         return 1 if self.sent else 0
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the server may have run the request: it was sent and not certainly rejected."""
+        """True if the request was sent and not rejected without running."""
         return self.sent and not self.rejected_status
 
     def to_wire(self) -> dict[str, object]:
-        """Return the attempt as explain tells it; what did not happen is left out."""
+        """Return the attempt as explain shows it, without fields that are not set."""
         wire: dict[str, object] = {"server": self.server, "zone": self.zone, "sent": self.sent}
         if self.seconds is not None:
             wire["seconds"] = self.seconds
@@ -103,26 +108,27 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerAttempt:
-    """Servers that the owner of an object may have sent the request to, on this edge's account."""
+    """A fetch by the object's owner, which may have sent the request to servers."""
 
     servers_reached: int
     sent: bool = True
     may_have_run: bool = True
 
     def to_wire(self) -> dict[str, object]:
-        """Return the attempt as explain tells it."""
+        """Return the attempt as explain shows it."""
         return {"server": "the owner", "sent": self.sent, "servers": self.servers_reached}
 
 
 @dataclass(frozen=True, slots=True)
 class RequestingPeer:
-    """What a peer edge tells of itself with a request that it asks this edge for.
+    """The peer edge that sent a request, with the state that it reported.
 
     Attributes:
         zone: zone of the peer.
         purges: number of the newest purge that the peer has applied.
         version: configuration version of the peer.
-        max_attempts: how many servers may be sent the request; None for the route's own limit.
+        max_attempts: maximum number of servers that the request may be sent to; None for the
+            route's limit.
     """
 
     zone: str
@@ -133,23 +139,24 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request from its first byte to the end of its response.
+    """One request, from its arrival to the end of its response.
 
     Attributes:
-        identity: name of the request, by the caller or made here.
+        identity: id of the request, from the client or generated by this edge.
         started: monotonic time of arrival in seconds.
         started_wall: wall-clock time of arrival in seconds since the epoch.
-        named_by_caller: whether the identity came from the caller.
+        has_client_identity: whether the client gave the identity.
         is_probe: whether a prober that is a member sent it.
-        peer: the peer edge that sent it, if one did.
-        is_retry: whether it repeats a request that failed lately.
-        attempts_left: most servers that it may still be sent to.
-        version: configuration version that it was routed by.
-        zone_verdicts: verdict on each zone at its arrival.
-        candidates: servers that were weighed for the first attempt, as explain tells them.
-        admitted_to: admission queue that it holds a slot of.
-        held_key: Idempotency-Key that is in progress on its behalf.
-        fill: cache fill that it carries out.
+        peer: the peer edge that sent it, if any.
+        is_retry: whether it is a client's retry of a request that failed.
+        attempts_left: maximum number of servers that it may still be sent to.
+        version: configuration version by which it was routed.
+        zone_verdicts: health verdict on each zone at its arrival.
+        retry_refused: whether an attempt was left out for lack of retry budget or rate.
+        candidates: servers considered for the first attempt, as explain shows them.
+        admitted_to: admission queue in which it holds a slot.
+        held_key: its Idempotency-Key, while this edge has it in progress.
+        fill: cache fill that it performs.
         duration: seconds from arrival to the end.
     """
 
@@ -161,7 +168,7 @@
     started_wall: float
     path: str = ""
     body: bytes = b""
-    named_by_caller: bool = False
+    has_client_identity: bool = False
     is_probe: bool = False
     peer: RequestingPeer | None = None
     is_retry: bool = False
@@ -186,9 +193,9 @@
     duration: float = 0.0
 
     def charge_owner(self, servers: int) -> None:
-        """Count servers that the owner of the object may have sent this request to.
+        """Count the servers to which the object's owner may have sent this request as attempts.
 
-        What is then sent from here is a retry, to as many servers fewer.
+        An attempt of this edge is then a retry.
         """
         if servers:
             self.attempts_left = max(0, self.attempts_left - servers)
@@ -196,31 +203,31 @@
 
     @property
     def cache_key(self) -> CacheKey:
-        """Key of the object in the cache: route, host and target."""
+        """Cache key: route, host and target."""
         return self.route_name, self.host, self.target
 
     @property
     def was_sent(self) -> bool:
-        """Whether any server may have received it."""
+        """True if any server may have received the request."""
         return any(attempt.sent for attempt in self.attempts)
 
     @property
     def servers_reached(self) -> int:
-        """How many servers it may have reached, from here or through an owner."""
+        """Number of servers that may have received it, from this edge or the object's owner."""
         return sum(attempt.servers_reached for attempt in self.attempts)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it reached a server that did not say for certain that it did not run it."""
+        """True if it reached a server that did not reject it without running it."""
         return any(attempt.may_have_run for attempt in self.attempts)
 
     @property
     def sender_kind(self) -> str:
-        """Who sent it: a client, another edge or a prober; the value of a metric's label."""
+        """Kind of sender: client, edge or prober; the value of a metric label."""
         return "prober" if self.is_probe else "edge" if self.peer is not None else "client"
 
     def to_wire(self) -> dict[str, object]:
-        """Return what explain tells of this request."""
+        """Return the request as explain shows it."""
         return {
             "order": self.identity,
             "wall": round(self.started_wall, 3),
@@ -246,17 +253,17 @@
 
 
 class RecentRequests:
-    """The last requests of this edge by identity, for explain; bounded."""
+    """The last requests of this edge by identity, for explain and connection reuse; bounded."""
 
     __slots__ = ("by_identity", "max_requests")
 
     def __init__(self, max_requests: int) -> None:
-        """Create an empty record of at most so many requests."""
+        """Create an empty record of at most `max_requests` requests."""
         self.max_requests = max_requests
         self.by_identity: OrderedDict[str, Request] = OrderedDict()
 
     def add(self, request: Request) -> None:
-        """Remember an ended request, without its body."""
+        """Add a finished request and drop its body."""
         request.body = b""
         self.by_identity[request.identity] = request
         while len(self.by_identity) > self.max_requests:
--- a/packages/edge/ryelock/edge/response_validator.py
+++ b/packages/edge/ryelock/edge/response_validator.py
@@ -1,8 +1,7 @@
-"""Decides which of a server's responses is believed: whose it is, and whether it may be used.
+"""Checks that a server's response belongs to the request and may be used.
 
-A server may answer twice, late, or with what belongs to another request. Where the protocol's
-profile has responses say whose they are, nothing that a response says is believed, neither success
-nor "not run", unless it says that it belongs to this request.
+A server may respond twice, late, or to another request. If the protocol profile has identities, a
+response without the request's identity is an error, whether it reports a success or a rejection.
 """
 
 from ryelock.edge.context import EdgeContext
@@ -16,35 +15,36 @@
 from ryelock.http import ClientError, ResponseHead, field
 
 MISDIRECTED = 421
-"""Status of a server that does not answer for this target (RFC 9110, 15.5.20)."""
+"""Status of a server that does not serve this target (RFC 9110, 15.5.20)."""
 SERVER_BUSY_STATUSES = (408, 425, 429, 503)
 
 
 class ResponseValidator:
-    """Judges the responses of servers."""
+    """Validates the responses of servers."""
 
     __slots__ = ("context",)
 
     def __init__(self, context: EdgeContext) -> None:
-        """Create the judge of an edge."""
+        """Create the validator."""
         self.context = context
 
     def may_reuse_connection(self, request: Request) -> bool:
-        """Whether a response to an earlier request could be told from this one's by its name.
+        """Return True if a late response to an earlier request could be recognized.
 
-        Servers repeat only names that callers gave. A probe bears none; and a name that was in
-        use lately may stand in a late response as well, so a request that may run once and bears
-        such a one gets a connection of its own, on which nothing was asked before.
+        It is recognized by its identity, and servers echo only identities that clients gave; a
+        probe has none. An at-most-once request whose identity was used recently gets a new
+        connection, since a late response to the earlier request would carry the same identity.
+        Without identities, each at-most-once request gets a new connection.
         """
         at_most_once = request.request_class is RequestClass.AT_MOST_ONCE
         if self.context.profile.own:
             return not at_most_once
-        if request.is_probe or not request.named_by_caller:
+        if request.is_probe or not request.has_client_identity:
             return False
         return not at_most_once or request.identity not in self.context.recent_requests.by_identity
 
     def belongs_to(self, request: Request, head: ResponseHead) -> bool:
-        """Whether a response says that it is this request's, where responses say whose they are."""
+        """Return True if a response has the request's identity, or if there are no identities."""
         identity_field = self.context.profile.identity
         if not identity_field:
             return True
@@ -52,20 +52,20 @@
         return identity is not None and identity.decode("latin-1") == request.identity
 
     def should_skip(self, request: Request, head: ResponseHead, reused: bool) -> bool:
-        """Whether a response is to be skipped, since this request's may still follow it.
+        """Return True if a response belongs to another request and this one's may follow.
 
-        A server may send one too many; it comes where the next request's is due. One under another
-        name is skipped on any connection; one under no name only on a reused connection: on a new
-        one nothing else can be due.
+        A server's duplicate response arrives where the response to the next request is expected.
+        A response with another identity is skipped on any connection, one without an identity only
+        on a reused connection: on a new one it can only be the response to this request.
         """
         if request.is_probe or self.belongs_to(request, head):
             return False
         return reused or field(head.fields, self.context.profile.identity.lower()) is not None
 
     def find_error(self, request: Request, head: ResponseHead) -> ClientError | None:
-        """Return why a response cannot go to the caller; None where it can.
+        """Return the error of a response that cannot be forwarded; None if it can.
 
-        A probe's response is known by the connection, which no other request uses.
+        A probe's response needs no identity: no other request uses the connection.
         """
         profile = self.context.profile
         if profile.own:
@@ -81,13 +81,13 @@
         return None
 
     def mismatch_reason(self, head: ResponseHead) -> str:
-        """Return why a response is taken for another request's."""
+        """Return the reason why a response does not match the request."""
         if field(head.fields, self.context.profile.identity.lower()) is None:
             return "an answer that does not say whose it is"
         return "an answer to another order"
 
     def is_rejection(self, head: ResponseHead) -> bool:
-        """Whether a server says for certain that it did not run the request."""
+        """Return True if a response states that the server did not run the request."""
         not_run = self.context.profile.not_run
         return (
             not_run != b""
@@ -96,7 +96,7 @@
         )
 
     def is_sealed(self, head: ResponseHead) -> bool:
-        """Whether a success bears its server's seal, where servers add one."""
+        """Return True unless a 2xx response lacks the seal that the protocol profile requires."""
         seal = self.context.profile.seal
         if not seal or not 200 <= head.status < 300:
             return True
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -1,4 +1,4 @@
-"""Opens a request: who sent it, which route it takes, and how much time it has."""
+"""Routing of a request: its sender, route, service, class and deadline."""
 
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.peer_protocol import PEER_FIELD, SERVERS_FIELD, parse_count
@@ -10,21 +10,21 @@
 SAFE_METHODS = (b"GET", b"HEAD", b"OPTIONS", b"TRACE")
 """Methods that may be retried (RFC 9110, 9.2.1)."""
 RESPONSE_MARGIN_SECONDS = 0.02
-"""Part of a caller's deadline that is left for the response to reach it."""
+"""Subtracted from a client's deadline for the transfer of the response."""
 MAX_NUMBER_DIGITS = 18
 
 
 class Router:
-    """Opens requests and finds their routes."""
+    """Creates requests and finds their routes."""
 
     __slots__ = ("context",)
 
     def __init__(self, context: EdgeContext) -> None:
-        """Create the router of an edge."""
+        """Create the router."""
         self.context = context
 
     def open_request(self, exchange: HttpExchange) -> Request:
-        """Return the record of a request that just arrived."""
+        """Return the record of a request that has arrived."""
         context = self.context
         context.requests_opened += 1
         head = exchange.head
@@ -44,16 +44,17 @@
             context.scheduler.clock.wall(),
         )
         request.path = parse_path(request.target)
-        request.named_by_caller = bool(identity)
+        request.has_client_identity = bool(identity)
         request.is_probe = self.is_probe(field(head.fields, b"x-ryelock-probe"))
         request.peer = self.requesting_peer(head.fields)
         request.zone_verdicts = context.member.verdicts()
         return request
 
     def requesting_peer(self, fields: Fields) -> RequestingPeer | None:
-        """Return the edge that a request comes from, if it is a member; None for any other caller.
+        """Return the peer edge that sent a request; None for any other sender.
 
-        What is fetched for another edge goes under the caller's name: servers repeat no other.
+        A sender is a peer if it gives a member's name and probe secret. The request keeps the
+        identity that the client gave: servers echo no other.
         """
         value = field(fields, PEER_FIELD.lower())
         if value is None:
@@ -73,7 +74,7 @@
         return RequestingPeer(session.zone, int(parts[2]), int(parts[3]), max_attempts)
 
     def is_probe(self, value: bytes | None) -> bool:
-        """Whether a request comes from a prober that is a member; others may claim it in vain."""
+        """Return True if a probe field has the name and secret of a member that probes."""
         name, _, secret = (value or b"").decode("latin-1").partition(" ")
         session = self.context.member.members.get(name)
         return (
@@ -84,7 +85,7 @@
         )
 
     def find_route(self, request: Request) -> Route | None:
-        """Decide route, service and class by the configuration version that is now in force."""
+        """Set route, service and class by the configuration version in force."""
         plan = self.context.plan
         request.version = plan.version
         if has_dot_segments(request.path):
@@ -105,16 +106,16 @@
         return route
 
     def choose_service(self, route: Route) -> str:
-        """Return the route's service, or one of several drawn by their weights."""
+        """Return the route's service, or a random one of a split by weight."""
         if not route.split:
             return route.service
         names = list(route.split)
         return self.context.random.choices(names, [route.split[name] for name in names])[0]
 
     def deadline(self, exchange: HttpExchange, route: Route) -> float:
-        """Return the monotonic time up to which a request may be worked on.
+        """Return the monotonic deadline of a request.
 
-        The earliest of the listener's, the route's and the caller's own deadline.
+        It is the earliest of the deadlines of the listener, the route and the client.
         """
         deadline = exchange.deadline
         if route.deadline_seconds:
@@ -128,9 +129,9 @@
         return deadline
 
     def may_still_send(self, request: Request) -> bool:
-        """Whether the lease holds and the version in force still names this service.
+        """Return True if the lease is valid and the route still allows service and class.
 
-        Asked right before each attempt: either may have changed while the request waited.
+        Checked right before each attempt: either may have changed while the request waited.
         """
         if not self.context.member.serving:
             return False
@@ -146,5 +147,5 @@
 
 
 def is_number(text: str) -> bool:
-    """Whether a text is a whole number of a size that the wire allows."""
+    """Return True for a decimal number within the length limit."""
     return text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
--- a/packages/edge/ryelock/edge/served_objects.py
+++ b/packages/edge/ryelock/edge/served_objects.py
@@ -1,4 +1,4 @@
-"""Objects that this edge served lately, of which the leader derives watches for probers."""
+"""Recently served objects, from which the leader derives watches for probers."""
 
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.request import Request
@@ -9,7 +9,7 @@
 
 
 class ServedObjects:
-    """Per cached route without a watch, the object that was served last."""
+    """The last served object of each cached route that has no watch."""
 
     __slots__ = ("context", "latest")
 
@@ -19,7 +19,7 @@
         self.latest: dict[str, tuple[str, str]] = {}
 
     def record(self, exchange: HttpExchange, request: Request, content: bytes | None) -> None:
-        """Remember a served object, if its route has no watch and anybody may fetch it."""
+        """Record a served object if its route has no watch and it needs no credentials."""
         if request.route_name not in self.context.member.replicated_state.derivable:
             return
         fields = exchange.head.fields
@@ -38,7 +38,7 @@
         self.latest[request.route_name] = (host, request.target)
 
     def report(self) -> list[list[str]]:
-        """Return route, host and target of each object; what needs no watch is forgotten."""
+        """Return route, host and target of each object, and drop routes that need no watch."""
         derivable = self.context.member.replicated_state.derivable
         self.latest = {
             route: served_object
--- a/packages/edge/ryelock/edge/upstream_client.py
+++ b/packages/edge/ryelock/edge/upstream_client.py
@@ -1,4 +1,4 @@
-"""One attempt at one upstream server: a connection, the request, and the response's beginning."""
+"""Client for one attempt at an upstream server: connection, request and start of the response."""
 
 from dataclasses import dataclass
 
@@ -33,19 +33,19 @@
 from ryelock.runtime import Connection
 
 MAX_SKIPPED_RESPONSES = 2
-"""How many responses to other requests are skipped on one connection."""
+"""Limit of responses to other requests that are skipped on one connection."""
 ATTEMPT_TIMEOUT_FRACTION = 0.6
-"""Part of the time left that an attempt may take where another one can follow it."""
+"""Fraction of the remaining time given to an attempt that another may follow."""
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamConnection:
-    """A connection to a server, with what is read from it.
+    """A connection to a server with its reader.
 
     Attributes:
         connection: the connection.
-        reader: its bytes.
-        reused: whether another request went over it before.
+        reader: reader of the connection.
+        reused: whether it carried another request before.
     """
 
     connection: Connection
@@ -54,12 +54,12 @@
 
     @property
     def has_stray_bytes(self) -> bool:
-        """Whether bytes came that nothing asked for."""
+        """True if bytes arrived before a request was sent."""
         return bool(self.reader.buffer or self.connection.received.items)
 
 
 class UpstreamClient:
-    """Sends requests to servers and reads the beginning of their responses."""
+    """Sends requests to servers and reads the start of their responses."""
 
     __slots__ = ("admission", "context", "router", "validator", "writer")
 
@@ -70,7 +70,7 @@
         admission: AdmissionController,
         validator: ResponseValidator,
     ) -> None:
-        """Create the client of an edge."""
+        """Create the client."""
         self.context = context
         self.router = router
         self.admission = admission
@@ -80,9 +80,15 @@
     async def fetch(
         self, call: UpstreamCall, server: ServerState, attempt: Attempt, is_last: bool
     ) -> Result[UpstreamResponse, ClientError]:
-        """Make one attempt; `is_last` tells that no other server may follow it.
+        """Make one attempt.
 
-        The connection is the response's where there is one; otherwise it is ended here.
+        A response that is returned owns the connection; else the connection is aborted.
+
+        Args:
+            call: the call.
+            server: the server to send it to.
+            attempt: record of the attempt.
+            is_last: whether no other server may be tried after it.
         """
         upstream = self.open_connection(call.request, server)
         succeeded = False
@@ -124,8 +130,8 @@
     ) -> ClientError | None:
         """Wait for the connection; then check that the request may still be sent.
 
-        The checks stand behind the only wait before the first byte: what holds here holds when
-        the request leaves.
+        Nothing is awaited between these checks and the first byte, so they still hold when the
+        request is sent.
         """
         context, connection = self.context, upstream.connection
         remaining = min(context.settings.connect_seconds, call.deadline - context.scheduler.now())
@@ -155,7 +161,7 @@
         sent_at: float,
         is_last: bool,
     ) -> Result[UpstreamResponse, ClientError]:
-        """Read this request's response, as far as it is to be read before it is judged."""
+        """Read the start of the response and check that the response may be used."""
         request, own = call.request, self.context.profile.own
         result = await self.read_matching_response(
             call, upstream, self.response_deadline(call, sent_at, is_last)
@@ -185,9 +191,9 @@
         )
 
     def response_deadline(self, call: UpstreamCall, sent_at: float, is_last: bool) -> float:
-        """Return the time up to which the response's head is waited for.
+        """Return the monotonic time by which the response's head must arrive.
 
-        An attempt that another one may follow leaves a part of the time to that.
+        An attempt that another may follow leaves it part of the remaining time.
         """
         deadline = min(call.deadline, sent_at + self.service_timeout_seconds(call.request))
         idempotent = call.request.request_class is RequestClass.IDEMPOTENT
@@ -196,7 +202,7 @@
         return deadline
 
     def service_timeout_seconds(self, request: Request) -> float:
-        """Return the longest time that the request's service may take."""
+        """Return the response timeout of the request's service."""
         queue = self.context.admission_queues.get(request.service)
         if queue is None:
             return self.context.settings.order_seconds
@@ -205,10 +211,10 @@
     async def read_matching_response(
         self, call: UpstreamCall, upstream: UpstreamConnection, deadline: float
     ) -> Result[tuple[Response, bytes, bool], ClientError]:
-        """Read up to the response that is not left over from another request.
+        """Read responses, skipping those to other requests.
 
         Returns:
-            The response, what was read of its body, and whether that is the whole body.
+            The response, the part of its body that was read, and whether that is all of it.
         """
         settings = self.context.settings
         storable_bytes = settings.answer_bytes if call.for_cache else None
@@ -227,7 +233,7 @@
         return Ok((response, prefix, complete))
 
     def log_broken_response(self, request: Request, server: ServerState, fault: str) -> None:
-        """Log that a server's response breaks HTTP."""
+        """Log that a server's response is cut or malformed."""
         self.context.log.write(
             RESPONSE_BROKEN,
             server=server.server.address,
--- a/packages/edge/ryelock/edge/upstream_request.py
+++ b/packages/edge/ryelock/edge/upstream_request.py
@@ -1,4 +1,4 @@
-"""Writes a request to an upstream server: which fields go on, which are dropped or added."""
+"""Requests to upstream servers: which header fields are forwarded, dropped and added."""
 
 from dataclasses import dataclass
 
@@ -16,16 +16,16 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamCall:
-    """What one request asks of a service's servers, whichever of them it goes to.
+    """An admitted request as it is sent to any server of its service.
 
     Attributes:
-        exchange: the caller's exchange.
+        exchange: the client's exchange.
         request: the request.
         route: its route.
-        queue: the admission queue that let it through.
-        for_cache: whether the response is fetched for the cache, so that it serves others too.
+        queue: the admission queue in which it holds a slot.
+        for_cache: whether the response fills the cache and may serve other requests.
         stored: a stored response to be validated (RFC 9111, 4.3.1).
-        deadline: monotonic time up to which it may be worked on.
+        deadline: monotonic time at which the request is given up.
     """
 
     exchange: HttpExchange
@@ -38,14 +38,15 @@
 
     @property
     def method(self) -> bytes:
-        """The method that servers get: the cache stores what GET gives, also for HEAD."""
+        """The method sent to servers: GET to fill the cache, also for a client's HEAD."""
         return b"GET" if self.for_cache else self.exchange.head.method
 
     @property
     def cancelled_with_client(self) -> bool:
-        """Whether a server's work is for this caller alone and may be broken off when it leaves.
+        """True if the attempt is to be aborted when the client disconnects.
 
-        What is fetched for the cache serves others too, and what may run once is left to end.
+        A fetch for the cache may serve other requests, and an at-most-once request must not be
+        interrupted.
         """
         return self.request.request_class is RequestClass.IDEMPOTENT and not self.for_cache
 
@@ -56,7 +57,7 @@
     __slots__ = ("context", "router")
 
     def __init__(self, context: EdgeContext, router: Router) -> None:
-        """Create the writer of an edge."""
+        """Create the writer."""
         self.context = context
         self.router = router
 
@@ -76,10 +77,11 @@
         send_request(connection, call.method, target, fields, call.request.body)
 
     def forwarded_fields(self, call: UpstreamCall) -> Fields:
-        """Return the caller's fields that go on to a server (RFC 9110, 7.6.1).
+        """Return the client's fields that are forwarded to a server (RFC 9110, 7.6.1).
 
-        A fetch for the cache carries none of the caller's conditions: its response serves others.
-        A request without a name gets one where the profile has names, but for a probe's.
+        A fetch for the cache omits the client's conditional fields, since its response serves
+        other requests. A request without an identity gets one if the protocol profile has
+        identities, except for a probe.
         """
         request, profile = call.request, self.context.profile
         fields: Fields = end_to_end(call.exchange.head.fields)
@@ -95,7 +97,7 @@
         return [(name, value) for name, value in fields if name.lower() not in dropped]
 
     def add_profile_fields(self, call: UpstreamCall, server: ServerState, fields: Fields) -> None:
-        """Tell the server how much time is left and which incarnation of it is meant."""
+        """Add the remaining milliseconds and the incarnation that the request is meant for."""
         profile = self.context.profile
         remaining = call.deadline - self.context.scheduler.now()
         fields.append((profile.deadline, b"%d" % max(1, int(remaining * 1000))))
@@ -103,7 +105,7 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """Return the target as an origin server gets it (RFC 9112, 3.2.1)."""
+    """Return a request target in origin form (RFC 9112, 3.2.1)."""
     if target.startswith((b"/", b"*")):
         return target
     _, slash, path = target.partition(b"://")[2].partition(b"/")
--- a/packages/edge/ryelock/edge/upstream_response.py
+++ b/packages/edge/ryelock/edge/upstream_response.py
@@ -1,4 +1,4 @@
-"""An upstream server's response, of which a short body is read before it is passed on."""
+"""An upstream server's response; a short body is read before the head is forwarded."""
 
 from dataclasses import dataclass
 
@@ -7,21 +7,21 @@
 from ryelock.runtime import Connection
 
 MAX_PREFIX_BYTES = 65_536
-"""Longest body that is read whole before its head goes to the caller."""
+"""Longest body that is read to its end before the head is forwarded to the client."""
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamResponse:
-    """A server's response that may go to the caller.
+    """A server's response that may be forwarded to the client.
 
     Attributes:
         head: status line and fields.
-        prefix: what was read of the body.
-        complete: whether that is the whole body.
-        response: the rest, to be read.
-        connection: the server's connection.
-        reader: the bytes of that connection.
-        server: the server.
+        prefix: the part of the body that was read.
+        complete: whether `prefix` is the complete body.
+        response: the response, for the rest of the body.
+        connection: connection to the server.
+        reader: reader of that connection.
+        server: state of the server.
         sent_at: monotonic time at which the request was sent.
     """
 
@@ -38,15 +38,18 @@
 async def read_prefix(
     response: Response, deadline: float, storable_bytes: int | None
 ) -> tuple[bytes, bool]:
-    """Read a short or storable body whole, and nothing of a longer one.
+    """Read a body to its end if it is short or storable.
+
+    Nothing is read of a body whose declared length exceeds the limit. A chunked body is read only
+    for the cache, up to the limit.
 
     Args:
-        response: the response whose head was read.
-        deadline: monotonic time up to which the body is waited for.
-        storable_bytes: longest body that is read for the cache; None where it is not to be stored.
+        response: the response, of which the head was read.
+        deadline: monotonic time by which the body must arrive.
+        storable_bytes: longest body to read for the cache; None if it is not to be stored.
 
     Returns:
-        What was read, and whether it is the whole body.
+        The bytes that were read, and whether they are the complete body.
     """
     max_bytes = MAX_PREFIX_BYTES if storable_bytes is None else storable_bytes
     body = response.body
