--- a/packages/edge/ryelock/edge/owner_client.py
+++ b/packages/edge/ryelock/edge/owner_client.py
@@ -64,14 +64,14 @@
 DEADLINE_FRACTION = 0.5
 """Fraction of the time before the request's deadline that is given to the owner."""
 SILENCE_TARGET_FRACTION = 0.75
-"""Timeout for the first byte from the owner, as a fraction of the route's latency target."""
+"""Timeout for a 102 or a response, as a fraction of the route's latency target."""
 MIN_TIMEOUT_SECONDS = 0.25
 PROCESSING_TARGET_FRACTION = 1.0
 """Timeout after a 102, as a fraction of the latency target. The direct fetch that follows also
 relieves an owner whose network link is saturated."""
 FORWARDED_TIMEOUT_FRACTION = 0.7
-"""Reduces the timeout of a zone's owner, so that it expires before that of the edge it serves."""
-RETRYABLE_STATUSES = (304, 408, 421, 425, 429)
+"""Factor on a zone owner's processing timeout, which must expire before the requesting edge's."""
+NON_FINAL_STATUSES = (304, 408, 421, 425, 429)
 
 
 @dataclass(frozen=True, slots=True)
@@ -156,7 +156,7 @@
         stale: a stored response that the owner may revalidate.
         reusable: whether the connection can serve another request.
         sent_at: monotonic time at which the lookup or fetch was sent.
-        silence_deadline: monotonic time by which the owner must send a first response, be it 102.
+        silence_deadline: monotonic time by which the owner must send a 102 or its response.
         processing_deadline: monotonic time by which it must respond after a 102.
     """
 
@@ -326,7 +326,7 @@
         """Return the owner's reply; None if it is late, broken or for another request.
 
         Args:
-            deadline: monotonic time by which the owner must send a first response.
+            deadline: monotonic time by which the owner must send a 102 or its response.
             may_extend: whether to wait until the request's deadline if no server may be tried from
                 here.
         """
@@ -419,4 +419,4 @@
 
 def is_final(status: int) -> bool:
     """Return True if another server would not give a better response to the request."""
-    return status < 500 and status not in RETRYABLE_STATUSES
+    return status < 500 and status not in NON_FINAL_STATUSES
--- a/packages/edge/ryelock/edge/request.py
+++ b/packages/edge/ryelock/edge/request.py
@@ -21,7 +21,7 @@
 
 
 class CacheStatus(StrEnum):
-    """How the cache served a request; the values appear in explain, metrics and X-Ryelock-Cache."""
+    """Role of the cache in a response; the values appear in explain, metrics and a header field."""
 
     UNUSED = ""
     HIT = "hit"
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -1,4 +1,8 @@
-"""Whose answer it is, and how often a request is sent: all cells, the page, cases, take-outs."""
+"""Matching of responses to requests, and the number of times a request is sent.
+
+The cells of a table (request, moment, event) are run and compared with its page. Then mechanisms
+are disabled one by one, and a case must detect each.
+"""
 
 from collections.abc import Callable
 from contextlib import AbstractContextManager, ExitStack
@@ -28,9 +32,9 @@
 
 
 class CellTests(testtools.TestCase):
-    """Every kind of request at every moment under every event."""
+    """Every kind of request with every event at every moment."""
 
-    def test_no_cell_breaks_a_rule_and_the_page_shows_what_they_give(self) -> None:
+    def test_no_cell_breaks_a_rule_and_the_page_shows_the_outcomes(self) -> None:
         outcomes = played()
         self.assertEqual(len(cells()), len(outcomes))
         self.assertEqual([], [line for outcome in outcomes for line in outcome.faults()])
@@ -43,12 +47,12 @@
             outcomes = [outcome for kind in Kind for outcome in play(kind, seed)]
             self.assertEqual(with_tables(page, outcomes), page, f"seed {seed}")
 
-    def test_no_cell_breaks_a_rule_where_messages_overtake_one_another(self) -> None:
+    def test_no_cell_breaks_a_rule_if_messages_are_reordered(self) -> None:
         for kind in Kind:
             outcomes = play(kind, seed=7, steady=False)
             self.assertEqual([], [line for outcome in outcomes for line in outcome.faults()])
 
-    def test_cells_give_the_same_whatever_was_played_before_them(self) -> None:
+    def test_cells_do_not_depend_on_earlier_ones(self) -> None:
         chosen = [
             Cell(kind, moment, event)
             for kind in RUNS_ONCE
@@ -62,17 +66,17 @@
 
 
 class ConnectionTests(testtools.TestCase):
-    """Which connection a request goes by."""
+    """Reuse of connections to servers."""
 
     def connections_used(self, fleet: AnswerFleet) -> int:
-        """Connections that servers were opened so far."""
+        """Return the number of connections opened to servers so far."""
         return sum(
             len(node.connections)
             for name, node in fleet.world.nodes.items()
             if name.startswith("server")
         )
 
-    def test_a_request_with_a_new_name_goes_by_a_kept_connection(self) -> None:
+    def test_a_request_with_a_new_identity_reuses_a_connection(self) -> None:
         fleet = AnswerFleet(1)
         for number in range(12):
             fleet.ask_now(f"before{number}", "GET", f"/plain/{number}")
@@ -81,19 +85,19 @@
             self.assertEqual(200, fleet.ask_now(f"new{number}", "POST", "/orders/1").status)
         self.assertLess(self.connections_used(fleet) - before, 3)
 
-    def test_a_name_that_was_in_use_lately_gets_a_connection_of_its_own(self) -> None:
-        """A late answer to the earlier request would bear the same name."""
+    def test_a_recently_used_identity_gets_a_new_connection(self) -> None:
+        """A late response to the earlier request would have the same identity."""
         fleet = AnswerFleet(2)
         for number in range(12):
             fleet.ask_now(f"before{number}", "GET", f"/plain/{number}")
         before = self.connections_used(fleet)
         for number in range(6):
-            told = fleet.ask_now(f"before{number}", "POST", "/orders/1")
-            self.assertEqual(200, told.status)
+            record = fleet.ask_now(f"before{number}", "POST", "/orders/1")
+            self.assertEqual(200, record.status)
         self.assertEqual(6, self.connections_used(fleet) - before)
 
-    def test_a_late_refusal_under_the_same_name_is_not_believed(self) -> None:
-        """The second request of a name goes where the first one's late answer cannot come."""
+    def test_a_late_rejection_with_the_same_identity_is_not_used(self) -> None:
+        """The second request with an identity must not use the connection of the first."""
         fleet = AnswerFleet(3)
         for number in range(4):
             name = f"same{number}"
@@ -115,82 +119,82 @@
             self.assertEqual(2, sum(arrival.ran for arrival in fleet.arrivals(name)))
 
 
-# Take-outs: what holds a case is taken out, and the case must then find the rule broken.
+# Disables one mechanism each; the case must then report the broken rule.
 
 
-def every_answer_is_mine() -> list[Patch]:
+def every_response_accepted() -> list[Patch]:
     return [mock.patch.object(ResponseValidator, "belongs_to", lambda *_arguments: True)]
 
 
-def idle_bytes_are_read() -> list[Patch]:
-    def kept_link(_servers: Servers, state: Any) -> Any:
+def dirty_idle_connections_reused() -> list[Patch]:
+    def take_any_open(_servers: Servers, state: Any) -> Any:
         while state.idle_connections:
             idle = state.idle_connections.pop()
             if not idle.connection.closed:
                 return idle
         return None
 
-    return [mock.patch.object(Servers, "take_idle_connection", kept_link)]
+    return [mock.patch.object(Servers, "take_idle_connection", take_any_open)]
 
 
-def sent_again_after_silence() -> list[Patch]:
-    plain = Router.find_route
+def every_request_idempotent() -> list[Patch]:
+    original = Router.find_route
 
     def find_route(router: Router, request: Any) -> Any:
-        route = plain(router, request)
+        route = original(router, request)
         request.request_class = RequestClass.IDEMPOTENT
         return route
 
     return [mock.patch.object(Router, "find_route", find_route)]
 
 
-def owners_sends_are_not_counted() -> list[Patch]:
+def owner_attempts_not_counted() -> list[Patch]:
     return [mock.patch.object(Request, "charge_owner", lambda *_arguments: None)]
 
 
-def owners_fetch_unasked() -> list[Patch]:
-    """No lookup: the fetch is sent to an owner that may not be there."""
+def owner_lookup_skipped() -> list[Patch]:
+    """Send the fetch without a lookup to an owner that may be down."""
 
-    async def look_up(_ask: OwnerRequest) -> OwnerRejection:
+    async def look_up(_request: OwnerRequest) -> OwnerRejection:
         return OwnerRejection(504, 0)
 
     return [mock.patch.object(OwnerRequest, "look_up", look_up)]
 
 
-TAKEN_OUT: tuple[tuple[str, Callable[[], list[Patch]], str], ...] = (
-    ("foreign-answer", every_answer_is_mine, "once"),
-    ("foreign-answer", every_answer_is_mine, "bytes"),
-    ("foreign-answer", idle_bytes_are_read, "idle"),
-    ("silent-server", sent_again_after_silence, "once"),
-    ("silent-server", owners_sends_are_not_counted, "servers"),
-    ("silent-server", owners_fetch_unasked, "asks"),
+DISABLED_MECHANISMS: tuple[tuple[str, Callable[[], list[Patch]], str], ...] = (
+    ("foreign-answer", every_response_accepted, "once"),
+    ("foreign-answer", every_response_accepted, "bytes"),
+    ("foreign-answer", dirty_idle_connections_reused, "idle"),
+    ("silent-server", every_request_idempotent, "once"),
+    ("silent-server", owner_attempts_not_counted, "servers"),
+    ("silent-server", owner_lookup_skipped, "asks"),
 )
 
 
-class TakenOutTests(testtools.TestCase):
-    """Each case with its mechanism taken out; one test each."""
+class DisabledMechanismTests(testtools.TestCase):
+    """Each case with its mechanism disabled; one generated test each."""
 
 
 def breaks(
-    name: str, taken_out: Callable[[], list[Patch]], rule: str
-) -> Callable[[TakenOutTests], None]:
-    def test(case: TakenOutTests) -> None:
+    name: str, disabled: Callable[[], list[Patch]], rule: str
+) -> Callable[[DisabledMechanismTests], None]:
+    def test(case: DisabledMechanismTests) -> None:
         broken: set[str] = set()
         for seed in (1, 2, 3):
             with ExitStack() as stack:
-                for patch in taken_out():
+                for patch in disabled():
                     stack.enter_context(patch)
                 broken |= {line.partition(":")[0] for line in CASES[name](seed).violations}
             if rule in broken:
                 break
-        case.assertIn(rule, broken, f"{name} without {taken_out.__name__}")
+        case.assertIn(rule, broken, f"{name} without {disabled.__name__}")
 
     return test
 
 
-for one, out, broken_rule in TAKEN_OUT:
+for case_name, mechanism, broken_rule in DISABLED_MECHANISMS:
     setattr(
-        TakenOutTests,
-        f"test_{one.replace('-', '_')}_without_{out.__name__}_{broken_rule}",
-        breaks(one, out, broken_rule),
+        DisabledMechanismTests,
+        f"test_{case_name.replace('-', '_')}_without_{mechanism.__name__}_{broken_rule}",
+        breaks(case_name, mechanism, broken_rule),
     )
--- a/tests/edge/test_caller_leaves.py
+++ b/tests/edge/test_caller_leaves.py
@@ -1,4 +1,4 @@
-"""A caller that leaves: its requests reach no server any more, and servers stop working on them."""
+"""Client disconnects: requests are not sent any more, and attempts in progress are aborted."""
 
 import socket
 import unittest
@@ -11,14 +11,14 @@
 from ryelock.testing.hosting_platform import Arrival, Manner
 from ryelock.testing.hosting_platform.attempts import SAFE
 
-STAYS_SECONDS = 0.3
-"""A caller of these tests leaves so long after its request was sent."""
+CONNECTED_SECONDS = 0.3
+"""Time from a client's request to its disconnect."""
 GRACE_SECONDS = 0.5
-"""So long after it left, no server may still work for it."""
+"""Time after a disconnect within which servers must have stopped working on the request."""
 
 
-class Caller:
-    """One connection to an edge, whose requests are given up midway."""
+class Client:
+    """A client with one connection to an edge, which disconnects before the response."""
 
     def __init__(self, deployment: Deployment, edge: str, identity: str) -> None:
         self.deployment = deployment
@@ -27,7 +27,7 @@
         self.connection: Connection | None = None
 
     def send(self, method: bytes, target: bytes, body: bytes = b"") -> None:
-        """Open a connection, send a request, and let it be worked on for a while."""
+        """Open a connection and send a request."""
         self.deployment.world.task(self.deployment.outside, self.sending(method, target, body), 10)
 
     async def sending(self, method: bytes, target: bytes, body: bytes) -> None:
@@ -41,21 +41,21 @@
         ]
         send_request(self.connection, method, target, fields, body)
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         assert self.connection is not None
         self.connection.abort()
 
 
 def slow_deployment(seed: int) -> Deployment:
-    """A deployment whose servers work five seconds on a request."""
+    """Return a deployment whose servers take five seconds for a request."""
     deployment = Deployment(seed).set_up()
     routes = deployment.configuration["routes"]
     assert isinstance(routes, list)
     slow = [{**item, "timeout_ms": 30_000, "target_ms": 20_000} for item in routes]
-    status, said = deployment.amend(
+    status, body = deployment.amend(
         {"version": "r6", "upsert": {"routes": slow}, "remove": {}}, "r5"
     )
-    assert status == 200, said
+    assert status == 200, body
     deployment.world.run(3)
     for service in deployment.services.values():
         service.work_seconds = 5.0
@@ -63,54 +63,58 @@
     return deployment
 
 
-def working(deployment: Deployment) -> int:
-    """How many requests the servers work on."""
-    return sum(life.working for life in deployment.servers.values())
+def working_requests(deployment: Deployment) -> int:
+    """Return the number of requests that servers work on."""
+    return sum(instance.working for instance in deployment.servers.values())
 
 
 def arrivals(deployment: Deployment, identity: str) -> list[Arrival]:
     return [arrival for arrival in deployment.history if arrival.identity == identity]
 
 
-class CallerLeavesTests(unittest.TestCase):
-    def test_servers_stop_working_for_callers_that_left(self) -> None:
+class ClientDisconnectTests(unittest.TestCase):
+    def test_servers_stop_working_for_disconnected_clients(self) -> None:
         for seed in (61, 62, 63):
             deployment = slow_deployment(seed)
-            callers = [
-                Caller(deployment, edge, f"left-{number}-{edge}")
+            clients = [
+                Client(deployment, edge, f"left-{number}-{edge}")
                 for edge in deployment.edges
                 for number in range(3)
             ]
-            for caller in callers:
-                caller.send(b"GET", b"/plain/a")
-            deployment.world.run(STAYS_SECONDS)
-            self.assertEqual(len(callers), working(deployment), "all are worked on")
-            for caller in callers:
-                caller.leave()
+            for client in clients:
+                client.send(b"GET", b"/plain/a")
+            deployment.world.run(CONNECTED_SECONDS)
+            self.assertEqual(
+                len(clients), working_requests(deployment), "all requests are in progress"
+            )
+            for client in clients:
+                client.disconnect()
             deployment.world.run(GRACE_SECONDS)
-            self.assertEqual(0, working(deployment), f"seed {seed}: runs that went on")
-            self.assertEqual(len(callers), len(deployment.history), "nothing is sent again")
+            self.assertEqual(
+                0, working_requests(deployment), f"seed {seed}: requests still in progress"
+            )
+            self.assertEqual(len(clients), len(deployment.history), "no request is retried")
 
-    def test_one_that_leaves_a_mute_server_reaches_no_other_one(self) -> None:
+    def test_no_other_server_is_tried_after_a_disconnect(self) -> None:
         deployment = slow_deployment(64)
-        for life in deployment.of_service("pages"):
-            life.manner = Manner.HANGING
-        caller = Caller(deployment, deployment.edges[0], "left-mute")
-        caller.send(b"GET", b"/plain/a")
-        deployment.world.run(STAYS_SECONDS)
+        for instance in deployment.of_service("pages"):
+            instance.manner = Manner.HANGING
+        client = Client(deployment, deployment.edges[0], "left-mute")
+        client.send(b"GET", b"/plain/a")
+        deployment.world.run(CONNECTED_SECONDS)
         self.assertEqual(1, len(arrivals(deployment, "left-mute")))
-        caller.leave()
+        client.disconnect()
         deployment.world.run(30)
         self.assertEqual(1, len(arrivals(deployment, "left-mute")))
 
-    def test_the_server_is_not_blamed_and_serves_the_next(self) -> None:
+    def test_a_disconnect_does_not_count_against_the_server(self) -> None:
         deployment = slow_deployment(65)
         edge = deployment.edges[0]
         for number in range(12):
-            caller = Caller(deployment, edge, f"left-{number}")
-            caller.send(b"GET", b"/plain/a")
-            deployment.world.run(STAYS_SECONDS)
-            caller.leave()
+            client = Client(deployment, edge, f"left-{number}")
+            client.send(b"GET", b"/plain/a")
+            deployment.world.run(CONNECTED_SECONDS)
+            client.disconnect()
         deployment.world.run(GRACE_SECONDS)
         node = deployment.node(edge).inner
         assert isinstance(node, TrafficNode)
@@ -122,35 +126,35 @@
         deployment.services["pages"].work_seconds = 0.02
         self.assertEqual(200, deployment.ask(SAFE, "GET", "/plain/b", edge=edge).status)
 
-    def test_one_that_may_run_once_is_not_broken_off(self) -> None:
+    def test_an_at_most_once_request_is_not_aborted(self) -> None:
         deployment = slow_deployment(66)
-        caller = Caller(deployment, deployment.edges[0], "left-once")
-        caller.send(b"POST", b"/orders/a", b"body")
-        deployment.world.run(STAYS_SECONDS)
-        caller.leave()
+        client = Client(deployment, deployment.edges[0], "left-once")
+        client.send(b"POST", b"/orders/a", b"body")
+        deployment.world.run(CONNECTED_SECONDS)
+        client.disconnect()
         deployment.world.run(10)
         sent = arrivals(deployment, "left-once")
         self.assertEqual([(True, 200)], [(arrival.ran, arrival.status) for arrival in sent])
 
-    def test_a_fetch_that_others_wait_for_goes_on(self) -> None:
+    def test_a_fetch_that_others_wait_for_is_not_aborted(self) -> None:
         deployment = slow_deployment(67)
         edge = deployment.edges[0]
-        caller = Caller(deployment, edge, "left-first")
-        caller.send(b"GET", b"/covers/a")
-        deployment.world.run(STAYS_SECONDS)
-        caller.leave()
-        note = deployment.ask(SAFE, "GET", "/covers/a", edge=edge, deadline=20.0)
-        self.assertEqual(200, note.status)
+        client = Client(deployment, edge, "left-first")
+        client.send(b"GET", b"/covers/a")
+        deployment.world.run(CONNECTED_SECONDS)
+        client.disconnect()
+        record = deployment.ask(SAFE, "GET", "/covers/a", edge=edge, deadline=20.0)
+        self.assertEqual(200, record.status)
         fetched = [arrival for arrival in deployment.history if arrival.identity]
         self.assertEqual(1, len(fetched), "both were served by one fetch")
 
-    def test_a_request_that_waits_is_not_sent_after_its_caller_left(self) -> None:
+    def test_a_queued_request_is_not_sent_after_a_disconnect(self) -> None:
         deployment = slow_deployment(68)
-        for life in deployment.of_service("desks"):
-            deployment.platform.crash(life)
-        caller = Caller(deployment, deployment.edges[0], "left-unsafe")
-        caller.send(b"POST", b"/orders/a", b"body")
-        caller.leave()
+        for instance in deployment.of_service("desks"):
+            deployment.platform.crash(instance)
+        client = Client(deployment, deployment.edges[0], "left-unsafe")
+        client.send(b"POST", b"/orders/a", b"body")
+        client.disconnect()
         for zone in deployment.zones:
             deployment.add_server("desks", zone)
         deployment.world.run(10)
@@ -158,10 +162,10 @@
 
 
 class ResetTests(unittest.TestCase):
-    """On real sockets: what an aborted connection still holds never arrives."""
+    """On real sockets: an aborted connection drops data that was not sent yet."""
 
-    def is_reset(self, ending: str) -> bool:
-        """End a connection on which a request was sent; whether the peer sees a reset."""
+    def is_reset(self, method: str) -> bool:
+        """Send a request, end the connection; return True if the peer sees a reset."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             plain = socket.create_connection(listener.getsockname())
             peer, _ = listener.accept()
@@ -173,7 +177,7 @@
         reactor.connections[plain] = connection
         connection.want_read(True)
         connection.write(b"a request")
-        getattr(connection, ending)()
+        getattr(connection, method)()
         with peer:
             try:
                 while peer.recv(100):
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -1,5 +1,4 @@
-"""Objects kept by one edge of a zone for all of them: who owns what, and what purges, losses and
-lifetimes do to copies that come by way of another edge."""
+"""Owners of objects, and responses shared between edges under purges, crashes and timeouts."""
 
 from dataclasses import replace
 from itertools import pairwise
@@ -25,9 +24,9 @@
 HOST = "site"
 
 
-def owned_by(scenario: Scenario, asking: str, owner: str) -> str:
-    """An object that one edge keeps, as another edge finds it."""
-    handler = scenario.node(asking).traffic.handler
+def owned_by(scenario: Scenario, requesting: str, owner: str) -> str:
+    """Return the target of an object owned by `owner`, as `requesting` finds it."""
+    handler = scenario.node(requesting).traffic.handler
     assert handler is not None and handler.context.peers is not None
     handler.context.peers.update_members(handler.context.member.members)
     return next(
@@ -37,7 +36,7 @@
     )
 
 
-def shared(seed: int, edges: int = 3, **settings: object) -> Scenario:
+def sharing_scenario(seed: int, edges: int = 3, **settings: object) -> Scenario:
     scenario = Scenario(
         seed,
         zones=1,
@@ -63,7 +62,7 @@
 
 
 def fetch_object(scenario: Scenario, edge: str, target: str) -> tuple[int, bytes]:
-    """One order at one edge: status and the way its answer came."""
+    """Return status and cache status of one request at one edge."""
     found = scenario.world.task(
         scenario.outside,
         fetch(
@@ -83,7 +82,7 @@
 
 
 class OwnerTests(testtools.TestCase):
-    def test_an_edge_that_goes_moves_only_its_own_objects(self) -> None:
+    def test_only_the_objects_of_a_removed_edge_move(self) -> None:
         names = [f"edge{number}" for number in range(6)]
         keys = [("host", f"/object/{number}") for number in range(600)]
         before = {key: owner_of(key, names) for key in keys}
@@ -101,48 +100,48 @@
             self.assertEqual(owner_of(key, names), owner_of(key, names[::-1]))
 
 
-class SharedCopiesTests(testtools.TestCase):
+class SharedCacheTests(testtools.TestCase):
     def arrivals(self, scenario: Scenario, target: str) -> int:
         return sum(ran.target == target for ran in scenario.history)
 
     def test_one_fetch_serves_all_edges_of_a_zone(self) -> None:
-        scenario = shared(1)
+        scenario = sharing_scenario(1)
         for edge in scenario.edges:
             self.assertEqual(200, fetch_object(scenario, edge, "/covers/1")[0])
         self.assertEqual(1, self.arrivals(scenario, "/covers/1"))
 
     def test_without_sharing_each_edge_fetches(self) -> None:
-        scenario = shared(1, share_copies=False)
+        scenario = sharing_scenario(1, share_copies=False)
         for edge in scenario.edges:
             fetch_object(scenario, edge, "/covers/1")
         self.assertEqual(len(scenario.edges), self.arrivals(scenario, "/covers/1"))
 
-    def test_an_owner_that_died_is_passed_by(self) -> None:
-        scenario = shared(2)
+    def test_an_owner_that_is_down_is_skipped(self) -> None:
+        scenario = sharing_scenario(2)
         target = owned_by(scenario, scenario.edges[0], scenario.edges[1])
         scenario.world.kill(scenario.edges[1], True)
         status, cache = fetch_object(scenario, scenario.edges[0], target)
         self.assertEqual((200, b"miss"), (status, cache))
 
-    def test_a_purge_reaches_copies_that_came_from_the_owner(self) -> None:
-        self.assertEqual([], self.purged_run(3).violations)
+    def test_a_purge_removes_responses_that_came_from_the_owner(self) -> None:
+        self.assertEqual([], self.run_with_purges(3).violations)
 
-    def test_an_owner_behind_a_purge_is_not_believed(self) -> None:
-        """Without the number of purges an edge takes back what it has just dropped."""
-        plain = Router.requesting_peer
+    def test_responses_of_an_owner_behind_a_purge_are_not_used(self) -> None:
+        """Without the number of purges an edge would store again what it has just purged."""
+        original = Router.requesting_peer
 
-        def believing(router: Router, fields: Any) -> RequestingPeer | None:
-            origin = plain(router, fields)
+        def without_purges(router: Router, fields: Any) -> RequestingPeer | None:
+            origin = original(router, fields)
             return None if origin is None else replace(origin, purges=0, version=0)
 
-        with mock.patch.object(Router, "requesting_peer", believing):
-            found = [self.behind(seed) for seed in range(3)]
-        self.assertTrue(all(found), "an owner that is behind gave an old copy")
-        self.assertFalse(any(self.behind(seed) for seed in range(3)))
+        with mock.patch.object(Router, "requesting_peer", without_purges):
+            found = [self.serves_purged_object(seed) for seed in range(3)]
+        self.assertTrue(all(found), "an owner that is behind gave a purged response")
+        self.assertFalse(any(self.serves_purged_object(seed) for seed in range(3)))
 
-    def behind(self, seed: int) -> bool:
-        """Whether an edge that knows a purge got the old object from an owner that does not."""
-        scenario = shared(10 + seed, edges=2)
+    def serves_purged_object(self, seed: int) -> bool:
+        """Return True if an edge with a newer purge got the purged object from the owner."""
+        scenario = sharing_scenario(10 + seed, edges=2)
         scenario.world.spikes = 0.0
         handler = scenario.node(scenario.edges[0]).traffic.handler
         assert handler is not None
@@ -154,8 +153,8 @@
         self.assertEqual(200, fetch_object(scenario, scenario.edges[0], target)[0])
         return self.arrivals(scenario, target) == before
 
-    def purged_run(self, seed: int) -> Findings:
-        scenario = shared(seed)
+    def run_with_purges(self, seed: int) -> Findings:
+        scenario = sharing_scenario(seed)
         scenario.start_callers(count=8)
         scenario.operators.scheduler.create_task(scenario.operate(1, 8.0), name="operator")
         scenario.world.run(6.0)
@@ -168,8 +167,8 @@
 
 
 class PeersTests(testtools.TestCase):
-    def test_one_edge_alone_asks_nobody(self) -> None:
-        scenario = shared(4, edges=1)
+    def test_a_single_edge_has_no_owner_to_ask(self) -> None:
+        scenario = sharing_scenario(4, edges=1)
         handler = scenario.node(scenario.edges[0]).traffic.handler
         assert handler is not None and isinstance(handler.context.peers, Peers)
         handler.context.peers.update_members(handler.context.member.members)
@@ -177,23 +176,23 @@
 
 
 class MembersTests(testtools.TestCase):
-    def test_members_come_as_changes_and_come_to_the_same(self) -> None:
-        """Nodes that follow by changes know what one that was told all knows."""
-        scenario = shared(5, edges=4)
-        told: list[bool] = []
-        plain = MembershipChanges.update_since
-
-        def noted(changes: MembershipChanges, version: int | None) -> Message:
-            found = plain(changes, version)
-            told.append("since" in found)
+    def test_membership_changes_lead_to_the_members_of_the_leader(self) -> None:
+        """Incremental updates must not lose or keep a session."""
+        scenario = sharing_scenario(5, edges=4)
+        incremental: list[bool] = []
+        original = MembershipChanges.update_since
+
+        def recorded(changes: MembershipChanges, version: int | None) -> Message:
+            found = original(changes, version)
+            incremental.append("since" in found)
             return found
 
-        with mock.patch.object(MembershipChanges, "update_since", noted):
+        with mock.patch.object(MembershipChanges, "update_since", recorded):
             scenario.world.kill(scenario.edges[0], True)
             scenario.world.run(5.0)
             scenario.start(scenario.edges[0])
             scenario.world.run(3.0)
-        self.assertIn(True, told)
+        self.assertIn(True, incremental)
         leader = scenario.node(scenario.leader()).core
         expected = {
             name: session.incarnation for name, session in leader.membership.members().items()
@@ -204,8 +203,8 @@
                 expected, {other: session.incarnation for other, session in members.items()}
             )
 
-    def test_changes_that_do_not_follow_on_are_passed_over(self) -> None:
-        scenario = shared(6, edges=2)
+    def test_membership_changes_after_a_gap_are_ignored(self) -> None:
+        scenario = sharing_scenario(6, edges=2)
         view = scenario.node(scenario.edges[0]).traffic.member.membership
         before, source, version = view.members, view.source, view.version
         view.apply_sessions(
@@ -221,10 +220,10 @@
         self.assertEqual((before, source, version), (view.members, view.source, view.version))
 
 
-class SilentOwnerTests(testtools.TestCase):
-    def test_an_owner_that_falls_silent_costs_a_part_of_the_aim_once(self) -> None:
-        """Its link stands and nothing comes: asks go on alone, and later ones ask it no more."""
-        scenario = shared(21, edges=2)
+class FrozenOwnerTests(testtools.TestCase):
+    def test_a_frozen_owner_delays_only_the_first_request(self) -> None:
+        """Its connection stays open without a response: later requests skip the owner."""
+        scenario = sharing_scenario(21, edges=2)
         apply: dict[str, object] = {
             "routes": {
                 "covers": {
@@ -240,24 +239,24 @@
             200,
             scenario.world.task(scenario.operators, scenario.change("aims", 1, apply), 20).status,
         )
-        asking, owner = scenario.edges
+        requesting, owner = scenario.edges
         first, second, third = [
             target
             for target in (f"/covers/{number}" for number in range(100))
             if owner_of((HOST, target), sorted(scenario.edges)) == owner
         ][:3]
-        self.assertEqual(200, fetch_object(scenario, asking, first)[0])
+        self.assertEqual(200, fetch_object(scenario, requesting, first)[0])
         scenario.world.freeze(owner, True)
         before = scenario.world.time
-        self.assertEqual((200, b"miss"), fetch_object(scenario, asking, second))
+        self.assertEqual((200, b"miss"), fetch_object(scenario, requesting, second))
         self.assertLess(scenario.world.time - before, 0.5)
         before = scenario.world.time
-        self.assertEqual((200, b"miss"), fetch_object(scenario, asking, third))
+        self.assertEqual((200, b"miss"), fetch_object(scenario, requesting, third))
         self.assertLess(scenario.world.time - before, 0.2)
 
 
-class HomeTests(testtools.TestCase):
-    """Which edges of a region an object goes through, as every edge of it finds them."""
+class RegionOwnerTests(testtools.TestCase):
+    """Path of a request through the edges of a region, as each edge computes it."""
 
     ZONES: ClassVar[dict[str, str]] = {"a": "north", "b": "north", "c": "north", "far": "south"}
 
@@ -276,47 +275,47 @@
         peers.update_members(members)
         return peers
 
-    def way(self, members: dict[str, Session], name: str, key: tuple[str, str]) -> list[str]:
-        """The edges that a request goes through, from the one that a client asked."""
+    def path(self, members: dict[str, Session], name: str, key: tuple[str, str]) -> list[str]:
+        """Return the edges that a request passes, from the one that the client connected to."""
         found, asked_from = [name], ""
         while (owner := self.view(found[-1], members).owner_to_ask(key, asked_from)) is not None:
             asked_from = members[found[-1]].zone
             found.append(owner.name)
         return found
 
-    def test_every_way_ends_at_one_home_of_the_region(self) -> None:
+    def test_every_path_ends_at_the_owner_in_the_region(self) -> None:
         members = self.edges()
         for number in range(40):
             key = (HOST, f"/covers/{number}")
-            ways = [self.way(members, name, key) for name in members]
-            ends = {members[way[-1]].zone: way[-1] for way in ways}
-            self.assertEqual(2, len({way[-1] for way in ways}), "one for each region")
+            paths = [self.path(members, name, key) for name in members]
+            ends = {members[path[-1]].zone: path[-1] for path in paths}
+            self.assertEqual(2, len({path[-1] for path in paths}), "one in each region")
             self.assertEqual(2, len(ends))
-            for way in ways:
-                self.assertLessEqual(len(way), 3)
-                self.assertEqual(1, len({self.ZONES[members[name].zone] for name in way}))
+            for path in paths:
+                self.assertLessEqual(len(path), 3)
+                self.assertEqual(1, len({self.ZONES[members[name].zone] for name in path}))
                 crossed = [
                     (one, other)
-                    for one, other in pairwise(way)
+                    for one, other in pairwise(path)
                     if members[one].zone != members[other].zone
                 ]
                 self.assertLessEqual(len(crossed), 1)
-                self.assertTrue(len(way) < 3 or members[way[1]].zone == members[way[0]].zone)
+                self.assertTrue(len(path) < 3 or members[path[1]].zone == members[path[0]].zone)
 
-    def test_each_zone_crosses_to_the_home_from_one_edge(self) -> None:
+    def test_one_edge_of_each_zone_crosses_to_the_owner_in_the_region(self) -> None:
         members = self.edges()
         for number in range(40):
             key = (HOST, f"/covers/{number}")
             crossing = {
                 (members[one].zone, one)
                 for name in members
-                for way in [self.way(members, name, key)]
-                for one, other in pairwise(way)
+                for path in [self.path(members, name, key)]
+                for one, other in pairwise(path)
                 if members[one].zone != members[other].zone
             }
             self.assertEqual(len({zone for zone, _ in crossing}), len(crossing))
 
-    def test_a_suspected_owner_of_the_zone_is_passed_by_to_the_home(self) -> None:
+    def test_a_suspected_owner_in_the_zone_is_skipped_for_that_in_the_region(self) -> None:
         members = self.edges()
         for number in range(40):
             key = (HOST, f"/covers/{number}")
--- a/tests/edge/test_retry_detector.py
+++ b/tests/edge/test_retry_detector.py
@@ -1,4 +1,4 @@
-"""Which requests are taken for retries, and idempotency keys that are in progress."""
+"""Detection of clients' retries, and the record of idempotency keys."""
 
 import unittest
 
--- a/tests/edge/test_upstream.py
+++ b/tests/edge/test_upstream.py
@@ -1,4 +1,4 @@
-"""Small rules of the upstream side: targets, lengths, keep-alive times and failures' kinds."""
+"""Functions of the upstream side: targets, lengths, keep-alive timeouts and failure kinds."""
 
 import unittest
 from typing import cast
@@ -22,7 +22,7 @@
 
 
 def upstream(status: int, prefix: bytes, complete: bool, length: int | None) -> UpstreamResponse:
-    """A server's response of which only the framing counts."""
+    """Return a server's response with only its framing set."""
     head = ResponseHead(status, b"", 1, [])
     return UpstreamResponse(
         head,
@@ -38,13 +38,13 @@
 
 class TargetTests(unittest.TestCase):
     def test_servers_get_targets_in_origin_form(self) -> None:
-        for target, wanted in (
+        for target, expected in (
             (b"/a?b", b"/a?b"),
             (b"*", b"*"),
             (b"http://site/a?b", b"/a?b"),
             (b"http://site", b"/"),
         ):
-            self.assertEqual(wanted, origin_form(target))
+            self.assertEqual(expected, origin_form(target))
 
 
 class LengthTests(unittest.TestCase):
@@ -55,7 +55,7 @@
         self.assertEqual(9, length_to_send(b"GET", upstream(200, b"abc", False, 9)))
         self.assertIsNone(length_to_send(b"GET", upstream(200, b"", False, None)))
 
-    def test_head_gets_the_length_that_get_would(self) -> None:
+    def test_head_gets_the_length_of_a_get_response(self) -> None:
         self.assertEqual(9, length_to_send(b"HEAD", upstream(200, b"", True, 9)))
         self.assertEqual(3, length_to_send(b"HEAD", upstream(200, b"abc", True, None)))
         self.assertIsNone(length_to_send(b"HEAD", upstream(200, b"", True, None)))
@@ -68,13 +68,13 @@
 
 class FieldTests(unittest.TestCase):
     def test_a_keep_alive_time_is_read_only_where_it_is_a_number(self) -> None:
-        for value, wanted in (
+        for value, expected in (
             (b"timeout=5, max=100", 5.0),
             (b"max=100", None),
             (b"timeout=soon", None),
         ):
             head = ResponseHead(200, b"", 1, [(b"Keep-Alive", value)])
-            self.assertEqual(wanted, keep_alive_seconds(head))
+            self.assertEqual(expected, keep_alive_seconds(head))
 
     def test_counts_and_seconds_of_peers_are_bounded(self) -> None:
         self.assertEqual([12, None, None, None], [*map(parse_count, (b"12", b"1234", b"-1", None))])
@@ -82,7 +82,7 @@
             [0.5, None, None, None], [*map(parse_seconds, (b"0.5", b"-1", b"1e9", None))]
         )
 
-    def test_an_owner_relays_only_what_no_second_server_could_better(self) -> None:
+    def test_only_final_statuses_are_accepted_from_an_owner(self) -> None:
         self.assertEqual(
             [200, 404], [status for status in (200, 304, 404, 429, 503) if is_final(status)]
         )
@@ -98,13 +98,13 @@
         error = AttemptCancelledError(FailureKind.SERVER_LEAVING, "leaving")
         self.assertIs(FailureKind.SERVER_LEAVING, failure_kind(error, deadline_passed=True))
 
-    def test_any_other_error_is_the_servers_or_its_silence(self) -> None:
+    def test_another_error_is_a_failed_or_silent_server(self) -> None:
         error = ConnectFailedError()
         self.assertIs(FailureKind.SERVER_FAILED, failure_kind(error, deadline_passed=False))
         self.assertIs(FailureKind.SERVER_SILENT, failure_kind(error, deadline_passed=True))
 
-    def test_explain_names_cuts_by_names_that_stay(self) -> None:
-        """Whatever class stands behind them: operators search for these texts."""
+    def test_names_of_relay_errors_in_explain_are_stable(self) -> None:
+        """Operators search for these texts, which must not follow the names of classes."""
         for error, text in (
             (MalformedMessageError("malformed chunk size"), "FramingError('malformed chunk size')"),
             (IncompleteMessageError(), "IncompleteMessageError()"),
