--- a/packages/edge/ryelock/edge/idempotency_claims.py
+++ b/packages/edge/ryelock/edge/idempotency_claims.py
@@ -9,34 +9,34 @@
 from ryelock.runtime import Scheduler
 
 CALL_TIMEOUT_SECONDS = 0.4
-CALL_TIMEOUT_MIN_SECONDS = 0.05
-RETRY_PAUSE_SECONDS = 0.05
-RELEASE_SECONDS = 30.0
+MIN_CALL_TIMEOUT_SECONDS = 0.05
+RETRY_DELAY_SECONDS = 0.05
+RELEASE_TIMEOUT_SECONDS = 30.0
 RELEASE_STATUSES = ("released",)
 
 
 class ClaimStatus(StrEnum):
-    """What became of a claim; the values are those of the control leader's answer."""
+    """Result of a claim; the values are those of the control leader's reply."""
 
     CLAIMED = "claimed"
-    KNOWN = "known"
+    ALREADY_CLAIMED = "known"
     """Another request has the key."""
-    UNANSWERED = ""
-    """Nobody answered in time."""
+    TIMED_OUT = ""
+    """No control node gave a final status in time."""
 
 
-CLAIM_STATUSES = (ClaimStatus.CLAIMED.value, ClaimStatus.KNOWN.value)
+CLAIM_STATUSES = (ClaimStatus.CLAIMED.value, ClaimStatus.ALREADY_CLAIMED.value)
 
 
 class IdempotencyClaims:
-    """Claims and releases keys, through another control node where the leader is unknown."""
+    """Client for claims and releases; uses any control node if the leader is unknown."""
 
     __slots__ = ("discovery", "rpc_clients", "scheduler")
 
     def __init__(
         self, scheduler: Scheduler, rpc_clients: RpcClients, discovery: LeaderDiscovery
     ) -> None:
-        """Create the client; `discovery` tells which control node to ask."""
+        """Create the client; `discovery` provides the control nodes' addresses."""
         self.scheduler = scheduler
         self.rpc_clients = rpc_clients
         self.discovery = discovery
@@ -44,31 +44,33 @@
     async def claim(self, key: bytes, request: str, timeout: float) -> ClaimStatus:
         """Claim a key for a request within `timeout` seconds.
 
-        A request that claims again gets the same answer, so a lost answer does no harm.
+        Claims are idempotent for a request, so they are repeated if a reply is lost.
         """
         message = IdempotencyKeyRequest(CLAIM, key, request)
         return ClaimStatus(await self.call(message, CLAIM_STATUSES, timeout))
 
     async def release(self, key: bytes, request: str) -> None:
-        """Release a key whose request certainly did not run; retried for RELEASE_SECONDS."""
+        """Release a key whose request certainly did not run."""
         message = IdempotencyKeyRequest(RELEASE, key, request)
-        await self.call(message, RELEASE_STATUSES, RELEASE_SECONDS)
+        await self.call(message, RELEASE_STATUSES, RELEASE_TIMEOUT_SECONDS)
 
     async def call(
         self, request: IdempotencyKeyRequest, final_statuses: tuple[str, ...], timeout: float
     ) -> str:
-        """Repeat a call until a control node gives a final status; "" after `timeout` seconds."""
+        """Retry a call until it gives a final status; return "" after `timeout` seconds."""
         message = encode(request)
         deadline = self.scheduler.now() + timeout
         attempt = 0
         while self.scheduler.now() < deadline:
-            others = self.discovery.control_nodes
-            address = self.discovery.leader or others[attempt % len(others)]
+            control_nodes = self.discovery.control_nodes
+            address = self.discovery.leader or control_nodes[attempt % len(control_nodes)]
             attempt += 1
-            left = max(CALL_TIMEOUT_MIN_SECONDS, deadline - self.scheduler.now())
-            found = await self.rpc_clients.call(address, message, min(CALL_TIMEOUT_SECONDS, left))
-            status = str(found.ok.get("status")) if found.is_ok() else ""
+            remaining = max(MIN_CALL_TIMEOUT_SECONDS, deadline - self.scheduler.now())
+            result = await self.rpc_clients.call(
+                address, message, min(CALL_TIMEOUT_SECONDS, remaining)
+            )
+            status = str(result.ok.get("status")) if result.is_ok() else ""
             if status in final_statuses:
                 return status
-            await self.scheduler.sleep(RETRY_PAUSE_SECONDS)
+            await self.scheduler.sleep(RETRY_DELAY_SECONDS)
         return ""
--- a/packages/edge/ryelock/edge/retry_detector.py
+++ b/packages/edge/ryelock/edge/retry_detector.py
@@ -1,63 +1,62 @@
-"""Detects retries: requests of callers that were lately given a failure for the same one.
+"""Detects clients' retries: requests that follow a recent failure of the same request.
 
-The budget of retries counts them, also where a caller does not mark them as such.
+They are charged to the retry budget even if the client does not mark them as retries.
 """
 
 from collections import OrderedDict
 
-Caller = bytes
-"""Digest of who asks for what: address, client, credentials, method, host and target."""
-NEW_REPORTS_MOST = 200
+CallerDigest = bytes
+"""Digest of a client and its request: address, user agent, credentials, method, host, target."""
+MAX_NEW_REPORTS = 200
 
 
 class RetryDetector:
-    """Failures of requests that had been sent, as callers were given them lately.
+    """Recent failures of requests that had been sent to servers, by the caller's digest.
 
-    Each failure accounts for one retry: the next such request of such a caller. Many callers
-    behind one address that ask for the same are told apart only by count: no more of their
-    requests are taken for retries than failures were given. The leader passes new failures to the
-    other edges, a moment later, since a caller may retry at any of them.
+    Each failure accounts for one retry. Clients behind one address with equal requests share a
+    digest, so no more of their requests count as retries than failures occurred. The leader
+    forwards new failures to the other edges, since a client may retry at any edge.
     """
 
-    __slots__ = ("failures", "most", "new_reports", "seconds")
+    __slots__ = ("failures", "max_callers", "new_reports", "window_seconds")
 
-    def __init__(self, seconds: float, most: int = 20_000) -> None:
+    def __init__(self, window_seconds: float, max_callers: int = 20_000) -> None:
         """Create a detector.
 
         Args:
-            seconds: how long after a failure a request counts as its retry.
-            most: how many callers are remembered.
+            window_seconds: time after a failure in which a request counts as its retry.
+            max_callers: maximum number of callers with recorded failures.
         """
-        self.seconds = seconds
-        self.most = most
-        self.failures: OrderedDict[Caller, list[float]] = OrderedDict()
-        self.new_reports: list[Caller] = []
+        self.window_seconds = window_seconds
+        self.max_callers = max_callers
+        self.failures: OrderedDict[CallerDigest, list[float]] = OrderedDict()
+        self.new_reports: list[CallerDigest] = []
 
-    def report(self, caller: Caller, now: float) -> None:
-        """Record a failure of this edge's, also for the other edges."""
-        if len(self.new_reports) < NEW_REPORTS_MOST:
+    def report(self, caller: CallerDigest, now: float) -> None:
+        """Record a failure on this edge, and queue it for the other edges."""
+        if len(self.new_reports) < MAX_NEW_REPORTS:
             self.new_reports.append(caller)
         self.record(caller, now)
 
-    def take_new_reports(self) -> list[Caller]:
-        """Return this edge's failures since the last call, for the other edges."""
+    def take_new_reports(self) -> list[CallerDigest]:
+        """Return the failures on this edge since the last call, for the other edges."""
         new_reports, self.new_reports = self.new_reports, []
         return new_reports
 
-    def record(self, caller: Caller, now: float) -> None:
-        """Record a failure of this edge's or another's."""
+    def record(self, caller: CallerDigest, now: float) -> None:
+        """Record a failure on this edge or another one."""
         self.failures.setdefault(caller, []).append(now)
         self.failures.move_to_end(caller)
-        while len(self.failures) > self.most:
+        while len(self.failures) > self.max_callers:
             self.failures.popitem(last=False)
 
-    def is_retry(self, caller: Caller, now: float) -> bool:
-        """Whether a request of this caller follows a recent failure."""
+    def is_retry(self, caller: CallerDigest, now: float) -> bool:
+        """Return True if a request of this caller follows a recent failure."""
         failed_at = self.failures.get(caller)
-        return failed_at is not None and now - failed_at[-1] <= self.seconds
+        return failed_at is not None and now - failed_at[-1] <= self.window_seconds
 
-    def count_retry(self, caller: Caller) -> None:
-        """A retry was sent: it uses up one failure, the oldest."""
+    def count_retry(self, caller: CallerDigest) -> None:
+        """Count a retry that was sent, which removes the caller's oldest failure."""
         failed_at = self.failures.get(caller)
         if failed_at is not None:
             failed_at.pop(0)
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -1,30 +1,30 @@
-"""Opens a request: who sent it, which route it takes, and how much time it has."""
+"""Routing of a request: its sender, route, service, class and deadline."""
 
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.peer_protocol import PEER_FIELD, SERVERS_FIELD, parse_count
-from ryelock.edge.plan import has_dot_segments, host_of, path_of
-from ryelock.edge.request import PeerOrigin, Request, RequestClass
+from ryelock.edge.plan import has_dot_segments, parse_host, parse_path
+from ryelock.edge.request import Request, RequestClass, RequestingPeer
 from ryelock.http import Fields, HttpExchange, field
 from ryelock.replicated_state import Route
 
 SAFE_METHODS = (b"GET", b"HEAD", b"OPTIONS", b"TRACE")
 """Methods that may be retried (RFC 9110, 9.2.1)."""
 RESPONSE_MARGIN_SECONDS = 0.02
-"""Part of a caller's deadline that is left for the response to reach it."""
-NUMBER_DIGITS_MOST = 18
+"""Subtracted from a client's deadline for the transfer of the response."""
+MAX_NUMBER_DIGITS = 18
 
 
 class Router:
-    """Opens requests and finds their routes."""
+    """Creates requests and finds their routes."""
 
     __slots__ = ("context",)
 
     def __init__(self, context: EdgeContext) -> None:
-        """Create the router of an edge."""
+        """Create the router."""
         self.context = context
 
     def open_request(self, exchange: HttpExchange) -> Request:
-        """Return the record of a request that just arrived."""
+        """Return the record of a request that has arrived."""
         context = self.context
         context.requests_opened += 1
         head = exchange.head
@@ -39,21 +39,22 @@
             else f"{context.name}-{context.member.session.incarnation}-{context.requests_opened}",
             head.method.decode("latin-1"),
             head.target.decode("latin-1"),
-            host_of(field(head.fields, b"host")),
+            parse_host(field(head.fields, b"host")),
             exchange.received_at,
             context.scheduler.clock.wall(),
         )
-        request.path = path_of(request.target)
-        request.named_by_caller = bool(identity)
+        request.path = parse_path(request.target)
+        request.has_client_identity = bool(identity)
         request.is_probe = self.is_probe(field(head.fields, b"x-ryelock-probe"))
-        request.peer = self.peer_origin(head.fields)
+        request.peer = self.requesting_peer(head.fields)
         request.zone_verdicts = context.member.verdicts()
         return request
 
-    def peer_origin(self, fields: Fields) -> PeerOrigin | None:
-        """Return the edge that a request comes from, if it is a member; None for any other caller.
+    def requesting_peer(self, fields: Fields) -> RequestingPeer | None:
+        """Return the peer edge that sent a request; None for any other sender.
 
-        What is fetched for another edge goes under the caller's name: servers repeat no other.
+        A sender is a peer if it gives a member's name and probe secret. The request keeps the
+        identity that the client gave: servers echo no other.
         """
         value = field(fields, PEER_FIELD.lower())
         if value is None:
@@ -70,18 +71,21 @@
         ):
             return None
         max_attempts = parse_count(field(fields, SERVERS_FIELD.lower()))
-        return PeerOrigin(session.zone, int(parts[2]), int(parts[3]), max_attempts)
+        return RequestingPeer(session.zone, int(parts[2]), int(parts[3]), max_attempts)
 
     def is_probe(self, value: bytes | None) -> bool:
-        """Whether a request comes from a prober that is a member; others may claim it in vain."""
-        name, _, mark = (value or b"").decode("latin-1").partition(" ")
+        """Return True if a probe field has the name and secret of a member that probes."""
+        name, _, secret = (value or b"").decode("latin-1").partition(" ")
         session = self.context.member.members.get(name)
         return (
-            session is not None and session.probes and mark != "" and session.probe_secret == mark
+            session is not None
+            and session.probes
+            and secret != ""
+            and session.probe_secret == secret
         )
 
     def find_route(self, request: Request) -> Route | None:
-        """Decide route, service and class by the configuration version that is now in force."""
+        """Set route, service and class by the configuration version in force."""
         plan = self.context.plan
         request.version = plan.version
         if has_dot_segments(request.path):
@@ -102,32 +106,32 @@
         return route
 
     def choose_service(self, route: Route) -> str:
-        """Return the route's service, or one of several drawn by their weights."""
+        """Return the route's service, or a random one of a split by weight."""
         if not route.split:
             return route.service
         names = list(route.split)
         return self.context.random.choices(names, [route.split[name] for name in names])[0]
 
     def deadline(self, exchange: HttpExchange, route: Route) -> float:
-        """Return the monotonic time up to which a request may be worked on.
+        """Return the monotonic deadline of a request.
 
-        The earliest of the listener's, the route's and the caller's own deadline.
+        It is the earliest of the deadlines of the listener, the route and the client.
         """
-        until = exchange.deadline
+        deadline = exchange.deadline
         if route.deadline_seconds:
-            until = min(until, exchange.received_at + route.deadline_seconds)
+            deadline = min(deadline, exchange.received_at + route.deadline_seconds)
         deadline_field = self.context.profile.deadline
         if deadline_field:
             value = field(exchange.head.fields, deadline_field.lower()) or b""
             if value.isdigit() and len(value) < 10:
-                callers = exchange.received_at + int(value) / 1000
-                until = min(until, callers - RESPONSE_MARGIN_SECONDS)
-        return until
+                client_deadline = exchange.received_at + int(value) / 1000
+                deadline = min(deadline, client_deadline - RESPONSE_MARGIN_SECONDS)
+        return deadline
 
     def may_still_send(self, request: Request) -> bool:
-        """Whether the lease holds and the version in force still names this service.
+        """Return True if the lease is valid and the route still allows service and class.
 
-        Asked right before each attempt: either may have changed while the request waited.
+        Checked right before each attempt: either may have changed while the request waited.
         """
         if not self.context.member.serving:
             return False
@@ -143,5 +147,5 @@
 
 
 def is_number(text: str) -> bool:
-    """Whether a text is a whole number of a size that the wire allows."""
-    return text.isascii() and text.isdigit() and len(text) <= NUMBER_DIGITS_MOST
+    """Return True for a decimal number within the length limit."""
+    return text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
--- a/packages/edge/ryelock/edge/served_objects.py
+++ b/packages/edge/ryelock/edge/served_objects.py
@@ -1,15 +1,15 @@
-"""Objects that this edge served lately, of which the leader derives watches for probers."""
+"""Recently served objects, from which the leader derives watches for probers."""
 
 from ryelock.edge.context import EdgeContext
 from ryelock.edge.request import Request
 from ryelock.http import HttpExchange, field
 from ryelock.replicated_state import MAX_DERIVED_WATCHES
 
-TARGET_LENGTH_MOST = 300
+MAX_TARGET_LENGTH = 300
 
 
 class ServedObjects:
-    """Per cached route without a watch, the object that was served last."""
+    """The last served object of each cached route that has no watch."""
 
     __slots__ = ("context", "latest")
 
@@ -19,7 +19,7 @@
         self.latest: dict[str, tuple[str, str]] = {}
 
     def record(self, exchange: HttpExchange, request: Request, content: bytes | None) -> None:
-        """Remember a served object, if its route has no watch and anybody may fetch it."""
+        """Record a served object if its route has no watch and it needs no credentials."""
         if request.route_name not in self.context.member.replicated_state.derivable:
             return
         fields = exchange.head.fields
@@ -28,7 +28,7 @@
             or request.is_probe
             or not content
             or exchange.head.method != b"GET"
-            or len(request.target) > TARGET_LENGTH_MOST
+            or len(request.target) > MAX_TARGET_LENGTH
             or field(fields, b"authorization") is not None
             or field(fields, b"cookie") is not None
         ):
@@ -38,9 +38,14 @@
         self.latest[request.route_name] = (host, request.target)
 
     def report(self) -> list[list[str]]:
-        """Return route, host and target of each object; what needs no watch is forgotten."""
+        """Return route, host and target of each object, and drop routes that need no watch."""
         derivable = self.context.member.replicated_state.derivable
-        self.latest = {route: found for route, found in self.latest.items() if route in derivable}
+        self.latest = {
+            route: served_object
+            for route, served_object in self.latest.items()
+            if route in derivable
+        }
         return [
-            [route, *found] for route, found in sorted(self.latest.items())[:MAX_DERIVED_WATCHES]
+            [route, *served_object]
+            for route, served_object in sorted(self.latest.items())[:MAX_DERIVED_WATCHES]
         ]
--- a/packages/edge/ryelock/edge/upstream_client.py
+++ b/packages/edge/ryelock/edge/upstream_client.py
@@ -1,4 +1,4 @@
-"""One attempt at one upstream server: a connection, the request, and the response's beginning."""
+"""Client for one attempt at an upstream server: connection, request and start of the response."""
 
 from dataclasses import dataclass
 
@@ -32,20 +32,20 @@
 from ryelock.http.errors import ResponseCutError, UnusableResponseError
 from ryelock.runtime import Connection
 
-RESPONSES_SKIPPED_MOST = 2
-"""How many responses to other requests are skipped on one connection."""
-ATTEMPT_PART = 0.6
-"""Part of the time left that an attempt may take where another one can follow it."""
+MAX_SKIPPED_RESPONSES = 2
+"""Limit of responses to other requests that are skipped on one connection."""
+ATTEMPT_TIMEOUT_FRACTION = 0.6
+"""Fraction of the remaining time given to an attempt that another may follow."""
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamConnection:
-    """A connection to a server, with what is read from it.
+    """A connection to a server with its reader.
 
     Attributes:
         connection: the connection.
-        reader: its bytes.
-        reused: whether another request went over it before.
+        reader: reader of the connection.
+        reused: whether it carried another request before.
     """
 
     connection: Connection
@@ -54,12 +54,12 @@
 
     @property
     def has_stray_bytes(self) -> bool:
-        """Whether bytes came that nothing asked for."""
+        """True if bytes arrived before a request was sent."""
         return bool(self.reader.buffer or self.connection.received.items)
 
 
 class UpstreamClient:
-    """Sends requests to servers and reads the beginning of their responses."""
+    """Sends requests to servers and reads the start of their responses."""
 
     __slots__ = ("admission", "context", "router", "validator", "writer")
 
@@ -70,7 +70,7 @@
         admission: AdmissionController,
         validator: ResponseValidator,
     ) -> None:
-        """Create the client of an edge."""
+        """Create the client."""
         self.context = context
         self.router = router
         self.admission = admission
@@ -80,9 +80,15 @@
     async def fetch(
         self, call: UpstreamCall, server: ServerState, attempt: Attempt, is_last: bool
     ) -> Result[UpstreamResponse, ClientError]:
-        """Make one attempt; `is_last` tells that no other server may follow it.
+        """Make one attempt.
 
-        The connection is the response's where there is one; otherwise it is ended here.
+        A response that is returned owns the connection; else the connection is aborted.
+
+        Args:
+            call: the call.
+            server: the server to send it to.
+            attempt: record of the attempt.
+            is_last: whether no other server may be tried after it.
         """
         upstream = self.open_connection(call.request, server)
         succeeded = False
@@ -94,14 +100,14 @@
             self.context.metrics.attempts.add(call.request.service)
             sent_at = self.context.scheduler.now()
             self.writer.write(call, server, upstream.connection)
-            found = await self.receive(call, server, upstream, sent_at, is_last)
-            succeeded = found.is_ok()
-            return found
+            result = await self.receive(call, server, upstream, sent_at, is_last)
+            succeeded = result.is_ok()
+            return result
         except FramingError as error:
-            self.log_broken(call.request, server, error.reason)
+            self.log_broken_response(call.request, server, error.reason)
             return Error(UnusableResponseError(error.reason))
         except IncompleteMessageError:
-            self.log_broken(call.request, server, "cut")
+            self.log_broken_response(call.request, server, "cut")
             return Error(ResponseCutError("the answer was cut"))
         except ReadTimeoutError:
             return Error(ResponseTimeoutError("no answer in time"))
@@ -124,26 +130,26 @@
     ) -> ClientError | None:
         """Wait for the connection; then check that the request may still be sent.
 
-        The checks stand behind the only wait before the first byte: what holds here holds when
-        the request leaves.
+        Nothing is awaited between these checks and the first byte, so they still hold when the
+        request is sent.
         """
         context, connection = self.context, upstream.connection
-        left = min(context.settings.connect_seconds, call.until - context.scheduler.now())
-        if not connection.connected and not await connection.wait_connected(max(0.0, left)):
+        remaining = min(context.settings.connect_seconds, call.deadline - context.scheduler.now())
+        if not connection.connected and not await connection.wait_connected(max(0.0, remaining)):
             return ConnectFailedError()
         if not context.servers.is_live(server, call.request.service, context.scheduler.now()):
             return AttemptCancelledError(
                 FailureKind.SERVER_LEAVING, "the server is leaving or gone"
             )
         if call.exchange.client_disconnected:
-            return AttemptCancelledError(FailureKind.CALLER_LEFT, "the caller left")
+            return AttemptCancelledError(FailureKind.CLIENT_DISCONNECTED, "the caller left")
         if not self.router.may_still_send(call.request):
             return AttemptCancelledError(FailureKind.ROUTE_CHANGED, "the term or the route changed")
         if upstream.has_stray_bytes:
             return StrayBytesError()
-        if call.ends_with_caller:
+        if call.cancelled_with_client:
             call.exchange.abort_with_client(connection)
-        if not self.admission.count_send(call.exchange, call.request):
+        if not self.admission.charge_retry_budget(call.exchange, call.request):
             return AttemptCancelledError(FailureKind.RETRY_BUDGET, "over the budget of repeats")
         return None
 
@@ -155,21 +161,21 @@
         sent_at: float,
         is_last: bool,
     ) -> Result[UpstreamResponse, ClientError]:
-        """Read this request's response, as far as it is to be read before it is judged."""
+        """Read the start of the response and check that the response may be used."""
         request, own = call.request, self.context.profile.own
-        found = await self.read_own_response(
+        result = await self.read_matching_response(
             call, upstream, self.response_deadline(call, sent_at, is_last)
         )
-        if found.is_error():
-            return Error(found.error)
-        response, prefix, complete = found.ok
+        if result.is_error():
+            return Error(result.error)
+        response, prefix, complete = result.ok
         if request.is_probe and not own:
             response.keep_alive = False
         error = self.validator.find_error(request, response.head)
         if error is not None:
             return Error(error)
         if complete and upstream.reader.buffer and own:
-            self.log_broken(request, server, "bytes behind the answer")
+            self.log_broken_response(request, server, "bytes behind the answer")
             return Error(UnusableResponseError("bytes behind the answer's end"))
         return Ok(
             UpstreamResponse(
@@ -185,47 +191,49 @@
         )
 
     def response_deadline(self, call: UpstreamCall, sent_at: float, is_last: bool) -> float:
-        """Return the time up to which the response's head is waited for.
+        """Return the monotonic time by which the response's head must arrive.
 
-        An attempt that another one may follow leaves a part of the time to that.
+        An attempt that another may follow leaves it part of the remaining time.
         """
-        until = min(call.until, sent_at + self.service_seconds(call.request))
+        deadline = min(call.deadline, sent_at + self.service_timeout_seconds(call.request))
         idempotent = call.request.request_class is RequestClass.IDEMPOTENT
         if idempotent and not is_last and not self.context.profile.own:
-            until = min(until, sent_at + ATTEMPT_PART * (call.until - sent_at))
-        return until
+            deadline = min(deadline, sent_at + ATTEMPT_TIMEOUT_FRACTION * (call.deadline - sent_at))
+        return deadline
 
-    def service_seconds(self, request: Request) -> float:
-        """Return the longest time that the request's service may take."""
+    def service_timeout_seconds(self, request: Request) -> float:
+        """Return the response timeout of the request's service."""
         queue = self.context.admission_queues.get(request.service)
         if queue is None:
             return self.context.settings.order_seconds
         return queue.service.answer_seconds
 
-    async def read_own_response(
-        self, call: UpstreamCall, upstream: UpstreamConnection, until: float
+    async def read_matching_response(
+        self, call: UpstreamCall, upstream: UpstreamConnection, deadline: float
     ) -> Result[tuple[Response, bytes, bool], ClientError]:
-        """Read up to the response that is not left over from another request.
+        """Read responses, skipping those to other requests.
 
         Returns:
-            The response, what was read of its body, and whether that is the whole body.
+            The response, the part of its body that was read, and whether that is all of it.
         """
         settings = self.context.settings
         storable_bytes = settings.answer_bytes if call.for_cache else None
-        for _ in range(RESPONSES_SKIPPED_MOST + 1):
-            found = await read_response(upstream.reader, call.method, settings.head_bytes, until)
-            if found.is_error():
-                return Error(found.error)
-            response = found.ok
-            prefix, complete = await read_prefix(response, call.until, storable_bytes)
-            if not complete or not self.validator.is_left_over(
+        for _ in range(MAX_SKIPPED_RESPONSES + 1):
+            result = await read_response(
+                upstream.reader, call.method, settings.head_bytes, deadline
+            )
+            if result.is_error():
+                return Error(result.error)
+            response = result.ok
+            prefix, complete = await read_prefix(response, call.deadline, storable_bytes)
+            if not complete or not self.validator.should_skip(
                 call.request, response.head, upstream.reused
             ):
                 break
         return Ok((response, prefix, complete))
 
-    def log_broken(self, request: Request, server: ServerState, fault: str) -> None:
-        """Log that a server's response breaks HTTP."""
+    def log_broken_response(self, request: Request, server: ServerState, fault: str) -> None:
+        """Log that a server's response is cut or malformed."""
         self.context.log.write(
             RESPONSE_BROKEN,
             server=server.server.address,
--- a/tests/rate_limit/test_rate_sharing.py
+++ b/tests/rate_limit/test_rate_sharing.py
@@ -121,7 +121,7 @@
             behaviors = deque([Manner.HANGING])
             for server in deployment.of_service("pages"):
                 server.manners = behaviors
-            owner = peers.owner((HOST, f"/covers/{number}"))
+            owner = peers.owner_to_ask((HOST, f"/covers/{number}"))
             record = deployment.ask(CACHEABLE, "GET", f"/covers/{number}", deadline=8.0)
             self.assertTrue(record.served)
             if owner is not None:
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -313,8 +313,8 @@
                 mock.patch.object(ServerStandIn, "serve", serve),
                 mock.patch.object(
                     RejectionResponder,
-                    "is_crowded",
-                    RejectionResponder.is_crowded
+                    "is_at_capacity",
+                    RejectionResponder.is_at_capacity
                     if detects_overload
                     else lambda *_arguments: False,
                 ),
