--- a/tests/edge/test_owner_client.py
+++ b/tests/edge/test_owner_client.py
@@ -24,9 +24,9 @@
     return deployment
 
 
-def object_owned_by(deployment: Deployment, asking: str, owner: str, number: int = 0) -> str:
+def object_owned_by(deployment: Deployment, requesting: str, owner: str, number: int = 0) -> str:
     """Return the target of an object owned by `owner`; each number gives a different one."""
-    handler = deployment.node(asking).traffic.handler
+    handler = deployment.node(requesting).traffic.handler
     assert handler is not None and handler.context.peers is not None
     handler.context.peers.update_members(handler.context.member.members)
     found = [
@@ -62,11 +62,11 @@
 
     def test_a_lookup_at_a_frozen_owner_costs_no_retry(self) -> None:
         deployment = one_zone(1)
-        asking, owner = deployment.edges[0], deployment.edges[1]
-        target = object_owned_by(deployment, asking, owner)
+        requesting, owner = deployment.edges[0], deployment.edges[1]
+        target = object_owned_by(deployment, requesting, owner)
         deployment.world.freeze(owner, True)
-        exhaust_retry_budget(deployment, asking)
-        record = fetch_object(deployment, target, asking, deadline=0.8)
+        exhaust_retry_budget(deployment, requesting)
+        record = fetch_object(deployment, target, requesting, deadline=0.8)
         self.assertTrue(record.served, f"{record.status}")
         self.assertEqual(1, len(deployment.arrivals(record)))
         deployment.world.freeze(owner, False)
@@ -75,11 +75,14 @@
 
     def test_a_frozen_owner_is_suspected_after_one_timeout(self) -> None:
         deployment = one_zone(2)
-        asking, owner = deployment.edges[0], deployment.edges[1]
+        requesting, owner = deployment.edges[0], deployment.edges[1]
         deployment.world.freeze(owner, True)
         records = [
             fetch_object(
-                deployment, object_owned_by(deployment, asking, owner, number), asking, deadline=0.8
+                deployment,
+                object_owned_by(deployment, requesting, owner, number),
+                requesting,
+                deadline=0.8,
             )
             for number in range(6)
         ]
@@ -90,11 +93,11 @@
     def test_a_slow_owner_is_awaited_if_no_retry_is_left(self) -> None:
         """The owner's fetch is in progress; this edge may not send the request itself."""
         deployment = one_zone(3)
-        asking, owner = deployment.edges[0], deployment.edges[1]
+        requesting, owner = deployment.edges[0], deployment.edges[1]
         deployment.services["pages"].work_seconds = 0.4
-        exhaust_retry_budget(deployment, asking)
+        exhaust_retry_budget(deployment, requesting)
         record = fetch_object(
-            deployment, object_owned_by(deployment, asking, owner), asking, deadline=1.0
+            deployment, object_owned_by(deployment, requesting, owner), requesting, deadline=1.0
         )
         self.assertTrue(record.served, f"{record.status}")
         self.assertEqual(1, len(deployment.arrivals(record)))
@@ -102,12 +105,12 @@
     def test_edges_without_retries_wait_for_a_slow_fill_at_the_owner(self) -> None:
         """A direct fetch would be a retry, and the budget has none left."""
         deployment = one_zone(7)
-        asking, owner, other = deployment.edges
+        requesting, owner, other = deployment.edges
         deployment.services["pages"].work_seconds = 0.4
-        target = object_owned_by(deployment, asking, owner)
-        for edge in (asking, other):
+        target = object_owned_by(deployment, requesting, owner)
+        for edge in (requesting, other):
             exhaust_retry_budget(deployment, edge)
-        for number, edge in enumerate((owner, asking, other)):
+        for number, edge in enumerate((owner, requesting, other)):
             client = deployment.client(f"slow{number}")
             deployment.outside.scheduler.create_task(
                 send_one(client, edge, target),
@@ -121,32 +124,32 @@
 
     def test_a_fetch_that_times_out_at_the_owner_is_charged_as_a_retry(self) -> None:
         deployment = one_zone(4)
-        asking, owner = deployment.edges[0], deployment.edges[1]
-        for life in deployment.of_service("pages"):
-            life.manner = Manner.HANGING
+        requesting, owner = deployment.edges[0], deployment.edges[1]
+        for instance in deployment.of_service("pages"):
+            instance.manner = Manner.HANGING
         for number in range(10):
             fetch_object(deployment, f"/covers/{300 + number}", deployment.edges[2], deadline=0.05)
-        before = retry_tokens(deployment, asking)
+        before = retry_tokens(deployment, requesting)
         self.assertGreaterEqual(before, 1.0)
         record = fetch_object(
-            deployment, object_owned_by(deployment, asking, owner), asking, deadline=0.8
+            deployment, object_owned_by(deployment, requesting, owner), requesting, deadline=0.8
         )
         self.assertFalse(record.served)
         self.assertNotIn(record.status, (408, 421, 429, 503))
         self.assertEqual(2, len(deployment.arrivals(record)))
-        self.assertAlmostEqual(before - 1.0, retry_tokens(deployment, asking))
+        self.assertAlmostEqual(before - 1.0, retry_tokens(deployment, requesting))
 
     def test_a_failed_fetch_at_the_owner_gets_retry_after_if_no_retry_is_left(
         self,
     ) -> None:
         """For an idempotent request, 503 does not state that the request has not run."""
         deployment = one_zone(6)
-        asking, owner = deployment.edges[0], deployment.edges[1]
-        for life in deployment.of_service("pages"):
-            life.manner = Manner.LOST
-        exhaust_retry_budget(deployment, asking)
+        requesting, owner = deployment.edges[0], deployment.edges[1]
+        for instance in deployment.of_service("pages"):
+            instance.manner = Manner.LOST
+        exhaust_retry_budget(deployment, requesting)
         record = fetch_object(
-            deployment, object_owned_by(deployment, asking, owner), asking, deadline=0.8
+            deployment, object_owned_by(deployment, requesting, owner), requesting, deadline=0.8
         )
         self.assertGreater(deployment.runs(record), 0)
         self.assertEqual(503, record.status)
@@ -185,8 +188,8 @@
         for limit in (1, 2, 3):
             for manner in MANNERS:
                 deployment = one_zone(10 + limit, limit)
-                for life in deployment.of_service("pages"):
-                    life.manner = manner
+                for instance in deployment.of_service("pages"):
+                    instance.manner = manner
                 for edge in deployment.edges:
                     for number in range(6):
                         record = fetch_object(deployment, f"/covers/{number}", edge, deadline=0.9)
@@ -199,11 +202,11 @@
     def test_limit_holds_if_the_owner_times_out_during_a_fetch(self) -> None:
         for limit in (1, 2, 3):
             deployment = one_zone(20 + limit, limit)
-            asking, owner = deployment.edges[0], deployment.edges[1]
-            for life in deployment.of_service("pages"):
-                life.manner = Manner.HANGING
+            requesting, owner = deployment.edges[0], deployment.edges[1]
+            for instance in deployment.of_service("pages"):
+                instance.manner = Manner.HANGING
             record = fetch_object(
-                deployment, object_owned_by(deployment, asking, owner), asking, deadline=0.9
+                deployment, object_owned_by(deployment, requesting, owner), requesting, deadline=0.9
             )
             deployment.world.run(3)
             self.assertFalse(record.served)
@@ -213,8 +216,8 @@
         for limit in (1, 2, 3):
             deployment = one_zone(30 + limit, limit)
             deployment.services["pages"].work_seconds = 0.05
-            for life in deployment.of_service("pages"):
-                life.manner = Manner.FAILING
+            for instance in deployment.of_service("pages"):
+                instance.manner = Manner.FAILING
             clients = [deployment.client(f"joined{number}") for number in range(12)]
             for number, client in enumerate(clients):
                 deployment.outside.scheduler.create_task(
@@ -228,14 +231,14 @@
 
     def test_attempts_that_the_owner_did_not_use_are_left(self) -> None:
         deployment = one_zone(40, 3)
-        asking, owner = deployment.edges[0], deployment.edges[1]
+        requesting, owner = deployment.edges[0], deployment.edges[1]
         handler = deployment.node(owner).traffic.handler
         assert handler is not None
         exhaust_retry_budget(deployment, owner)
-        lives = deployment.of_service("pages")
-        for life in lives:
-            life.manners.append(Manner.LOST)
+        instances = deployment.of_service("pages")
+        for instance in instances:
+            instance.manners.append(Manner.LOST)
         record = fetch_object(
-            deployment, object_owned_by(deployment, asking, owner), asking, deadline=0.9
+            deployment, object_owned_by(deployment, requesting, owner), requesting, deadline=0.9
         )
         self.assertEqual(2, len(deployment.arrivals(record)))
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -277,9 +277,11 @@
 
     def path(self, members: dict[str, Session], name: str, key: tuple[str, str]) -> list[str]:
         """Return the edges that a request passes, from the one that the client connected to."""
-        found, asked_from = [name], ""
-        while (owner := self.view(found[-1], members).owner_to_ask(key, asked_from)) is not None:
-            asked_from = members[found[-1]].zone
+        found, requesting_zone = [name], ""
+        while (
+            owner := self.view(found[-1], members).owner_to_ask(key, requesting_zone)
+        ) is not None:
+            requesting_zone = members[found[-1]].zone
             found.append(owner.name)
         return found
 
