--- a/packages/http/ryelock/http/__init__.py
+++ b/packages/http/ryelock/http/__init__.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 on both sides, byte-exact and bounded (RFC 9110, RFC 9112).
+"""An HTTP/1.1 client and server that preserve bytes and bound their memory (RFC 9110, RFC 9112).
 
-`fields`, `heads` and `framing` parse and check without a connection; `reader` and `body` read from
-one. `client` sends requests. `server` listens, `connection` serves one connection, `exchange` is
-one request with its response.
+`fields`, `heads` and `framing` parse and check without I/O; `reader` and `body` read from a
+connection. `client` sends requests. `server` listens, `connection` serves one connection, and
+`exchange` is one request with its response.
 """
 
 from ryelock.http.body import Body
@@ -23,7 +23,7 @@
     ResponseHead,
     parse_request_head,
     parse_response_head,
-    reason_of,
+    reason_phrase,
 )
 from ryelock.http.limits import Limits
 from ryelock.http.protocol_profile import ProtocolProfile
@@ -57,7 +57,7 @@
     "parse_request_head",
     "parse_response_head",
     "read_response",
-    "reason_of",
+    "reason_phrase",
     "send_request",
     "tokens",
 ]
--- a/packages/http/ryelock/http/client.py
+++ b/packages/http/ryelock/http/client.py
@@ -1,8 +1,7 @@
-"""The client side: requests to servers, to probed edges, and from the operator's tools.
+"""The HTTP client, for requests to servers and probed edges, and for the operator's tools.
 
-A response is read piece by piece. Its end is either proved by its own framing or it is an error;
-a response with neither length nor chunks is rejected, since a server that died in the middle
-would look the same as one that finished.
+A response with neither a Content-Length nor the chunked coding is rejected: a server that crashed
+in the middle of its body could not be distinguished from one that finished.
 """
 
 from expression import Error, Ok, Result
@@ -19,28 +18,28 @@
     UnusableResponseError,
 )
 from ryelock.http.fields import Fields
-from ryelock.http.framing import content_length, is_chunked, keeps_open
+from ryelock.http.framing import content_length, is_chunked, is_persistent
 from ryelock.http.heads import ResponseHead, parse_response_head
 from ryelock.http.reader import Reader
 from ryelock.http.statuses import NO_CONTENT, NOT_MODIFIED, OK, PROCESSING, SWITCHING_PROTOCOLS
 from ryelock.runtime import Connection, Network, Scheduler
 
 MAX_HEAD_BYTES = 65_536
-"""The longest head that `fetch` takes."""
+"""Limit of a response head read by `fetch`."""
 MAX_BODY_BYTES = 16_777_216
-"""The longest body that `fetch` takes unless told otherwise."""
+"""Default limit of a response body read by `fetch`."""
 METHODS_WITHOUT_BODY = (b"GET", b"HEAD", b"DELETE", b"OPTIONS", b"TRACE")
-"""Methods whose empty body needs no Content-Length (RFC 9110, section 8.6)."""
+"""Methods that need no Content-Length if the body is empty (RFC 9110, section 8.6)."""
 
 
 class Response:
-    """A response whose head was read and whose body is still to come.
+    """A response whose body is still unread.
 
     Attributes:
-        head: the head.
-        body: the body, empty where the response has none.
-        length: what Content-Length says; for HEAD and 304 the length of a body that is not sent.
-        keep_alive: whether the connection can be used again once the body was read.
+        head: the head of the response.
+        body: the unread body; empty if the response has none.
+        length: the value of Content-Length; for HEAD and 304, of a body that is not sent.
+        keep_alive: True if the connection can be reused after the body was read.
     """
 
     __slots__ = ("body", "head", "keep_alive", "length")
@@ -58,7 +57,7 @@
 def send_request(
     connection: Connection, method: bytes, target: bytes, fields: Fields, body: bytes
 ) -> None:
-    """Write a request; its framing is added to the fields."""
+    """Write a request; Content-Length is added to the fields where needed."""
     lines = [b"%s %s HTTP/1.1" % (method, target)]
     lines += [name + b": " + value for name, value in fields]
     if body or method not in METHODS_WITHOUT_BODY:
@@ -67,23 +66,27 @@
 
 
 async def read_response(
-    reader: Reader, method: bytes, max_head_bytes: int, until: float, working_until: float = 0.0
+    reader: Reader,
+    method: bytes,
+    max_head_bytes: int,
+    deadline: float,
+    processing_deadline: float = 0.0,
 ) -> Result[Response, ClientError]:
-    """Read up to the end of the final response's head; interim responses are skipped.
+    """Read the head of the final response, skipping interim responses.
 
     Args:
-        reader: bytes of the connection.
-        method: the request's method.
-        max_head_bytes: longest head that is taken.
-        until: deadline of the head, in monotonic seconds.
-        working_until: the deadline that takes its place, where it is later, once 102 says that
-            the request is worked on.
+        reader: reads from the connection.
+        method: the method of the request.
+        max_head_bytes: limit of the head.
+        deadline: for receiving the head, in monotonic seconds.
+        processing_deadline: replaces an earlier `deadline` once 102 reports that the request is
+            being processed.
     """
     try:
-        head = await read_final_head(reader, max_head_bytes, until, working_until)
+        head = await read_final_head(reader, max_head_bytes, deadline, processing_deadline)
         if head.status == SWITCHING_PROTOCOLS:
             return Error(UnusableResponseError("protocol switched unasked"))
-        return response_of(reader, method, head)
+        return new_response(reader, method, head)
     except FramingError as error:
         return Error(UnusableResponseError(error.reason))
     except IncompleteMessageError:
@@ -93,30 +96,32 @@
 
 
 async def read_final_head(
-    reader: Reader, max_head_bytes: int, until: float, working_until: float
+    reader: Reader, max_head_bytes: int, deadline: float, processing_deadline: float
 ) -> ResponseHead:
-    """Return the first head that is not interim, or 101; see `read_response`.
+    """Return the first head that is final or 101; see `read_response` for the arguments.
 
-    102 is of RFC 2518, section 10.1: the request arrived and is worked on.
+    102 means that the request was received and is being processed (RFC 2518, section 10.1).
     """
     while True:
-        head = parse_response_head(await reader.read_head(max_head_bytes, until))
+        head = parse_response_head(await reader.read_head(max_head_bytes, deadline))
         if head.status == PROCESSING:
-            until = max(until, working_until)
+            deadline = max(deadline, processing_deadline)
         if head.status >= OK or head.status == SWITCHING_PROTOCOLS:
             return head
 
 
-def response_of(reader: Reader, method: bytes, head: ResponseHead) -> Result[Response, ClientError]:
-    """Return the response of a head, its body framed by RFC 9112, section 6.3.
+def new_response(
+    reader: Reader, method: bytes, head: ResponseHead
+) -> Result[Response, ClientError]:
+    """Create the response of a head; the body is framed by RFC 9112, section 6.3.
 
     Raises:
-        FramingError: length or transfer coding are malformed.
+        FramingError: the length or the transfer coding is malformed.
     """
     has_no_body = method == b"HEAD" or head.status in (NO_CONTENT, NOT_MODIFIED)
     chunked = is_chunked(head.fields, head.minor)
     length = content_length(head.fields)
-    keep_alive = keeps_open(head.fields, head.minor)
+    keep_alive = is_persistent(head.fields, head.minor)
     if has_no_body:
         return Ok(Response(head, Body(reader, False, 0), length, keep_alive))
     if not chunked and length is None:
@@ -135,23 +140,23 @@
     timeout: float,
     max_body_bytes: int = MAX_BODY_BYTES,
 ) -> Result[tuple[ResponseHead, bytes], ClientError]:
-    """Send one request on a connection of its own and read its complete response.
+    """Send one request on a new connection and read the complete response.
 
     Args:
         scheduler: runs the calling task.
         network: opens the connection.
         address: host:port of the server.
-        method: the request's method.
-        target: the request's target.
-        fields: the request's fields; Host is added where it is missing.
-        body: the request's body.
-        timeout: seconds for everything together.
-        max_body_bytes: longest body that is taken.
+        method: the method of the request.
+        target: the target of the request.
+        fields: the fields of the request; Host is added if absent.
+        body: the body of the request.
+        timeout: in seconds, for the whole exchange.
+        max_body_bytes: limit of the response body.
 
     Returns:
-        Head and body, or why there is no complete response.
+        The head and the body, or the error that prevented a complete response.
     """
-    until = scheduler.now() + timeout
+    deadline = scheduler.now() + timeout
     connection = network.connect(address)
     try:
         if not await connection.wait_connected(timeout):
@@ -160,20 +165,20 @@
         host: Fields = [] if b"host" in names else [(b"Host", address.encode())]
         send_request(connection, method, target, [*host, *fields, (b"Connection", b"close")], body)
         reader = Reader(scheduler, connection)
-        found = await read_response(reader, method, MAX_HEAD_BYTES, until)
+        found = await read_response(reader, method, MAX_HEAD_BYTES, deadline)
         if found.is_error():
             return Error(found.error)
-        return await read_whole(found.ok, max_body_bytes, until)
+        return await read_complete(found.ok, max_body_bytes, deadline)
     finally:
         connection.close()
 
 
-async def read_whole(
-    response: Response, max_body_bytes: int, until: float
+async def read_complete(
+    response: Response, max_body_bytes: int, deadline: float
 ) -> Result[tuple[ResponseHead, bytes], ClientError]:
-    """Return a response's head with its complete body; `until` in monotonic seconds."""
+    """Return the head of a response and its complete body; `deadline` in monotonic seconds."""
     try:
-        return Ok((response.head, await response.body.read_all(max_body_bytes, until)))
+        return Ok((response.head, await response.body.read_all(max_body_bytes, deadline)))
     except FramingError as error:
         return Error(UnusableResponseError(error.reason))
     except IncompleteMessageError:
--- a/packages/http/ryelock/http/errors.py
+++ b/packages/http/ryelock/http/errors.py
@@ -1,7 +1,7 @@
-"""Errors of this package: one base, a class for each thing that can be wrong.
+"""Errors of this package.
 
-A `FramingError` carries the status by which a server answers it. The reasons are sent to clients,
-logged, and shown to operators.
+A `FramingError` carries the status code of the server's error response. The reasons are sent to
+clients, logged, and shown to operators.
 """
 
 from http import HTTPStatus
@@ -12,19 +12,19 @@
 
 
 class IncompleteMessageError(HttpError):
-    """The other side ended the connection in the middle of a message, or before one."""
+    """The peer closed the connection before the end of a message."""
 
 
 class ReadTimeoutError(HttpError):
-    """The deadline passed before the awaited bytes came."""
+    """The deadline passed before the expected bytes were received."""
 
 
 class FramingError(HttpError):
-    """A message whose head or bounds are not beyond doubt; its connection cannot be used on.
+    """A message cannot be parsed unambiguously; its connection cannot be reused.
 
     Attributes:
-        status: the status by which a server answers such a request.
-        reason: what is wrong, in one line.
+        status: the status code of the server's response to such a request.
+        reason: a description in one line.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -35,15 +35,15 @@
 
 
 class MalformedMessageError(FramingError):
-    """A head, length or chunk breaks the grammar of RFC 9112."""
+    """A head, a length or a chunk violates the grammar of RFC 9112."""
 
     def __init__(self, reason: str) -> None:
-        """Create the error with what is malformed."""
+        """Create the error; `reason` describes the malformed part."""
         super().__init__(HTTPStatus.BAD_REQUEST, reason)
 
 
 class MalformedStatusLineError(FramingError):
-    """The first line of a response is no status line (RFC 9112, section 4)."""
+    """The first line of a response is not a status line (RFC 9112, section 4)."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -51,7 +51,7 @@
 
 
 class BodyTooLargeError(FramingError):
-    """A body is longer than the limit of its reader (RFC 9110, section 15.5.14)."""
+    """A body is longer than the limit (RFC 9110, section 15.5.14)."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -59,7 +59,7 @@
 
 
 class UnknownExpectationError(FramingError):
-    """A request expects something else than 100-continue (RFC 9110, section 10.1.1)."""
+    """A request has an expectation other than 100-continue (RFC 9110, section 10.1.1)."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -67,23 +67,23 @@
 
 
 class HeadTooLongError(FramingError):
-    """A head or a trailer section is longer than the limit of its reader (RFC 6585, section 5)."""
+    """A head or a trailer section is longer than the limit (RFC 6585, section 5)."""
 
     def __init__(self, reason: str = "head too long") -> None:
-        """Create the error with what is too long."""
+        """Create the error; `reason` names the part that is too long."""
         super().__init__(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, reason)
 
 
 class NotImplementedByServerError(FramingError):
-    """A method or a transfer coding that is not served (RFC 9110, section 15.6.2)."""
+    """A method or a transfer coding is not supported (RFC 9110, section 15.6.2)."""
 
     def __init__(self, reason: str) -> None:
-        """Create the error with what is not served."""
+        """Create the error; `reason` names the unsupported feature."""
         super().__init__(HTTPStatus.NOT_IMPLEMENTED, reason)
 
 
 class UnknownVersionError(FramingError):
-    """A request of another major version of HTTP (RFC 9110, section 15.6.6)."""
+    """A request has an unsupported version of HTTP (RFC 9110, section 15.6.6)."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -94,9 +94,10 @@
     """A request got no complete, usable response.
 
     Attributes:
-        reason: what went wrong, in one line.
-        sent: False only where the request surely did not reach the server; True where it may have.
-        rejected: the status by which the server said that the request did not run, else 0.
+        reason: a description in one line.
+        sent: False only if the request cannot have reached the server.
+        rejected: the status code by which the server declared that it did not execute the request;
+            else 0.
     """
 
     def __init__(self, reason: str, sent: bool, rejected: int = 0) -> None:
@@ -108,7 +109,7 @@
 
 
 class NotConnectedError(ClientError):
-    """The connection could not be opened in time; nothing was sent."""
+    """The connection was not established in time; nothing was sent."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -116,24 +117,24 @@
 
 
 class ResponseTimeoutError(ClientError):
-    """The response, or the rest of it, did not come before the deadline."""
+    """The complete response was not received before the deadline."""
 
     def __init__(self, reason: str) -> None:
-        """Create the error with what is missing."""
+        """Create the error; `reason` names the missing part."""
         super().__init__(reason, sent=True)
 
 
 class ResponseCutError(ClientError):
-    """The connection ended before the response did."""
+    """The connection was closed before the end of the response."""
 
     def __init__(self, reason: str) -> None:
-        """Create the error with what was cut."""
+        """Create the error; `reason` names the incomplete part."""
         super().__init__(reason, sent=True)
 
 
 class UnusableResponseError(ClientError):
-    """A response came that is malformed, unasked for, or without a provable end."""
+    """A response is malformed, an unrequested protocol switch, or lacks explicit framing."""
 
     def __init__(self, reason: str) -> None:
-        """Create the error with what is wrong."""
+        """Create the error; `reason` describes the defect."""
         super().__init__(reason, sent=True)
--- a/packages/http/ryelock/http/exchange.py
+++ b/packages/http/ryelock/http/exchange.py
@@ -1,45 +1,45 @@
-"""One request that a server received, and the response to it."""
+"""A request received by a server and the response to it."""
 
 from typing import Protocol
 
 from ryelock.http.body import Body
 from ryelock.http.fields import Fields, field, http_date, tokens
-from ryelock.http.framing import keeps_open
-from ryelock.http.heads import RequestHead, reason_of
+from ryelock.http.framing import is_persistent
+from ryelock.http.heads import RequestHead, reason_phrase
 from ryelock.http.limits import Limits
 from ryelock.http.reader import Reader
 from ryelock.http.statuses import NO_CONTENT, NOT_MODIFIED, OK
 from ryelock.runtime import Connection, Scheduler
 
 MAX_UNSENT_BYTES = 262_144
-"""Above so many unsent bytes `send` waits until half of them have left."""
+"""Above this size of the send buffer, `send` waits until it has drained to half of it."""
 
 
 class ExchangeServer(Protocol):
-    """What an exchange needs of its server."""
+    """The server as seen by an exchange."""
 
     scheduler: Scheduler
     limits: Limits
 
     @property
-    def ends_connections(self) -> bool:
-        """Whether connections end with the response that is sent on them next."""
+    def closes_after_response(self) -> bool:
+        """Return True if each connection is closed after its next response."""
         ...
 
 
 class HttpExchange:
-    """One request and the response to it.
+    """A request and the response to it.
 
     Attributes:
-        head: the request's head.
-        body: the request's body; a handler may leave it unread.
-        received_at: when the head was received, in monotonic seconds.
-        deadline: until when the body has to be received, in monotonic seconds.
-        keep_alive: whether the connection serves further requests after this response.
-        may_refuse: set by the handler: the request has not run and may be sent again, so a server
-            that stops answers 503 for the handler.
-        response_started: whether the head of the response was sent.
-        finished: whether the response was sent or aborted.
+        head: the head of the request.
+        body: the body of the request; a handler may leave it unread.
+        received_at: monotonic time in seconds at which the head was received.
+        deadline: monotonic time in seconds by which the body must be received.
+        keep_alive: True if the connection stays open after this response.
+        may_refuse: set by the handler while the request has not been executed and can be retried;
+            a stopping server then responds 503 in place of the handler.
+        response_started: True once the head of the response was sent.
+        finished: True once the response was sent or aborted.
     """
 
     __slots__ = (
@@ -66,13 +66,13 @@
         head: RequestHead,
         body: Body,
     ) -> None:
-        """Create the exchange of a request whose head was read."""
+        """Create the exchange of a request whose body is still unread."""
         self.server = server
         self.connection = connection
         self.reader = reader
         self.head = head
         self.body = body
-        self.keep_alive = keeps_open(head.fields, head.minor)
+        self.keep_alive = is_persistent(head.fields, head.minor)
         self.received_at = server.scheduler.now()
         self.deadline = self.received_at + server.limits.request_seconds
         self.response_started = False
@@ -83,13 +83,13 @@
 
     @property
     def client_disconnected(self) -> bool:
-        """Whether the client's connection has ended."""
+        """Return True if the client's connection is closed."""
         return self.connection.closed
 
     def abort_with_client(self, upstream: Connection) -> None:
-        """Abort a connection to a server once the client disconnects, at once where it has.
+        """Abort an upstream connection when the client disconnects, or now if it already has.
 
-        One connection at a time; `detach_from_client` undoes it.
+        Only the latest upstream connection is aborted; `detach_from_client` cancels this.
         """
         if self.client_disconnected:
             upstream.abort()
@@ -97,52 +97,51 @@
             self.connection.on_closed = upstream.abort
 
     def detach_from_client(self) -> None:
-        """Let the connection to the server outlive the client's."""
+        """Keep the upstream connection open when the client disconnects."""
         self.connection.on_closed = None
 
     async def read_body(self) -> bytes:
-        """Return the request's complete body, asking for it where the client waits to be asked.
+        """Return the complete body; sends 100 Continue first if the client expects it.
 
         Raises:
             FramingError: the body is malformed or longer than the limit.
-            IncompleteMessageError: the connection ended before the body did.
+            IncompleteMessageError: the connection was closed before the end of the body.
             ReadTimeoutError: the deadline passed.
         """
-        # 100 is left out where bytes of the body came already (RFC 9110, section 10.1.1).
+        # 100 is omitted once part of the body was received (RFC 9110, section 10.1.1).
         if self.expects_continue and not self.body.complete and not self.reader.buffer:
             self.connection.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         self.expects_continue = False
         return await self.body.read_all(self.server.limits.body_bytes, self.deadline)
 
     def send_processing(self) -> None:
-        """Send 102: the request arrived and is worked on (RFC 2518, section 10.1)."""
+        """Send 102: the request was received and is being processed (RFC 2518, section 10.1)."""
         self.connection.write(b"HTTP/1.1 102 Processing\r\n\r\n")
 
     def send_head(
-        self, status: int, reason: bytes, fields: Fields, length: int | None, dated: bool = True
+        self, status: int, reason: bytes, fields: Fields, length: int | None, add_date: bool = True
     ) -> None:
-        """Send the response's head.
+        """Send the head of the response.
 
         Args:
-            status: the status.
-            reason: the reason phrase; the usual one where it is empty.
-            fields: fields without those of the framing.
-            length: the body's length in bytes; None sends chunks, to HTTP/1.0 until the
-                connection ends (RFC 9112, section 6.3).
-            dated: whether Date is added where it is missing; a forwarded response is left
-                without one.
+            status: the status code.
+            reason: the reason phrase; if empty, the registered one.
+            fields: the fields, except those of the framing.
+            length: the length of the body in bytes. With None the body is chunked, or, for an
+                HTTP/1.0 client, delimited by the close of the connection (RFC 9112, section 6.3).
+            add_date: add a Date field if there is none. A forwarded response stays without one.
         """
         self.response_started = True
-        lines = [b"HTTP/1.1 %d %s" % (status, reason or reason_of(status))]
+        lines = [b"HTTP/1.1 %d %s" % (status, reason or reason_phrase(status))]
         lines += [name + b": " + value for name, value in fields]
-        if dated and field(fields, b"date") is None:
+        if add_date and field(fields, b"date") is None:
             lines.append(b"Date: " + http_date(self.server.scheduler.clock.wall()))
         lines += self.framing_lines(status, length)
         lines += self.connection_lines()
         self.connection.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
     def framing_lines(self, status: int, length: int | None) -> list[bytes]:
-        """Return the field that frames the body; decides whether it is sent in chunks."""
+        """Return the field line that frames the body, if any; sets `chunked` and `keep_alive`."""
         has_no_body = status < OK or status in (NO_CONTENT, NOT_MODIFIED)
         if length is not None:
             if not has_no_body or (status == NOT_MODIFIED and length):
@@ -157,9 +156,9 @@
         return []
 
     def connection_lines(self) -> list[bytes]:
-        """Return the Connection field; decides whether the connection ends with this response."""
-        # The unread rest of a request's body would be taken for the next request.
-        if not self.body.complete or self.server.ends_connections:
+        """Return the Connection field line, if any; sets `keep_alive`."""
+        # The unread rest of the request's body would be parsed as the next request.
+        if not self.body.complete or self.server.closes_after_response:
             self.keep_alive = False
         if not self.keep_alive:
             return [b"Connection: close"]
@@ -168,14 +167,14 @@
         return []
 
     async def send(self, data: bytes, timeout: float) -> bool:
-        """Send a piece of the body.
+        """Send a part of the body.
 
         Args:
-            data: the piece; dropped where the request's method is HEAD.
-            timeout: longest wait, in seconds, while too many bytes are unsent.
+            data: the bytes to send; discarded if the request's method is HEAD.
+            timeout: maximum wait in seconds for the send buffer to drain.
 
         Returns:
-            False when the client has disconnected or takes no more.
+            False if the client has disconnected or the send buffer did not drain in time.
         """
         if data and self.head.method != b"HEAD":
             if self.chunked:
@@ -187,13 +186,13 @@
         return not self.connection.closed
 
     def finish(self) -> None:
-        """End the response after its last piece."""
+        """Complete the response after the last part of its body."""
         if self.chunked:
             self.connection.write(b"0\r\n\r\n")
         self.finished = True
 
     def abort(self) -> None:
-        """End the connection in the middle of a response, so that no client takes it as whole."""
+        """Abort the connection, so that the client detects the response as incomplete."""
         self.keep_alive = False
         self.finished = True
         self.connection.abort()
--- a/packages/http/ryelock/http/fields.py
+++ b/packages/http/ryelock/http/fields.py
@@ -1,8 +1,8 @@
-"""Field lines of HTTP messages (RFC 9110, section 5), kept as the bytes that came.
+"""Field lines of HTTP messages (RFC 9110, section 5), preserved byte for byte.
 
-Names keep their case and order, so that what is forwarded is what arrived; they are compared in
-lower case. circuits.web's field reading is not used: it decodes `unicode_escape`, which turns a
-backslash and an n in a value into a line feed, and folds continuation lines.
+Names keep their case and order, so that fields are forwarded as received; they are compared in
+lower case. circuits.web's parser of fields is not used: it decodes `unicode_escape`, which turns a
+backslash followed by n in a value into a line feed, and it joins folded lines.
 """
 
 import re
@@ -11,13 +11,13 @@
 from ryelock.http.errors import MalformedMessageError
 
 Fields = list[tuple[bytes, bytes]]
-"""Names and values in the order in which they came or are sent."""
+"""Pairs of name and value in the order in which they are received or sent."""
 
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 """A token (RFC 9110, section 5.6.2)."""
 FIELD_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
-"""A field value: no control characters but the tab (RFC 9110, section 5.5)."""
-HOP_BY_HOP = frozenset(
+"""A field value: no control characters except tab (RFC 9110, section 5.5)."""
+HOP_BY_HOP_FIELDS = frozenset(
     [
         b"connection",
         b"keep-alive",
@@ -30,30 +30,30 @@
         b"upgrade",
     ]
 )
-"""Fields that belong to one connection and are not forwarded (RFC 9110, section 7.6.1)."""
-FORWARDED_THOUGH_NAMED = frozenset([b"host", b"content-type", b"cache-control", b"authorization"])
-"""Fields that are forwarded even where Connection names them.
+"""Fields that apply to a single connection and are not forwarded (RFC 9110, section 7.6.1)."""
+ALWAYS_FORWARDED_FIELDS = frozenset([b"host", b"content-type", b"cache-control", b"authorization"])
+"""Fields that are forwarded even if Connection lists them.
 
-A sender that names them there would have an intermediary strip what routing, caching and
-authorization rest on.
+Otherwise a client could make this proxy strip fields that routing, caching and authorization
+depend on.
 """
 
 
 def field(fields: Fields, name: bytes) -> bytes | None:
-    """Return all values of a field, joined by commas (RFC 9110, section 5.3); None without one.
+    """Return the values of a field, joined by commas (RFC 9110, section 5.3); None if absent.
 
     Args:
         fields: the fields of a message.
         name: the field's name in lower case.
     """
-    # Comparing lengths first spares most names the copy in lower case: a hot path.
+    # Hot path: comparing lengths first avoids lower-casing most names.
     length = len(name)
     values = [value for key, value in fields if len(key) == length and key.lower() == name]
     return b", ".join(values) if values else None
 
 
 def tokens(fields: Fields, name: bytes) -> list[bytes]:
-    """Return the members of a field that is a comma-separated list, in lower case."""
+    """Return the non-empty members of a comma-separated field in lower case."""
     value = field(fields, name)
     if value is None:
         return []
@@ -61,10 +61,10 @@
 
 
 def parse_fields(lines: list[bytes]) -> Fields:
-    """Return the fields of a head's lines after the first (RFC 9112, section 5).
+    """Parse the field lines of a head (RFC 9112, section 5).
 
     Raises:
-        MalformedMessageError: a line is folded, or its name or value breaks the grammar.
+        MalformedMessageError: a line is folded, or its name or value is malformed.
     """
     fields: Fields = []
     for line in lines:
@@ -81,14 +81,14 @@
 
 
 def end_to_end(fields: Fields) -> Fields:
-    """Return the fields that are forwarded (RFC 9110, section 7.6.1).
+    """Return the fields that a proxy forwards (RFC 9110, section 7.6.1).
 
-    Hop-by-hop fields, those that Connection names, and Content-Length are left out: the sender of
-    the forwarded message frames it anew.
+    Hop-by-hop fields, fields listed by Connection, and Content-Length are omitted: the forwarded
+    message gets its own framing.
     """
-    named = set(tokens(fields, b"connection"))
-    dropped = HOP_BY_HOP | named | {b"content-length"}
-    forwarded = named & FORWARDED_THOUGH_NAMED
+    listed = set(tokens(fields, b"connection"))
+    dropped = HOP_BY_HOP_FIELDS | listed | {b"content-length"}
+    forwarded = listed & ALWAYS_FORWARDED_FIELDS
     return [
         (name, value)
         for name, value in fields
@@ -96,13 +96,13 @@
     ]
 
 
-def http_date(wall: float) -> bytes:
-    """Return seconds since 1970 as a date of HTTP (IMF-fixdate, RFC 9110, section 5.6.7)."""
-    return formatdate(wall, usegmt=True).encode()
+def http_date(wall_time: float) -> bytes:
+    """Format Unix time in seconds as an HTTP date (IMF-fixdate, RFC 9110, section 5.6.7)."""
+    return formatdate(wall_time, usegmt=True).encode()
 
 
 def parse_http_date(value: bytes | None) -> float | None:
-    """Return a date as seconds since 1970; None where there is none or it cannot be read."""
+    """Parse an HTTP date to Unix time in seconds; return None if absent or malformed."""
     if value is None:
         return None
     try:
--- a/packages/http/ryelock/http/framing.py
+++ b/packages/http/ryelock/http/framing.py
@@ -1,7 +1,7 @@
-"""How the body of a message is delimited and whether its connection stays open (RFC 9112, 6, 9).
+"""Message framing and connection persistence (RFC 9112, sections 6 and 9).
 
-Whatever two recipients on the way could read differently is an error: request smuggling rests on
-such messages (RFC 9112, section 11.2).
+Framing that two recipients could interpret differently is rejected: such ambiguity allows request
+smuggling (RFC 9112, section 11.2).
 """
 
 import re
@@ -13,10 +13,11 @@
 
 
 def content_length(fields: Fields) -> int | None:
-    """Return the length in bytes that Content-Length gives; None without the field.
+    """Return the value of Content-Length in bytes; None without the field.
 
     Raises:
-        MalformedMessageError: it is no number, or several differ (RFC 9112, section 6.3).
+        MalformedMessageError: the value is not a number, or several values differ (RFC 9112,
+            section 6.3).
     """
     value = field(fields, b"content-length")
     if value is None:
@@ -31,11 +32,12 @@
 
 
 def is_chunked(fields: Fields, minor: int) -> bool:
-    """Return whether a body comes in chunks (RFC 9112, section 6.1).
+    """Return True if a body has the chunked transfer coding (RFC 9112, section 6.1).
 
     Raises:
-        MalformedMessageError: a transfer coding in HTTP/1.0, or beside a length.
-        NotImplementedByServerError: another transfer coding than chunked alone.
+        MalformedMessageError: the message has a transfer coding in HTTP/1.0 or together with a
+            Content-Length.
+        NotImplementedByServerError: the transfer coding is not exactly "chunked".
     """
     if field(fields, b"transfer-encoding") is None:
         return False
@@ -48,8 +50,8 @@
     return True
 
 
-def keeps_open(fields: Fields, minor: int) -> bool:
-    """Return whether the sender keeps the connection open (RFC 9112, section 9.3)."""
+def is_persistent(fields: Fields, minor: int) -> bool:
+    """Return True if the sender keeps the connection open (RFC 9112, section 9.3)."""
     options = tokens(fields, b"connection")
     if b"close" in options:
         return False
--- a/packages/http/ryelock/http/heads.py
+++ b/packages/http/ryelock/http/heads.py
@@ -1,8 +1,8 @@
-"""Heads of requests and responses: first line and fields, kept as the bytes that came.
+"""Parsing of message heads: the start line and the field lines, preserved byte for byte.
 
-circuits.web's HttpParser reads request lines and its table of status codes names them. The rest
-of it is not used: it upper-cases methods and opens compressed bodies, and its reading of responses
-rejects reasons with a hyphen in them. See also `fields`.
+Only request lines are parsed by circuits.web's HttpParser, and reason phrases come from its table
+of status codes. The rest of its parser is not used: it upper-cases methods, decompresses bodies,
+and rejects responses whose reason phrase contains a hyphen. See also `fields`.
 """
 
 import re
@@ -23,12 +23,17 @@
 
 
 class RequestLineParser(HttpParser):  # type: ignore[misc]
-    """circuits.web's parser, of which only the reading of the request line is used."""
+    """Exposes circuits.web's parser of request lines."""
 
     __slots__ = ()
 
-    def read(self, line: str) -> None:
-        """Check a request line; raises InvalidRequestLine or ValueError."""
+    def check(self, line: str) -> None:
+        """Check a request line.
+
+        Raises:
+            InvalidRequestLine: the line is malformed.
+            ValueError: its target is not a valid URL.
+        """
         self._parse_request_line(line)
 
 
@@ -36,10 +41,10 @@
     """The head of a request.
 
     Attributes:
-        method: as it came; methods are case-sensitive (RFC 9110, section 9.1).
-        target: the request target, not decoded.
-        minor: the minor version, 0 or 1.
-        fields: the field lines in their order.
+        method: the method as received; methods are case-sensitive (RFC 9110, section 9.1).
+        target: the request target, not percent-decoded.
+        minor: the minor HTTP version, 0 or 1.
+        fields: the field lines in the order received.
     """
 
     __slots__ = ("fields", "method", "minor", "target")
@@ -57,9 +62,9 @@
 
     Attributes:
         status: the status code, 100 to 999.
-        reason: the reason phrase, perhaps empty.
-        minor: the minor version, 0 or 1.
-        fields: the field lines in their order.
+        reason: the reason phrase; may be empty.
+        minor: the minor HTTP version, 0 or 1.
+        fields: the field lines in the order received.
     """
 
     __slots__ = ("fields", "minor", "reason", "status")
@@ -73,11 +78,15 @@
 
 
 def parse_request_head(head: bytes) -> RequestHead:
-    """Return the head of a request from its bytes without the last empty line.
+    """Parse the head of a request.
+
+    Args:
+        head: the bytes up to, but not including, the terminating empty line.
 
     Raises:
         FramingError: the head is malformed (RFC 9112, sections 3 and 5), its version or method
-            is not served, or it has not exactly one Host (RFC 9112, section 3.2).
+            is not supported, or it has several Host fields, or none in HTTP/1.1 (RFC 9112,
+            section 3.2).
     """
     lines = split_lines(head)
     method, target, minor = parse_request_line(lines[0])
@@ -88,26 +97,29 @@
 
 
 def parse_response_head(head: bytes) -> ResponseHead:
-    """Return the head of a response from its bytes without the last empty line.
+    """Parse the head of a response.
+
+    Args:
+        head: the bytes up to, but not including, the terminating empty line.
 
     Raises:
         FramingError: the head is malformed (RFC 9112, sections 4 and 5).
     """
     lines = split_lines(head)
-    found = STATUS_LINE.fullmatch(lines[0])
-    if found is None:
+    match = STATUS_LINE.fullmatch(lines[0])
+    if match is None:
         raise MalformedStatusLineError
-    minor, status, reason = found.groups()
+    minor, status, reason = match.groups()
     return ResponseHead(int(status), reason or b"", int(minor), parse_fields(lines[1:]))
 
 
 def split_lines(head: bytes) -> list[bytes]:
-    """Return the lines of a head.
+    """Split a head into its lines.
 
     Raises:
-        MalformedMessageError: a CR or LF stands alone. RFC 9112, section 2.2, lets a recipient
-            take an LF alone for a line's end; another one on the way may not, and both would see
-            different fields (request smuggling).
+        MalformedMessageError: the head contains a bare CR or LF. RFC 9112, section 2.2, lets a
+            recipient accept a bare LF as a line terminator. A recipient that accepts it and one
+            that does not would parse different fields, which allows request smuggling.
     """
     lines = head.split(b"\r\n")
     if any(b"\r" in line or b"\n" in line for line in lines):
@@ -116,10 +128,10 @@
 
 
 def parse_request_line(line: bytes) -> tuple[bytes, bytes, int]:
-    """Return method, target and minor version of a request line (RFC 9112, section 3).
+    """Return the method, target and minor version of a request line (RFC 9112, section 3).
 
     Raises:
-        FramingError: the line is malformed, or its version or method is not served.
+        FramingError: the line is malformed, or its version or method is not supported.
     """
     parts = line.split(b" ")
     if len(parts) != 3 or not TOKEN.fullmatch(parts[0]) or not REQUEST_TARGET.fullmatch(parts[1]):
@@ -132,20 +144,20 @@
     if method == b"CONNECT":
         raise NotImplementedByServerError("CONNECT is not served")
     try:
-        RequestLineParser(0, False).read(line.decode("latin-1"))
+        RequestLineParser(0, False).check(line.decode("latin-1"))
     except (InvalidRequestLine, ValueError) as error:
         raise MalformedMessageError("malformed first line") from error
     return method, target, 1 if version == b"HTTP/1.1" else 0
 
 
 def check_host(minor: int, fields: Fields) -> None:
-    """Check that a request has one Host, or in HTTP/1.0 perhaps none (RFC 9112, section 3.2).
+    """Check that a request has one Host field, optional in HTTP/1.0 (RFC 9112, section 3.2).
 
     Raises:
-        MalformedMessageError: it has several, or none in HTTP/1.1.
+        MalformedMessageError: the request has several Host fields, or none in HTTP/1.1.
     """
-    hosts = sum(1 for name, _ in fields if name.lower() == b"host")
-    if hosts > 1 or (minor == 1 and not hosts):
+    host_count = sum(1 for name, _ in fields if name.lower() == b"host")
+    if host_count > 1 or (minor == 1 and not host_count):
         raise MalformedMessageError("not exactly one Host")
 
 
@@ -153,7 +165,7 @@
     """Check that a target is in origin, absolute or asterisk form (RFC 9112, section 3.2).
 
     Raises:
-        MalformedMessageError: it is in none of them.
+        MalformedMessageError: the target is in none of these forms.
     """
     if target.startswith(b"/") or (target == b"*" and method == b"OPTIONS"):
         return
@@ -161,6 +173,6 @@
         raise MalformedMessageError("malformed target")
 
 
-def reason_of(status: int) -> bytes:
-    """Return the usual reason phrase of a status; empty for an unknown one."""
+def reason_phrase(status: int) -> bytes:
+    """Return the registered reason phrase of a status code; empty for an unknown code."""
     return str(HTTP_STATUS_CODES.get(status, "")).encode()
--- a/packages/http/ryelock/http/limits.py
+++ b/packages/http/ryelock/http/limits.py
@@ -1,20 +1,20 @@
-"""What a server takes from its clients."""
+"""Limits that a server applies to its clients."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class Limits:
-    """Limits of one server; sizes in bytes, durations in seconds.
+    """Limits of one server.
 
-    Not frozen: an edge changes the limits of a running server when its settings are read again.
+    Not frozen: an edge changes the limits of a running server when it reloads its settings.
 
     Attributes:
-        head_bytes: longest head of a request.
-        body_bytes: longest body that `HttpExchange.read_body` takes.
-        max_connections: further connections are answered with 503 at once.
-        idle_seconds: how long a connection may wait for its next request.
-        request_seconds: deadline of a request's head and, from there on, of its body.
+        head_bytes: maximum size of a request head.
+        body_bytes: maximum size of a body read by `HttpExchange.read_body`.
+        max_connections: maximum number of open connections; further ones get a 503 response.
+        idle_seconds: timeout of a connection that waits for its next request.
+        request_seconds: timeout for receiving a request head, and again for its body.
     """
 
     head_bytes: int = 32_768
--- a/packages/http/ryelock/http/protocol_profile.py
+++ b/packages/http/ryelock/http/protocol_profile.py
@@ -1,8 +1,7 @@
-"""The names of the fields by which clients, edges and servers speak, where they differ.
+"""Deployment-specific names of the header fields between clients, edges and servers.
 
-An edge has one profile for as long as it runs. A field without a name is not used: with none, HTTP
-is as this project's own interface has it. What a field means, and what an edge does with it, is the
-same under every name; which bytes stand for it is the deployment's business.
+An edge uses one profile for its lifetime. A field with an empty name is not used; a profile without
+names is the project's native interface. The names do not change the meaning of a field.
 """
 
 import dataclasses
@@ -10,18 +9,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProtocolProfile:
-    """Names of fields, as they are written in a head; empty where a field is not used.
+    """Header field names, in the case in which they are sent; empty if a field is not used.
 
     Attributes:
-        identity: a request's id, given by the client, passed to the server and repeated in its
-            response; a response with another id belongs to another request.
-        deadline: milliseconds that the sender still waits.
-        seal: proves that a response is the server's; a success without it does not count.
-        expected: the incarnation of the server that a request is for; another one rejects it
-            with 421.
-        not_run: in a response: the request was not executed.
-        labels: what an object can be purged by, divided by spaces.
-        fractions: whether Retry-After may be a fraction of a second.
+        identity: the id of a request, set by the client, forwarded to the server and echoed in its
+            response; a response with a different id belongs to another request.
+        deadline: the remaining time in milliseconds for which the sender waits.
+        seal: proof that a response comes from the server; a successful response without it is
+            invalid.
+        expected: the server incarnation that a request is addressed to; a different incarnation
+            rejects it with 421.
+        not_run: in a response, declares that the request was not executed.
+        labels: space-separated labels by which an object can be purged.
+        fractions: True if Retry-After may be a fraction of a second.
     """
 
     identity: bytes = b""
@@ -34,5 +34,5 @@
 
     @property
     def own(self) -> bool:
-        """Whether this is the project's own interface."""
+        """Return True if this is the project's native interface."""
         return not self.identity
--- a/packages/http/ryelock/http/reader.py
+++ b/packages/http/ryelock/http/reader.py
@@ -1,4 +1,4 @@
-"""Reading from a connection with deadlines and limits: heads, lines and pieces of bodies."""
+"""Buffered reads of heads, lines and body bytes, with deadlines and size limits."""
 
 from ryelock.http.errors import (
     HeadTooLongError,
@@ -9,54 +9,55 @@
 from ryelock.runtime import Connection, Scheduler
 
 MAX_LINE_BYTES = 4096
-"""The longest line of a chunk's size or of a trailer."""
+"""Limit of a chunk-size line and of a trailer line."""
 
 
 class Reader:
-    """Bytes of one connection that were received but not yet used.
+    """Buffers the bytes received on one connection deadline they are consumed.
 
     Attributes:
-        buffer: these bytes; not empty after a message means that more was sent behind it.
-        took: how many bytes were received in all.
+        buffer: bytes received and not yet consumed; if not empty after a message, the peer has
+            sent more than that message.
     """
 
     __slots__ = ("buffer", "connection", "scheduler")
 
     def __init__(self, scheduler: Scheduler, connection: Connection) -> None:
-        """Create a reader of a connection; nothing else may receive from it."""
+        """Create the only reader of a connection: nothing else may receive from it."""
         self.scheduler = scheduler
         self.connection = connection
         self.buffer = bytearray()
 
-    async def receive(self, until: float) -> None:
-        """Add the next received bytes to the buffer.
+    async def receive(self, deadline: float) -> None:
+        """Append the next received bytes to the buffer.
 
         Args:
-            until: deadline in monotonic seconds.
+            deadline: in monotonic seconds.
 
         Raises:
-            ReadTimeoutError: nothing came before the deadline.
-            IncompleteMessageError: the connection ended.
+            ReadTimeoutError: no bytes were received before the deadline.
+            IncompleteMessageError: the connection was closed.
         """
-        left = until - self.scheduler.now()
-        if left <= 0 and not self.connection.received.items:
+        remaining = deadline - self.scheduler.now()
+        if remaining <= 0 and not self.connection.received.items:
             raise ReadTimeoutError
-        data = await self.connection.receive(max(0.0, left))
+        data = await self.connection.receive(max(0.0, remaining))
         if data is None:
             raise ReadTimeoutError
         if not data:
             raise IncompleteMessageError
         self.buffer += data
 
-    async def read_head(self, max_bytes: int, until: float) -> bytes:
-        """Return a head without its empty line; see `receive` for the deadline and its errors.
+    async def read_head(self, max_bytes: int, deadline: float) -> bytes:
+        """Consume a head and return it without the terminating empty line.
 
         Raises:
             HeadTooLongError: the head is longer than `max_bytes`.
+            ReadTimeoutError, IncompleteMessageError: see `receive`.
         """
         searched = 0
         while True:
-            # The end may begin in the last three bytes that were searched already.
+            # The terminator may start in the last three bytes already searched.
             end = self.buffer.find(b"\r\n\r\n", max(0, searched - 3))
             if end > max_bytes:
                 raise HeadTooLongError
@@ -67,13 +68,14 @@
             searched = len(self.buffer)
             if searched > max_bytes:
                 raise HeadTooLongError
-            await self.receive(until)
+            await self.receive(deadline)
 
-    async def read_line(self, until: float) -> bytes:
-        """Return a line without its end; see `receive` for the deadline and its errors.
+    async def read_line(self, deadline: float) -> bytes:
+        """Consume a line and return it without its CRLF.
 
         Raises:
-            MalformedMessageError: no line ends within MAX_LINE_BYTES.
+            MalformedMessageError: the line is longer than MAX_LINE_BYTES.
+            ReadTimeoutError, IncompleteMessageError: see `receive`.
         """
         while True:
             end = self.buffer.find(b"\r\n")
@@ -83,12 +85,12 @@
                 return line
             if len(self.buffer) > MAX_LINE_BYTES:
                 raise MalformedMessageError("line too long")
-            await self.receive(until)
+            await self.receive(deadline)
 
-    async def read_some(self, max_bytes: int, until: float) -> bytes:
-        """Return at least one byte and at most so many; see `receive` for deadline and errors."""
+    async def read_some(self, max_bytes: int, deadline: float) -> bytes:
+        """Consume at least one and at most `max_bytes` bytes; raises like `receive`."""
         if not self.buffer:
-            await self.receive(until)
+            await self.receive(deadline)
         data = bytes(self.buffer[:max_bytes])
         del self.buffer[:max_bytes]
         return data
--- a/packages/http/ryelock/http/server.py
+++ b/packages/http/ryelock/http/server.py
@@ -1,7 +1,7 @@
-"""The server side: a listener, one task a connection, and an orderly stop.
+"""The HTTP server: a listener, one task per connection, and a graceful stop.
 
-A connection above the limit is answered with 503 at once. A response that was started and cannot
-be finished ends by aborting its connection, so that no client can take it as complete.
+A connection above the limit gets a 503 response and is closed. If a response was started and
+cannot be finished, its connection is aborted, so that the client detects it as incomplete.
 """
 
 from ryelock.events import Log
@@ -9,13 +9,12 @@
 from ryelock.http.limits import Limits
 from ryelock.runtime import Connection, Network, Scheduler, Task
 
-REFUSAL_SECONDS = 0.5
-"""So long before a stop's end, requests that still wait are rejected instead of cut."""
+REJECT_BEFORE_DEADLINE_SECONDS = 0.5
+"""Time before the deadline of a stop at which requests that still wait get a 503 response."""
 IDLE_GRACE_SECONDS = 0.5
-"""After a stop began, a connection without a request stays open for so long."""
+"""Time for which idle connections stay open after a stop has begun."""
 STOP_POLL_SECONDS = 0.02
-"""How often a stop looks whether the responses are sent."""
-TOO_MANY_CONNECTIONS = (
+TOO_MANY_CONNECTIONS_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
     b"Content-Length: 0\r\nConnection: close\r\n\r\n"
 )
@@ -25,11 +24,14 @@
     """Serves HTTP/1.1 at one address.
 
     Attributes:
-        address: host:port that is listened on.
-        limits: what is taken from clients; may be changed while the server runs.
+        address: host:port of the listener.
+        limits: limits for clients; may be changed while the server runs.
         connections: the task of each open connection.
-        draining: set by the owner: connections end with their next response, new ones are taken.
-        closing: whether the server has stopped listening.
+        server_connections: the state of each open connection that is being served.
+        closing_connections: closed connections whose last bytes may still be unsent.
+        draining: set by the owner to close each connection after its next response while new
+            connections are still accepted.
+        closing: True once the server has stopped listening.
     """
 
     __slots__ = (
@@ -44,7 +46,7 @@
         "log",
         "network",
         "scheduler",
-        "serving",
+        "server_connections",
     )
 
     def __init__(
@@ -61,15 +63,15 @@
 
         Args:
             scheduler: runs the connections' tasks.
-            network: what listens.
-            log: takes an event for each malformed request.
-            address: host:port; with port 0 the system chooses, and `self.address` has its choice.
-            limits: what is taken from clients.
-            handler: answers each request.
-            bulk: whether the connections give way to others on the machine's link; see Connection.
+            network: provides the listener.
+            log: receives an event for each malformed request.
+            address: host:port; with port 0 the system chooses a port, see `self.address`.
+            limits: limits for clients.
+            handler: called with each request.
+            bulk: give the connections low priority on the network link; see `Connection.bulk`.
 
         Raises:
-            NetworkError: the address cannot be listened on.
+            NetworkError: the server cannot listen at the address.
         """
         self.bulk = bulk
         self.scheduler = scheduler
@@ -78,33 +80,33 @@
         self.limits = limits
         self.handler = handler
         self.connections: dict[Connection, Task] = {}
-        self.serving: dict[Connection, ServerConnection] = {}
+        self.server_connections: dict[Connection, ServerConnection] = {}
         self.closing_connections: list[Connection] = []
         self.closing = False
         self.draining = False
         self.address = network.listen(address, self.accept)
 
     @property
-    def ends_connections(self) -> bool:
-        """Whether connections end with the response that is sent on them next."""
+    def closes_after_response(self) -> bool:
+        """Return True if each connection is closed after its next response."""
         return self.closing or self.draining
 
     @property
     def is_handling(self) -> bool:
-        """Whether a request is being answered."""
-        return any(serving.is_handling for serving in self.serving.values())
+        """Return True if the handler runs for at least one request."""
+        return any(serving.is_handling for serving in self.server_connections.values())
 
     @property
     def has_unsent(self) -> bool:
-        """Whether bytes of a response are still to be sent."""
+        """Return True if at least one connection has unsent bytes."""
         return any(
             connection.unsent_bytes for connection in (*self.connections, *self.closing_connections)
         )
 
     def accept(self, connection: Connection) -> None:
-        """Start to serve an accepted connection, or reject it where there are too many."""
+        """Start the task of an accepted connection, or reject it if too many are open."""
         if len(self.connections) >= self.limits.max_connections:
-            connection.write(TOO_MANY_CONNECTIONS)
+            connection.write(TOO_MANY_CONNECTIONS_RESPONSE)
             connection.close()
             return
         connection.bulk = self.bulk
@@ -113,20 +115,20 @@
         )
 
     async def serve(self, connection: Connection) -> None:
-        """Serve one connection to its end."""
-        serving = self.serving[connection] = ServerConnection(self, connection)
+        """Serve one connection until it ends, then close or abort it."""
+        serving = self.server_connections[connection] = ServerConnection(self, connection)
         try:
             await serving.serve()
         finally:
             self.connections.pop(connection, None)
-            self.serving.pop(connection, None)
-            if serving.has_cut_response:
+            self.server_connections.pop(connection, None)
+            if serving.has_incomplete_response:
                 connection.abort()
             else:
-                self.close(connection)
+                self.close_connection(connection)
 
-    def close(self, connection: Connection) -> None:
-        """End a connection; one with unsent bytes is remembered until they are sent."""
+    def close_connection(self, connection: Connection) -> None:
+        """Close a connection; `has_unsent` still counts it until its last bytes are sent."""
         self.closing_connections = [
             other for other in self.closing_connections if other.unsent_bytes
         ]
@@ -135,20 +137,20 @@
         connection.close()
 
     def stop_accepting(self) -> None:
-        """Stop listening; open connections end with the response that they are in."""
+        """Stop listening; each open connection is closed after its current response."""
         if not self.closing:
             self.closing = True
             self.network.stop_listening(self.address)
 
     async def finish(self, timeout: float) -> bool:
-        """Wait for open responses, at most `timeout` seconds, then end all connections.
+        """Wait up to `timeout` seconds for responses in progress, then close all connections.
 
-        An idle connection is kept a little: a request may be on its way on it, and gets a response
-        that says the connection closes. Then it ends, however long other responses take: what came
-        on it later could not be answered in time.
+        An idle connection stays open for IDLE_GRACE_SECONDS: a request may already be in transit
+        and then gets a response with `Connection: close`. After that it is closed even while other
+        responses are in progress, as later requests might not be handled before the deadline.
 
         Returns:
-            Whether every response was sent.
+            True if every response was sent.
         """
         now = self.scheduler.now()
         idle_until, deadline = now + IDLE_GRACE_SECONDS, now + timeout
@@ -157,8 +159,8 @@
         ):
             if now >= idle_until:
                 self.close_idle()
-            if now >= deadline - REFUSAL_SECONDS:
-                self.refuse_waiting()
+            if now >= deadline - REJECT_BEFORE_DEADLINE_SECONDS:
+                self.reject_waiting()
             await self.scheduler.sleep(STOP_POLL_SECONDS)
             now = self.scheduler.now()
         done = not self.is_handling and not self.has_unsent
@@ -168,14 +170,14 @@
         return done
 
     def close_idle(self) -> None:
-        """End the connections on which no byte of a request has come."""
-        for connection, serving in list(self.serving.items()):
+        """Close the connections on which no byte of a request was received."""
+        for connection, serving in list(self.server_connections.items()):
             if serving.is_idle and not len(connection.received):
                 self.connections[connection].cancel()
 
-    def refuse_waiting(self) -> None:
-        """Reject the requests that wait and may be sent again; their connections end."""
-        for connection, serving in list(self.serving.items()):
+    def reject_waiting(self) -> None:
+        """Respond 503 to waiting requests that can be retried, and close their connections."""
+        for connection, serving in list(self.server_connections.items()):
             exchange = serving.exchange
             if exchange is not None and exchange.may_refuse and not exchange.response_started:
                 exchange.send_head(503, b"", [(b"Retry-After", b"0")], 0)
--- a/packages/http/ryelock/http/statuses.py
+++ b/packages/http/ryelock/http/statuses.py
@@ -1,7 +1,7 @@
-"""Statuses that decide how each message is read and framed, as plain numbers.
+"""Status codes that affect the framing of a message, as plain integers.
 
-Each use of an `HTTPStatus` member is a call in Python 3.11; these are looked at several times for
-every message.
+Looking up an `HTTPStatus` member is a function call in Python 3.11, and these codes are compared
+several times per message.
 """
 
 from http import HTTPStatus
