--- a/packages/rpc/ryelock/rpc/__init__.py
+++ b/packages/rpc/ryelock/rpc/__init__.py
@@ -1,8 +1,8 @@
-"""Remote calls between the system's own processes: CBOR frames, many calls a connection.
+"""Remote procedure calls between Ryelock's processes: CBOR frames over multiplexed connections.
 
-`frames` holds the encoding, `client` and `server` the two sides, `codec` the typed messages,
-`errors` what can go wrong. Each call has a number that its response repeats, so that responses may
-come in any order. A connection whose peer breaks the protocol is closed, with an event.
+`frames` holds the encoding, `client` and `server` the two sides, `codec` the typed messages, and
+`errors` the errors. A response carries the number of its call, so that responses may arrive in any
+order. If the peer violates the protocol, an event is logged and the connection closed.
 """
 
 from ryelock.rpc.client import RpcClient, RpcClients
--- a/packages/rpc/ryelock/rpc/client.py
+++ b/packages/rpc/ryelock/rpc/client.py
@@ -1,4 +1,4 @@
-"""The client side: calls to other processes over one connection an address."""
+"""The RPC client: calls to other processes over one connection per address."""
 
 from expression import Error, Ok, Result
 
@@ -15,62 +15,62 @@
 from ryelock.runtime import Connection, Network, Queue, Scheduler, Task
 
 CONNECT_TIMEOUT_SECONDS = 0.6
-"""A call on a connection that is not open after so long fails before its own timeout."""
+"""A call fails after this time, before its own timeout, if the connection is not established."""
 
 ResponseQueue = Queue[Message | None]
-"""Gets the response to one call, or None once its connection has ended."""
+"""Receives the response to one call, or None once the connection has ended."""
 
 
 class RpcClient:
-    """Calls to one address: a connection that is opened when needed, many calls in flight.
+    """A client of one address: a connection, opened on demand, with many calls in flight.
 
-    A connection on which nothing at all arrived while a call timed out is aborted: the other side
-    may be frozen, cut off or replaced, and TCP alone would take minutes to notice.
+    If a call times out and nothing was received meanwhile, the connection is aborted: the peer may
+    be frozen, partitioned or replaced, which TCP would detect only after minutes.
     """
 
     __slots__ = (
         "address",
         "connection",
+        "last_call_number",
         "log",
         "network",
         "pending_calls",
-        "reader",
+        "reader_task",
         "received_chunks",
         "scheduler",
-        "sequence",
     )
 
     def __init__(self, scheduler: Scheduler, network: Network, log: Log, address: str) -> None:
-        """Create a client of host:port; it connects at the first call."""
+        """Create a client of host:port that connects on the first call."""
         self.scheduler = scheduler
         self.network = network
         self.log = log
         self.address = address
         self.connection: Connection | None = None
-        self.reader: Task | None = None
-        self.sequence = 0
+        self.reader_task: Task | None = None
+        self.last_call_number = 0
         self.received_chunks = 0
         self.pending_calls: dict[int, ResponseQueue] = {}
 
     async def call(self, message: Message, timeout: float) -> Result[Message, NoResponseError]:
         """Send a message and wait for its response, at most `timeout` seconds.
 
-        Nothing is retried here: whether the call may have taken effect is in the error's `sent`.
+        Calls are not retried; `NoResponseError.sent` is True if the call may have taken effect.
         """
         deadline = self.scheduler.now() + timeout
         connection = self.open_connection()
-        self.sequence += 1
-        number = self.sequence
+        self.last_call_number += 1
+        call_number = self.last_call_number
         responses: ResponseQueue = Queue(self.scheduler)
-        self.pending_calls[number] = responses
+        self.pending_calls[call_number] = responses
         received_before = self.received_chunks
         try:
-            connection.write(encode_frame({**message, CALL_NUMBER: number}))
+            connection.write(encode_frame({**message, CALL_NUMBER: call_number}))
             response = await responses.get(min(timeout, CONNECT_TIMEOUT_SECONDS))
             if response is None and connection.connected and not connection.closed:
                 response = await responses.get(max(0.0, deadline - self.scheduler.now()))
         finally:
-            self.pending_calls.pop(number, None)
+            self.pending_calls.pop(call_number, None)
         if response is None:
             if self.connection is connection and self.received_chunks == received_before:
                 self.abort()
@@ -78,19 +78,19 @@
         return Ok(response)
 
     def open_connection(self) -> Connection:
-        """Return the connection, a new one where there is none or it has ended."""
+        """Return the connection; open a new one if there is none or it has ended."""
         connection = self.connection
         if connection is None or connection.closed:
             connection = self.network.connect(self.address)
             self.connection = connection
             connection.write(HANDSHAKE)
-            self.reader = self.scheduler.create_task(
-                self.read(connection), name=f"rpc to {self.address}", urgent=True
+            self.reader_task = self.scheduler.create_task(
+                self.read_responses(connection), name=f"rpc to {self.address}", urgent=True
             )
         return connection
 
-    async def read(self, connection: Connection) -> None:
-        """Hand responses to the calls that wait for them until the connection ends."""
+    async def read_responses(self, connection: Connection) -> None:
+        """Deliver responses to the waiting calls until the connection ends."""
         decoder = HandshakeFrameDecoder()
         try:
             while True:
@@ -104,39 +104,39 @@
             self.log.write(FRAME_REJECTED, peer=connection.peer, fault=str(error))
         finally:
             connection.close()
-            # The connection may have been replaced: then the calls in flight are on the new one.
+            # If the connection was replaced, the pending calls belong to the new one.
             if self.connection is connection:
                 self.connection = None
                 for responses in list(self.pending_calls.values()):
                     responses.put(None)
 
     def on_response(self, message: Message) -> None:
-        """Hand a response to its call; one whose call has timed out is dropped."""
-        number = message.pop(RESPONSE_NUMBER, None)
-        responses = self.pending_calls.get(number) if isinstance(number, int) else None
+        """Deliver a response to its call; discard it if the call has timed out."""
+        call_number = message.pop(RESPONSE_NUMBER, None)
+        responses = self.pending_calls.get(call_number) if isinstance(call_number, int) else None
         if responses is not None:
             responses.put(message)
 
     def abort(self) -> None:
-        """Reset the connection; the calls in flight end without a response."""
+        """Abort the connection; pending calls end without a response."""
         if self.connection is not None:
             self.connection.abort()
 
 
 class RpcClients:
-    """The clients of one process, by address."""
+    """The RPC clients of one process by address."""
 
     __slots__ = ("clients", "log", "network", "scheduler")
 
     def __init__(self, scheduler: Scheduler, network: Network, log: Log) -> None:
-        """Create an empty table of clients."""
+        """Create an empty set of clients."""
         self.scheduler = scheduler
         self.network = network
         self.log = log
         self.clients: dict[str, RpcClient] = {}
 
     def client(self, address: str) -> RpcClient:
-        """Return the client of host:port, creating it when needed."""
+        """Return the client of host:port; create it if there is none."""
         client = self.clients.get(address)
         if client is None:
             client = RpcClient(self.scheduler, self.network, self.log, address)
--- a/packages/rpc/ryelock/rpc/errors.py
+++ b/packages/rpc/ryelock/rpc/errors.py
@@ -1,6 +1,7 @@
-"""Errors of this package: one base, a class for each thing that can be wrong.
+"""Errors of this package.
 
-The texts of the frame errors are a field of the event FRAME_REJECTED, which operators search for.
+The texts of the frame errors are logged in the event FRAME_REJECTED, where operators search for
+them.
 """
 
 
@@ -9,11 +10,11 @@
 
 
 class NoResponseError(RpcError):
-    """A call got no response: the connection failed, was cut, or the response came too late.
+    """A call got no response: the connection failed or ended, or the call timed out.
 
     Attributes:
-        sent: False only where the message surely was not sent, so that the receiver cannot have
-            acted on it; True where it may have.
+        sent: False only if the message cannot have been sent, so that the receiver cannot have
+            acted on it.
     """
 
     def __init__(self, address: str, sent: bool) -> None:
@@ -23,17 +24,17 @@
 
 
 class FrameError(RpcError):
-    """Base of the errors by which received bytes are no frame of this protocol.
+    """Base of errors in received frames.
 
-    A connection on which one is raised is closed: where the next frame begins is not known.
+    The connection is closed after such an error, as the start of the next frame is unknown.
     """
 
 
 class FrameTooLongError(FrameError):
-    """The length in front of a frame is above the limit; it is refused before it is buffered."""
+    """The length prefix of a frame is above the limit; the body is not buffered."""
 
     def __init__(self, size: int) -> None:
-        """Create the error of a frame that announces `size` bytes."""
+        """Create the error of a frame with a length prefix of `size` bytes."""
         super().__init__(f"frame of {size} bytes")
 
 
@@ -46,7 +47,7 @@
 
 
 class FrameNotMapError(FrameError):
-    """The body of a frame is CBOR but not a map whose keys are text."""
+    """The body of a frame is CBOR but not a map with string keys."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -62,15 +63,15 @@
 
 
 class ProtocolVersionError(FrameError):
-    """The first frame names another version of the protocol."""
+    """The first frame names an unsupported version of the protocol."""
 
     def __init__(self, received: object, supported: int) -> None:
-        """Create the error of a received version beside the one that is supported."""
+        """Create the error of a received version that differs from the supported one."""
         super().__init__(f"version {received!r}, not {supported}")
 
 
 class MissingCallNumberError(FrameError):
-    """A call came without the number that its response has to carry."""
+    """A call lacks the number that its response must carry."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -78,4 +79,4 @@
 
 
 class MalformedMessageError(RpcError, ValueError):
-    """A message lacks a field or has a value of another type; the text names field and reason."""
+    """A field of a message is missing or its value has another type; the text names the field."""
--- a/packages/rpc/ryelock/rpc/frames.py
+++ b/packages/rpc/ryelock/rpc/frames.py
@@ -1,8 +1,7 @@
-"""Frames: how a message is encoded on a connection.
+"""Encoding of messages as frames on a connection.
 
-A frame is its body's length as four bytes, most significant first, and the body, one CBOR map
-(RFC 8949). The first frame of each side is the handshake, which names the protocol and its
-version.
+A frame is a four-byte big-endian length followed by the body, one CBOR map (RFC 8949). The first
+frame of each side is the handshake with the name and the version of the protocol.
 """
 
 import struct
@@ -23,31 +22,31 @@
 LENGTH = struct.Struct(">I")
 
 CALL_NUMBER = "ask"
-"""Key of a call's number, unique on its connection."""
+"""Key of the number of a call, unique on its connection."""
 RESPONSE_NUMBER = "answer"
-"""Key of the number of the call that a response belongs to."""
+"""Key of the number of the call that a response answers."""
 
 Message = dict[str, object]
 
 
 def encode_frame(message: Message) -> bytes:
-    """Return a message as a frame."""
+    """Encode a message as a frame."""
     body = cbor2.dumps(message)
     return LENGTH.pack(len(body)) + body
 
 
 def decode_body(body: bytes) -> Message:
-    """Return the message that a frame's body holds.
+    """Decode the body of a frame.
 
     Raises:
         FrameNotCborError: the body is not CBOR.
-        FrameNotMapError: it is not a map whose keys are text.
+        FrameNotMapError: the body is not a map with string keys.
     """
     try:
         message = cbor2.loads(body)
     except Exception as error:
-        # cbor2 lets errors of its own and of the types that it builds through, also OverflowError
-        # and RecursionError: the sender may be anyone, so none of them may end the process.
+        # cbor2 also raises errors of the types it constructs, OverflowError and RecursionError.
+        # The sender is not trusted, so none of them may stop the process.
         raise FrameNotCborError from error
     if not isinstance(message, dict) or not all(isinstance(key, str) for key in message):
         raise FrameNotMapError
@@ -55,20 +54,20 @@
 
 
 class FrameDecoder:
-    """Decodes a stream of received chunks into messages."""
+    """Decodes a stream of received bytes into messages."""
 
     __slots__ = ("buffer", "max_bytes")
 
     def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Create a decoder that refuses frames whose body is longer than `max_bytes`."""
+        """Create a decoder that rejects frames whose body is longer than `max_bytes`."""
         self.buffer = bytearray()
         self.max_bytes = max_bytes
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take received bytes and return the messages that are complete.
+        """Add received bytes and return the messages that are now complete.
 
         Raises:
-            FrameError: the bytes are no frame; the decoder cannot be used any more.
+            FrameError: the bytes are not a valid frame; the decoder must not be used afterwards.
         """
         self.buffer += data
         messages: list[Message] = []
@@ -89,8 +88,8 @@
     """Check the first message of a connection.
 
     Raises:
-        UnknownProtocolError: it names another protocol, or none.
-        ProtocolVersionError: it names another version of this protocol.
+        UnknownProtocolError: the message names another protocol, or none.
+        ProtocolVersionError: the message names an unsupported version of the protocol.
     """
     if message.get("protocol") != PROTOCOL:
         raise UnknownProtocolError
@@ -99,17 +98,17 @@
 
 
 class HandshakeFrameDecoder(FrameDecoder):
-    """Decodes a connection from its start: the first frame must be this protocol's handshake."""
+    """Decodes the frames of a connection, the first of which must be the handshake."""
 
     __slots__ = ("handshake_done",)
 
     def __init__(self) -> None:
-        """Create a decoder that has not received the handshake."""
+        """Create a decoder that expects the handshake."""
         super().__init__()
         self.handshake_done = False
 
     def feed(self, data: bytes) -> list[Message]:
-        """Return the complete messages behind the handshake; raises FrameError."""
+        """Return the complete messages after the handshake; raises FrameError."""
         messages = super().feed(data)
         if self.handshake_done or not messages:
             return messages
--- a/packages/rpc/ryelock/rpc/server.py
+++ b/packages/rpc/ryelock/rpc/server.py
@@ -1,4 +1,4 @@
-"""The server side of a connection: receives calls, sends their responses."""
+"""The RPC server: receives calls and sends their responses."""
 
 from collections.abc import Callable
 
@@ -15,16 +15,16 @@
 from ryelock.runtime import Connection, Network, Scheduler, Task
 
 IDLE_TIMEOUT_SECONDS = 60.0
-"""A connection on which nothing arrives for so long is closed."""
+"""A connection is closed if nothing is received on it for this time."""
 
 Reply = Callable[[Message], None]
-"""Sends the response to one call; does nothing once the connection has ended."""
+"""Sends the response to one call; does nothing if the connection has ended."""
 MessageHandler = Callable[[Message, Reply], None]
-"""Takes a received call; it may keep the Reply and use it later, in any order."""
+"""Handles a received call; it may keep the Reply and call it later, in any order."""
 
 
 class RpcServer:
-    """Listens at an address and hands each call to a handler; one task a connection."""
+    """Listens at an address and passes each call to a handler; one task per connection."""
 
     __slots__ = ("address", "connections", "handler", "log", "network", "scheduler")
 
@@ -40,13 +40,13 @@
 
         Args:
             scheduler: runs the connections' tasks.
-            network: what listens.
-            log: takes an event for each malformed frame.
-            address: host:port; with port 0 the system chooses, and `self.address` has its choice.
+            network: provides the listener.
+            log: receives an event for each malformed frame.
+            address: host:port; with port 0 the system chooses a port, see `self.address`.
             handler: called with each message and a function that sends the response.
 
         Raises:
-            NetworkError: the address cannot be listened on.
+            NetworkError: the server cannot listen at the address.
         """
         self.scheduler = scheduler
         self.network = network
@@ -56,20 +56,20 @@
         self.address = network.listen(address, self.accept)
 
     def accept(self, connection: Connection) -> None:
-        """Start to serve an accepted connection."""
+        """Start the task of an accepted connection."""
         self.connections[connection] = self.scheduler.create_task(
             self.serve(connection), name=f"rpc from {connection.peer}"
         )
 
     def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and close all connections."""
         self.network.stop_listening(self.address)
         for connection, task in list(self.connections.items()):
             task.cancel()
             connection.close()
 
     async def serve(self, connection: Connection) -> None:
-        """Read frames of one connection until it ends or sends a malformed one."""
+        """Read calls from one connection until it ends or the peer sends a malformed frame."""
         decoder = HandshakeFrameDecoder()
         connection.write(HANDSHAKE)
         try:
@@ -78,21 +78,21 @@
                 if not data:
                     return
                 for message in decoder.feed(data):
-                    number = message.pop(CALL_NUMBER, None)
-                    if not isinstance(number, int):
+                    call_number = message.pop(CALL_NUMBER, None)
+                    if not isinstance(call_number, int):
                         raise MissingCallNumberError
-                    self.handler(message, self.reply_to(connection, number))
+                    self.handler(message, self.reply_to(connection, call_number))
         except FrameError as error:
             self.log.write(FRAME_REJECTED, peer=connection.peer, fault=str(error))
         finally:
             self.connections.pop(connection, None)
             connection.close()
 
-    def reply_to(self, connection: Connection, number: int) -> Reply:
-        """Return the function that sends the response to the call with this number."""
+    def reply_to(self, connection: Connection, call_number: int) -> Reply:
+        """Return a function that sends the response to a call."""
 
         def reply(message: Message) -> None:
             if not connection.closed:
-                connection.write(encode_frame({**message, RESPONSE_NUMBER: number}))
+                connection.write(encode_frame({**message, RESPONSE_NUMBER: call_number}))
 
         return reply
