--- a/packages/cache/ryelock/cache/__init__.py
+++ b/packages/cache/ryelock/cache/__init__.py
@@ -1,8 +1,8 @@
-"""A shared HTTP cache by RFC 9111, as far as a route allows.
+"""A shared HTTP cache according to RFC 9111, configured per route.
 
-`storing` says what may be stored, `freshness` for how long a stored response may be used,
-`serving` what it answers; `store` holds stored responses, the fetches that are under way, and what
-purges do to both.
+`storing` decides which responses are stored, `freshness` how long a stored response may be reused,
+and `serving` builds responses to requests from it. `store` holds the stored responses and the
+fetches in progress, and applies purges to both.
 """
 
 from ryelock.cache.freshness import freshen, may_reuse
--- a/packages/cache/ryelock/cache/cache_control.py
+++ b/packages/cache/ryelock/cache/cache_control.py
@@ -1,12 +1,12 @@
-"""Cache-Control and Age as numbers and directives (RFC 9111, sections 5.1 and 5.2)."""
+"""Parsing of Cache-Control and Age (RFC 9111, sections 5.1 and 5.2)."""
 
 from ryelock.http import Fields, field, tokens
 
-SECONDS_DIGITS_MOST = 11
+MAX_DELTA_SECONDS_DIGITS = 11
 
 
 def directives(fields: Fields) -> dict[str, str]:
-    """Parse Cache-Control into directives; the first of two with one name counts."""
+    """Parse Cache-Control into a map of directives; the first of equal names applies."""
     found: dict[str, str] = {}
     for part in tokens(fields, b"cache-control"):
         name, _, value = part.decode("latin-1").partition("=")
@@ -15,15 +15,15 @@
 
 
 def directive_seconds(found: dict[str, str], name: str) -> float | None:
-    """Return a directive's seconds: None where absent, 0 where malformed."""
+    """Return the value of a directive in seconds; None if absent, 0 if malformed."""
     value = found.get(name)
     if value is None:
         return None
-    is_number = value.isdigit() and len(value) <= SECONDS_DIGITS_MOST
+    is_number = value.isdigit() and len(value) <= MAX_DELTA_SECONDS_DIGITS
     return float(value) if is_number else 0.0
 
 
-def age_field(fields: Fields) -> float:
-    """Return the seconds of the Age field, 0 where it is absent or malformed."""
+def age_seconds(fields: Fields) -> float:
+    """Return the value of the Age field in seconds; 0 if absent or malformed."""
     value = field(fields, b"age")
     return float(value) if value is not None and value.isdigit() else 0.0
--- a/packages/cache/ryelock/cache/store.py
+++ b/packages/cache/ryelock/cache/store.py
@@ -1,8 +1,8 @@
-"""Stored responses within bounded memory, one fill a key, and purges that no fill outlives.
+"""The memory-bounded store of responses, with collapsed fetches and purges.
 
-A fill is one fetch on behalf of all that wait for a key. A purge that matches invalidates the fills
-under way: what they bring is not stored and answers nobody who came to wait for it, and later
-requests begin a fill of their own.
+A fill is one fetch for all requests that wait for the same key. A matching purge invalidates the
+fills in progress: their responses are neither stored nor served to the waiting requests, and later
+requests begin a new fill.
 """
 
 from cachetools import LRUCache
@@ -15,51 +15,51 @@
 
 CacheKey = tuple[str, str, str]
 """Route, host and target."""
-VARIANTS_MOST = 16
-"""Most variants of one key."""
+MAX_VARIANTS_PER_KEY = 16
 
 
 class Fill:
-    """A fetch on behalf of all that wait for one key.
+    """A fetch for all requests that wait for one key.
 
     Attributes:
-        key: the key.
-        invalidated: whether a purge came since it began, so that what it brings is not stored.
-        waiting: one queue for each request that waits.
+        key: the cache key.
+        invalidated: True if a purge or a change of the route since the start of the fill forbids
+            storing its response.
+        waiting: the result queue of each waiting request.
     """
 
     __slots__ = ("invalidated", "key", "waiting")
 
     def __init__(self, key: CacheKey) -> None:
-        """Create a fill of one key that nobody waits for yet."""
+        """Create a fill of one key without waiting requests."""
         self.key = key
         self.invalidated = False
         self.waiting: list[Queue[StoredResponse | None]] = []
 
     def end(self, response: StoredResponse | None) -> None:
-        """Wake everyone who waits; None means that there is no response to serve."""
-        for result in self.waiting:
-            result.put(response)
+        """Pass the response to the waiting requests; None if there is none to serve."""
+        for results in self.waiting:
+            results.put(response)
         self.waiting = []
 
 
 class Variants:
-    """All stored responses of one key, by what they vary on (RFC 9111, 4.1)."""
+    """The stored responses of one key, selected by their Vary fields (RFC 9111, 4.1)."""
 
     __slots__ = ("responses",)
 
     def __init__(self) -> None:
-        """Create a set without responses."""
+        """Create an empty set of variants."""
         self.responses: list[StoredResponse] = []
 
     @property
     def size(self) -> int:
-        """Bytes that all responses count for."""
+        """Return the size in bytes that all responses account for."""
         return sum(response.size for response in self.responses)
 
 
 def size_of(variants: Variants) -> int:
-    """Return the size of a set of variants, as the LRU cache asks for it."""
+    """Return the size of a set of variants; the LRU cache's `getsizeof`."""
     return variants.size
 
 
@@ -67,12 +67,13 @@
     """The cache of one edge.
 
     Attributes:
-        max_bytes: most bytes of stored responses.
-        label_field: name of the response field that holds an object's labels, empty for none.
-        variants: stored responses by key, the least recently used first to go.
-        fills: fetches under way by key.
-        last_purge: number of the newest purge that was applied.
-        recent_purges: the purges that are still known, for fills that began before them.
+        max_bytes: capacity in bytes.
+        label_field: name of the response field with an object's labels, in lower case; empty if
+            labels are not used.
+        variants: stored responses by key; the least recently used key is evicted first.
+        fills: fills in progress by key.
+        last_purge: number of the newest applied purge.
+        recent_purges: the latest purges, to check the responses of fills that began before them.
     """
 
     __slots__ = ("fills", "label_field", "last_purge", "max_bytes", "recent_purges", "variants")
@@ -105,7 +106,7 @@
         return fill
 
     def end_fill(self, fill: Fill, response: StoredResponse | None) -> None:
-        """Store what a fill brought, unless a purge came in between, and wake who waits."""
+        """Store the response of a fill and pass it to the waiting requests, unless invalidated."""
         if self.fills.get(fill.key) is fill:
             del self.fills[fill.key]
         if fill.invalidated:
@@ -115,12 +116,12 @@
         fill.end(response)
 
     def add(self, key: CacheKey, response: StoredResponse) -> None:
-        """Add a response beside the other variants of its key, replacing an equal variant."""
-        before = self.variants.pop(key, None)
+        """Add a response to the variants of its key, replacing one with the same `vary`."""
+        previous = self.variants.pop(key, None)
         variants = Variants()
-        if before is not None:
-            others = [other for other in before.responses if other.vary != response.vary]
-            variants.responses = others[-VARIANTS_MOST + 1 :]
+        if previous is not None:
+            others = [other for other in previous.responses if other.vary != response.vary]
+            variants.responses = others[-MAX_VARIANTS_PER_KEY + 1 :]
         variants.responses.append(response)
         if variants.size <= self.max_bytes:
             self.variants[key] = variants
@@ -130,7 +131,7 @@
         self.variants.pop(key, None)
 
     def invalidate_routes(self, routes: set[str]) -> None:
-        """Remove what is stored of routes; fills under way answer who waits and are not stored."""
+        """Remove the responses of routes; fills in progress are neither stored nor shared."""
         for key in [key for key in self.variants if key[0] in routes]:
             self.remove(key)
         for key, fill in self.fills.items():
@@ -141,41 +142,41 @@
         """Apply all purges that were not applied yet, in one pass.
 
         Args:
-            purges: the purges that are still known, in the order of their numbers.
-            newest: number of the newest purge. Where a purge up to it is known no more, all is
-                removed: nobody can say what it named.
+            purges: the latest purges, ordered by number.
+            newest: number of the newest purge. If an unapplied purge is missing from `purges`, all
+                responses are removed, as its scope is unknown.
 
         Returns:
-            How many keys were removed.
+            The number of removed keys.
         """
         if newest <= self.last_purge:
             return 0
-        fresh = [purge for purge in purges if purge.number > self.last_purge]
-        missed = newest - self.last_purge > len(fresh)
+        unapplied = [purge for purge in purges if purge.number > self.last_purge]
+        is_incomplete = newest - self.last_purge > len(unapplied)
         self.last_purge = newest
         self.recent_purges = purges
         purged = [
             key
             for key, variants in self.variants.items()
-            if missed or self.any_names(fresh, key, variants.responses)
+            if is_incomplete or self.any_matches(unapplied, key, variants.responses)
         ]
         for key in purged:
             del self.variants[key]
         for key, fill in list(self.fills.items()):
-            if missed or any(names_key(purge, key) for purge in fresh):
+            if is_incomplete or any(matches_key(purge, key) for purge in unapplied):
                 fill.invalidated = True
                 del self.fills[key]
                 fill.end(None)
         return len(purged)
 
-    def any_names(
+    def any_matches(
         self, purges: list[Purge], key: CacheKey, responses: list[StoredResponse]
     ) -> bool:
-        """Whether one of the purges names a key, or a label of one of its responses."""
-        return any(names_key(purge, key) or self.has_label(purge, responses) for purge in purges)
+        """Return True if a purge matches the key or a label of one of its responses."""
+        return any(matches_key(purge, key) or self.has_label(purge, responses) for purge in purges)
 
     def has_label(self, purge: Purge, responses: list[StoredResponse]) -> bool:
-        """Whether one of the responses has the label of a purge."""
+        """Return True if one of the responses has the label of a purge."""
         return (
             purge.kind is PurgeKind.LABEL
             and self.label_field != b""
@@ -186,16 +187,16 @@
         )
 
     def is_purged_since(self, before: int, key: CacheKey, response: StoredResponse) -> bool:
-        """Whether a purge later than number `before` names what a fill brought."""
+        """Return True if a purge after number `before` matches a response, or may match it."""
         if self.last_purge == before:
             return False
-        fresh = [purge for purge in self.recent_purges if purge.number > before]
-        missed = self.last_purge - before > len(fresh)
-        return missed or self.any_names(fresh, key, [response])
+        later = [purge for purge in self.recent_purges if purge.number > before]
+        is_incomplete = self.last_purge - before > len(later)
+        return is_incomplete or self.any_matches(later, key, [response])
 
 
-def names_key(purge: Purge, key: CacheKey) -> bool:
-    """Tell whether a purge names a key by route, prefix or path; labels are matched elsewhere."""
+def matches_key(purge: Purge, key: CacheKey) -> bool:
+    """Return True if a purge by route, prefix or path matches a key; labels never do."""
     route, host, target = key
     if purge.kind is PurgeKind.LABEL:
         return False
--- a/packages/cache/ryelock/cache/stored_response.py
+++ b/packages/cache/ryelock/cache/stored_response.py
@@ -1,27 +1,27 @@
-"""One stored response."""
+"""A response in the cache."""
 
 from ryelock.cache.cache_control import directives
 from ryelock.http import Fields, ResponseHead, field
 
-OBJECT_OVERHEAD_BYTES = 500
-"""What a stored response counts for beside its body and fields."""
+RESPONSE_OVERHEAD_BYTES = 500
+"""Size accounted for a stored response in addition to its body and fields."""
 
 
 class StoredResponse:
-    """A response that may answer further requests.
+    """A response stored for reuse.
 
     Attributes:
-        status: its status.
-        reason: its reason phrase.
-        fields: header fields to send, without Age.
-        body: the whole body.
+        status: the status code.
+        reason: the reason phrase.
+        fields: the fields to send, without Age.
+        body: the complete body.
         stored_at: monotonic time in seconds at which the response was complete.
-        initial_age: its age in seconds at that moment.
-        lifetime: freshness lifetime by the server in seconds, None where it gave none.
-        vary: request fields that selected this response, with their values.
-        etag: its entity tag, if it has one.
-        last_modified: its Last-Modified field, if it has one.
-        needs_validation: whether no-cache demands a validation for each use.
+        initial_age: the age in seconds at `stored_at`.
+        lifetime: the server's freshness lifetime in seconds; None if it gave none.
+        vary: the request fields listed by Vary, with their values.
+        etag: the entity tag, or None.
+        last_modified: the value of Last-Modified, or None.
+        needs_validation: True if no-cache requires validation before each use.
     """
 
     __slots__ = (
@@ -48,7 +48,7 @@
         lifetime: float | None,
         vary: tuple[tuple[bytes, bytes], ...],
     ) -> None:
-        """Store a response; see the attributes."""
+        """Create a stored response; see the attributes."""
         self.status = head.status
         self.reason = head.reason
         self.fields = fields
@@ -67,6 +67,6 @@
 
     @property
     def size(self) -> int:
-        """Bytes that the response counts for in the cache."""
+        """Return the size in bytes that the response accounts for in the cache."""
         field_bytes = sum(len(name) + len(value) for name, value in self.fields)
-        return len(self.body) + field_bytes + OBJECT_OVERHEAD_BYTES
+        return len(self.body) + field_bytes + RESPONSE_OVERHEAD_BYTES
