--- a/packages/rpc/ryelock/rpc/client.py
+++ b/packages/rpc/ryelock/rpc/client.py
@@ -35,7 +35,7 @@
         "log",
         "network",
         "pending_calls",
-        "reader_task",
+        "reader",
         "received_chunks",
         "scheduler",
     )
@@ -47,7 +47,7 @@
         self.log = log
         self.address = address
         self.connection: Connection | None = None
-        self.reader_task: Task | None = None
+        self.reader: Task | None = None
         self.last_call_number = 0
         self.received_chunks = 0
         self.pending_calls: dict[int, ResponseQueue] = {}
@@ -84,7 +84,7 @@
             connection = self.network.connect(self.address)
             self.connection = connection
             connection.write(HANDSHAKE)
-            self.reader_task = self.scheduler.create_task(
+            self.reader = self.scheduler.create_task(
                 self.read_responses(connection), name=f"rpc to {self.address}", urgent=True
             )
         return connection
