--- a/packages/rpc/ryelock/rpc/codec.py
+++ b/packages/rpc/ryelock/rpc/codec.py
@@ -15,7 +15,7 @@
 
 from ryelock.rpc.errors import MalformedMessageError
 
-T = TypeVar("T")
+Decoded = TypeVar("Decoded")
 Natural = NewType("Natural", int)
 """A non-negative integer: a term, an index, a size."""
 
@@ -44,10 +44,10 @@
     container: type
 
 
-def exact_type(expected: type[T]) -> Callable[[object, object], T]:
+def exact_type(expected: type[Decoded]) -> Callable[[object, object], Decoded]:
     """Return a structure hook that accepts only this type, without subclasses such as bool."""
 
-    def check(value: object, _: object) -> T:
+    def check(value: object, _: object) -> Decoded:
         if type(value) is not expected:
             raise TypeError(f"not of type {expected.__name__}")
         return value
@@ -120,7 +120,7 @@
 CONVERTER = new_converter()
 
 
-def decode(message_type: type[T], data: object) -> T:
+def decode(message_type: type[Decoded], data: object) -> Decoded:
     """Return a message from the map in a frame.
 
     Raises:
