--- a/tests/cache/test_cache.py
+++ b/tests/cache/test_cache.py
@@ -1,4 +1,4 @@
-"""A shared cache by RFC 9111: what is stored, for how long, what it answers, and purges."""
+"""The shared cache of RFC 9111: storing, freshness, served responses, and purges."""
 
 import testtools
 from clocks import SteppedClock, raise_fault
@@ -32,7 +32,7 @@
 
 
 class ResponseTests(testtools.TestCase):
-    def test_what_is_not_stored(self) -> None:
+    def test_responses_that_must_not_be_stored(self) -> None:
         control = b"Cache-Control"
         for fields in (
             [(control, b"no-store")],
@@ -52,7 +52,7 @@
         self.assertIsNone(stored(status=206))
 
     def test_lifetime_is_the_lesser_of_server_and_route(self) -> None:
-        for fields, lasts in (
+        for fields, lifetime in (
             ([], 10),
             ([(b"Cache-Control", b"max-age=4")], 4),
             ([(b"Cache-Control", b"max-age=99, s-maxage=3")], 3),
@@ -68,27 +68,27 @@
         ):
             response = stored(*fields)
             assert response is not None
-            self.assertTrue(may_reuse(response, CACHED, [], 100.0 + lasts - 0.1), repr(fields))
-            self.assertFalse(may_reuse(response, CACHED, [], 100.0 + lasts + 0.1), repr(fields))
+            self.assertTrue(may_reuse(response, CACHED, [], 100.0 + lifetime - 0.1), repr(fields))
+            self.assertFalse(may_reuse(response, CACHED, [], 100.0 + lifetime + 0.1), repr(fields))
 
     def test_cache_control_of_a_request_is_obeyed(self) -> None:
         response = stored((b"ETag", b'"1"'))
         assert response is not None
-        for asked, usable in (
+        for directive, usable in (
             (b"no-cache", False),
             (b"max-age=0", False),
             (b"max-age=5", True),
             (b"min-fresh=20", False),
             (b"max-stale=50", True),
         ):
-            fields = [(b"Cache-Control", asked)]
-            self.assertEqual(usable, may_reuse(response, CACHED, fields, 101.0), repr(asked))
+            fields = [(b"Cache-Control", directive)]
+            self.assertEqual(usable, may_reuse(response, CACHED, fields, 101.0), repr(directive))
         self.assertFalse(may_reuse(response, CACHED, [(b"Cache-Control", b"max-stale=50")], 120.0))
 
     def test_ranges_and_conditions(self) -> None:
         response = stored((b"ETag", b'"1"'), (b"Date", b"Tue, 01 Dec 2026 00:00:00 GMT"))
         assert response is not None
-        for asked, status, body in (
+        for request_field, status, body in (
             ((b"Range", b"bytes=0-3"), 206, b"0123"),
             ((b"Range", b"bytes=-2"), 206, b"89"),
             ((b"Range", b"bytes=7-99"), 206, b"789"),
@@ -98,13 +98,13 @@
             ((b"If-None-Match", b'"0", W/"1"'), 304, b""),
             ((b"If-None-Match", b'"2"'), 200, b"0123456789"),
         ):
-            found = answer_from(response, request(asked), 103.0)
-            self.assertEqual((status, body), (found[0], found[3]), repr(asked))
+            served = answer_from(response, request(request_field), 103.0)
+            self.assertEqual((status, body), (served[0], served[3]), repr(request_field))
         fields = dict(answer_from(response, request(), 103.6)[2])
         self.assertEqual(b"3", fields[b"Age"])
         self.assertEqual(b"Tue, 01 Dec 2026 00:00:00 GMT", fields[b"Date"])
 
-    def test_304_brings_newer_fields_and_a_new_lifetime(self) -> None:
+    def test_304_updates_fields_and_lifetime(self) -> None:
         before = stored((b"ETag", b'"1"'), (b"Cache-Control", b"max-age=4"), (b"X-Kept", b"a"))
         assert before is not None
         head = ResponseHead(304, b"", 1, [(b"Cache-Control", b"max-age=2"), (b"Age", b"1")])
@@ -126,11 +126,11 @@
         self.waiting: Queue[StoredResponse | None] = Queue(Scheduler(SteppedClock(), raise_fault))
 
     def response(self, *fields: tuple[bytes, bytes]) -> StoredResponse:
-        found = stored(*fields)
-        assert found is not None
-        return found
+        response = stored(*fields)
+        assert response is not None
+        return response
 
-    def test_a_purge_removes_what_it_names(self) -> None:
+    def test_a_purge_removes_matching_responses(self) -> None:
         for number, (kind, host, text, removed) in enumerate(
             (
                 (PurgeKind.ROUTE, "", "covers", 1),
@@ -147,12 +147,12 @@
             purge = Purge(number, kind, host, text)
             self.assertEqual(removed, self.store.apply_purges([purge], number), repr(purge))
 
-    def test_a_purge_that_is_known_no_more_removes_everything(self) -> None:
+    def test_a_missing_purge_removes_everything(self) -> None:
         self.store.add(KEY, self.response())
         purge = Purge(3, PurgeKind.PATH, "", "/elsewhere")
         self.assertEqual(1, self.store.apply_purges([purge], 3))
 
-    def test_a_fill_that_a_purge_names_brings_nothing_to_who_waits(self) -> None:
+    def test_a_purged_fill_is_not_served_to_waiting_requests(self) -> None:
         fill = self.store.begin_fill(KEY)
         fill.waiting.append(self.waiting)
         self.store.apply_purges([Purge(1, PurgeKind.ROUTE, "", "covers")], 1)
@@ -160,7 +160,7 @@
         self.assertEqual([None], list(self.waiting.items))
         self.assertIsNone(self.store.find(KEY, []))
 
-    def test_a_label_is_known_only_once_the_response_is_there(self) -> None:
+    def test_labels_are_matched_once_the_response_is_received(self) -> None:
         fill = self.store.begin_fill(KEY)
         self.store.apply_purges([Purge(1, PurgeKind.LABEL, "", "red")], 1)
         self.assertFalse(fill.invalidated)
@@ -168,7 +168,7 @@
         self.assertFalse(self.store.is_purged_since(0, KEY, self.response()))
         self.assertFalse(self.store.is_purged_since(1, KEY, self.response((b"Labels", b"red"))))
 
-    def test_routes_that_changed_are_removed_and_their_fills_not_stored(self) -> None:
+    def test_responses_and_fills_of_changed_routes_are_discarded(self) -> None:
         self.store.add(KEY, self.response())
         fill = self.store.begin_fill(KEY)
         fill.waiting.append(self.waiting)
@@ -176,7 +176,7 @@
         self.store.end_fill(fill, self.response())
         self.assertIsNone(self.store.find(KEY, []))
 
-    def test_variants_stand_beside_one_another(self) -> None:
+    def test_variants_of_one_key_are_stored_together(self) -> None:
         for language in (b"de", b"en"):
             asked = request((b"Accept-Language", language))
             response = stored((b"Vary", b"Accept-Language"), asked=asked)
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -1,4 +1,4 @@
-"""HTTP on both sides: bytes pass untouched, doubtful framing is declined, ends are proved."""
+"""HTTP client and server: bytes are preserved, ambiguous framing and truncation are rejected."""
 
 from typing import Any
 
@@ -69,13 +69,13 @@
 
             self.assertRaises(FramingError, framing)
 
-    def test_bytes_of_a_head_stay_as_they_are(self) -> None:
+    def test_heads_are_preserved_byte_for_byte(self) -> None:
         value = b'a\\n \\x41 \xff "quoted"'
         head = parse_request_head(b"PURGE /%7Ea//b?x=%0a&&y HTTP/1.1\r\nHost: a\r\nX-Odd: " + value)
         self.assertEqual((b"PURGE", b"/%7Ea//b?x=%0a&&y"), (head.method, head.target))
         self.assertEqual((b"X-Odd", value), head.fields[1])
-        answer = parse_response_head(b"HTTP/1.1 203 Non-Authoritative Information\r\nA: b")
-        self.assertEqual(b"Non-Authoritative Information", answer.reason)
+        response = parse_response_head(b"HTTP/1.1 203 Non-Authoritative Information\r\nA: b")
+        self.assertEqual(b"Non-Authoritative Information", response.reason)
 
     def test_hop_by_hop_fields_are_not_forwarded(self) -> None:
         fields = [
@@ -90,14 +90,14 @@
 
 
 class ServerTests(testtools.TestCase):
-    """A door in the simulator, spoken to in raw bytes."""
+    """A server in the simulator that receives raw bytes."""
 
     def setUp(self) -> None:
         super().setUp()
         self.world = World(1)
         self.server = self.world.add("server", "server", "10.0.0.1")
         self.client = self.world.add("client", "client", "10.0.0.2")
-        self.taken: list[tuple[bytes, bytes]] = []
+        self.handled: list[tuple[bytes, bytes]] = []
         self.listener = HttpServer(
             self.server.scheduler,
             self.server.network,
@@ -109,36 +109,38 @@
 
     async def serve(self, exchange: HttpExchange) -> None:
         body = await exchange.read_body()
-        self.taken.append((exchange.head.target, body))
+        self.handled.append((exchange.head.target, body))
         await exchange.respond(200, [], b"<" + body + b">")
 
-    def send(self, *pieces: bytes, seconds: float = 8.0) -> bytes:
-        async def work() -> bytes:
+    def send(self, *parts: bytes, seconds: float = 8.0) -> bytes:
+        """Send parts of requests one after the other; return all received bytes."""
+
+        async def exchange() -> bytes:
             connection = self.client.network.connect("10.0.0.1:80")
             await connection.wait_connected(1.0)
-            for piece in pieces:
-                connection.write(piece)
+            for part in parts:
+                connection.write(part)
                 await self.client.scheduler.sleep(0.05)
-            found = b""
-            until = self.client.scheduler.now() + seconds
+            received = b""
+            deadline = self.client.scheduler.now() + seconds
             while True:
-                data = await connection.receive(until - self.client.scheduler.now())
+                data = await connection.receive(deadline - self.client.scheduler.now())
                 if not data:
-                    return found
-                found += data
+                    return received
+                received += data
 
-        return self.world.task(self.client, work(), seconds + 5)
+        return self.world.task(self.client, exchange(), seconds + 5)
 
     def test_pipelined_requests_are_answered_in_turn(self) -> None:
         one = b"POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nab"
         two = CHUNKED.replace(b"/", b"/2", 1) + b"2\r\ncd\r\n0\r\n\r\n"
         three = b"GET /3 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-        whole = one + two + three
-        for cut in (len(whole), 1, 40, 60, 75, 140, 150):
-            self.taken.clear()
-            found = self.send(whole[:cut], whole[cut:])
-            self.assertEqual([(b"/1", b"ab"), (b"/2", b"cd"), (b"/3", b"")], self.taken)
-            self.assertEqual(3, found.count(b"HTTP/1.1 200"))
+        requests = one + two + three
+        for split in (len(requests), 1, 40, 60, 75, 140, 150):
+            self.handled.clear()
+            responses = self.send(requests[:split], requests[split:])
+            self.assertEqual([(b"/1", b"ab"), (b"/2", b"cd"), (b"/3", b"")], self.handled)
+            self.assertEqual(3, responses.count(b"HTTP/1.1 200"))
 
     def test_malformed_requests_are_answered_and_the_server_goes_on(self) -> None:
         for bad, status in (
@@ -149,30 +151,30 @@
             (b"GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n", b"417"),
             (b"\x16\x03\x01\x00\x00\x00\r\n\r\n", b"400"),
         ):
-            found = self.send(bad)
-            self.assertEqual(b"HTTP/1.1 " + status, found[:12], repr(bad))
-            self.assertIn(b"Connection: close", found)
-        self.assertEqual([], self.taken)
+            response = self.send(bad)
+            self.assertEqual(b"HTTP/1.1 " + status, response[:12], repr(bad))
+            self.assertIn(b"Connection: close", response)
+        self.assertEqual([], self.handled)
         self.assertIn(b"200", self.send(b"GET /x HTTP/1.0\r\n\r\n"))
 
     def test_a_request_cut_in_its_body_is_not_served(self) -> None:
         self.send(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc", seconds=0.5)
         self.world.run(10)
-        self.assertEqual([], self.taken)
+        self.assertEqual([], self.handled)
         self.assertEqual({}, self.listener.connections)
 
     def test_a_request_that_takes_too_long_gets_408(self) -> None:
-        found = self.send(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc")
-        self.assertEqual(b"HTTP/1.1 408", found[:12])
+        response = self.send(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc")
+        self.assertEqual(b"HTTP/1.1 408", response[:12])
         self.assertEqual(b"", self.send(b"", seconds=7.0))
 
     def test_an_expectation_gets_100_continue(self) -> None:
-        found = self.send(
+        response = self.send(
             b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
             b"Content-Length: 2\r\nConnection: close\r\n\r\n",
             b"ab",
         )
-        self.assertTrue(found.startswith(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200"))
+        self.assertTrue(response.startswith(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200"))
 
     def test_connections_above_the_limit_get_503_at_once(self) -> None:
         for _ in range(3):
@@ -181,7 +183,7 @@
         self.assertIn(b"503", self.send(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n", seconds=1.0))
 
     def test_a_response_without_a_provable_end_is_rejected(self) -> None:
-        for answer, whole in (
+        for response, body in (
             (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", b"abc"),
             (b"HTTP/1.1 200 OK\r\n\r\nabc", None),
             (b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", b"a"),
@@ -192,12 +194,12 @@
         ):
             connection = self.client.network.connect("10.0.0.1:80")
             reader = Reader(self.client.scheduler, connection)
-            reader.buffer += answer
+            reader.buffer += response
 
-            async def work(reader: Reader = reader) -> bytes | None:
-                found = await read_response(reader, b"GET", 1000, reader.scheduler.now() + 1)
-                if found.is_error():
+            async def read(reader: Reader = reader) -> bytes | None:
+                result = await read_response(reader, b"GET", 1000, reader.scheduler.now() + 1)
+                if result.is_error():
                     return None
-                return await found.ok.body.read_all(100, reader.scheduler.now() + 1)
+                return await result.ok.body.read_all(100, reader.scheduler.now() + 1)
 
-            self.assertEqual(whole, self.world.task(self.client, work(), 5), repr(answer))
+            self.assertEqual(body, self.world.task(self.client, read(), 5), repr(response))
--- a/tests/http/test_http_server_stop.py
+++ b/tests/http/test_http_server_stop.py
@@ -1,4 +1,4 @@
-"""A server that stops takes no request that it could not answer before its process ends."""
+"""A stopping server handles no request that it cannot answer before its process exits."""
 
 import testtools
 
@@ -19,7 +19,7 @@
         self.world.spikes = 0.0
         self.node = self.world.add("server", "server", "10.0.0.1")
         self.client = self.world.add("client", "client", "10.0.0.2")
-        self.taken: list[bytes] = []
+        self.handled: list[bytes] = []
         self.server = HttpServer(
             self.node.scheduler,
             self.node.network,
@@ -30,11 +30,11 @@
         )
 
     async def serve(self, exchange: HttpExchange) -> None:
-        self.taken.append(exchange.head.target)
-        if exchange.head.target == b"/waits":
+        self.handled.append(exchange.head.target)
+        if exchange.head.target == b"/retryable":
             exchange.may_refuse = True
             await self.node.scheduler.sleep(2 * STOP_SECONDS)
-        if exchange.head.target == b"/once":
+        if exchange.head.target == b"/not-retryable":
             await self.node.scheduler.sleep(2 * STOP_SECONDS)
         if exchange.head.target == b"/slow":
             await self.node.scheduler.sleep(SLOW_SECONDS)
@@ -46,7 +46,7 @@
         return connection
 
     def send(self, connection: Connection, target: bytes) -> None:
-        connection.write(b"GET " + target + b" HTTP/1.1\r\nHost: here\r\n\r\n")
+        connection.write(b"GET " + target + b" HTTP/1.1\r\nHost: a\r\n\r\n")
 
     def begin_stop(self) -> list[bool]:
         done: list[bool] = []
@@ -61,47 +61,48 @@
     def received(self, connection: Connection) -> bytes:
         return b"".join(connection.received.items)
 
-    def test_an_idle_connection_ends_though_another_request_is_open(self) -> None:
-        busy, idle = self.connection(), self.connection()
-        self.send(busy, b"/slow")
+    def test_an_idle_connection_is_closed_while_another_request_is_in_progress(self) -> None:
+        active, idle = self.connection(), self.connection()
+        self.send(active, b"/slow")
         self.world.run(0.1)
         done = self.begin_stop()
         self.world.run(IDLE_GRACE_SECONDS + 0.5)
         self.assertTrue(idle.closed)
         self.send(idle, b"/late")
         self.world.run(SLOW_SECONDS)
-        self.assertEqual([b"/slow"], self.taken)
-        self.assertIn(b"answer", self.received(busy))
+        self.assertEqual([b"/slow"], self.handled)
+        self.assertIn(b"answer", self.received(active))
         self.assertEqual([True], done)
 
     def test_a_request_on_its_way_is_still_answered(self) -> None:
-        busy, idle = self.connection(), self.connection()
-        self.send(busy, b"/slow")
+        active, idle = self.connection(), self.connection()
+        self.send(active, b"/slow")
         self.world.run(0.1)
         self.begin_stop()
         self.world.run(IDLE_GRACE_SECONDS / 2)
         self.send(idle, b"/soon")
         self.world.run(0.2)
-        self.assertEqual([b"/slow", b"/soon"], self.taken)
+        self.assertEqual([b"/slow", b"/soon"], self.handled)
         self.assertIn(b"Connection: close", self.received(idle))
         self.assertIn(b"answer", self.received(idle))
 
-    def test_an_idle_server_ends_after_the_grace(self) -> None:
+    def test_an_idle_server_stops_after_the_grace_period(self) -> None:
         idle = self.connection()
         done = self.begin_stop()
         self.world.run(IDLE_GRACE_SECONDS + 0.1)
         self.assertEqual([True], done)
         self.assertTrue(idle.closed)
 
-    def test_a_request_that_still_waits_is_refused_before_the_end(self) -> None:
-        waiting, once = self.connection(), self.connection()
-        self.send(waiting, b"/waits")
-        self.send(once, b"/once")
+    def test_a_waiting_retryable_request_is_rejected_before_the_deadline(self) -> None:
+        retryable, not_retryable = self.connection(), self.connection()
+        self.send(retryable, b"/retryable")
+        self.send(not_retryable, b"/not-retryable")
         self.world.run(0.2)
         self.begin_stop()
         self.world.run(STOP_SECONDS - 0.1)
-        self.assertIn(b"503 Service Unavailable", self.received(waiting))
-        self.assertIn(b"Retry-After", self.received(waiting))
-        self.assertIn(b"Connection: close", self.received(waiting))
-        self.assertTrue(waiting.closed)
-        self.assertEqual(b"", self.received(once), "nothing is promised of what may run once")
+        self.assertIn(b"503 Service Unavailable", self.received(retryable))
+        self.assertIn(b"Retry-After", self.received(retryable))
+        self.assertIn(b"Connection: close", self.received(retryable))
+        self.assertTrue(retryable.closed)
+        # A 503 would invite a retry of a request that may already have been executed.
+        self.assertEqual(b"", self.received(not_retryable))
--- a/tests/rpc/test_bad_input.py
+++ b/tests/rpc/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad frames, bad asks and a full disk: declined or said, the process lives on, nothing moves."""
+"""Malformed input, a full disk and a damaged journal are detected and do not crash the process."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 from ryelock.runtime import Connection
 from ryelock.testing.scenario import Scenario
 
-BAD_ASKS: tuple[dict[str, Any], ...] = (
+MALFORMED_CALLS: tuple[dict[str, Any], ...] = (
     {"kind": "renew"},
     {"kind": "renew", "session": 3, "vector": {}, "sequence": 1},
     {
@@ -78,27 +78,27 @@
         scenario.world.run(2)
         leader = scenario.leader()
         before = self.state(scenario, leader)
-        good = HANDSHAKE + b"".join(
-            encode_frame({**ask, "ask": number}) for number, ask in enumerate(BAD_ASKS)
+        malformed_calls = HANDSHAKE + b"".join(
+            encode_frame({**call, "ask": number}) for number, call in enumerate(MALFORMED_CALLS)
         )
-        wrong = encode_frame({"protocol": "ryelock", "version": 99})
+        unknown_version = encode_frame({"protocol": "ryelock", "version": 99})
         for payload in (
-            good,
-            wrong,
+            malformed_calls,
+            unknown_version,
             b"GET / HTTP/1.1\r\n\r\n",
             b"\xff" * 64,
             HANDSHAKE + encode_frame({"kind": "council.who"}),
             HANDSHAKE + b"\x00\x00\x00\x02" + cbor2.dumps([1]),
         ):
 
-            async def say(payload: bytes = payload) -> None:
+            async def send(payload: bytes = payload) -> None:
                 connection = scenario.operators.network.connect(f"{scenario.node(leader).host}:1")
                 await connection.wait_connected(1.0)
                 connection.write(payload)
                 await scenario.operators.scheduler.sleep(0.5)
                 connection.close()
 
-            scenario.world.task(scenario.operators, say(), 5)
+            scenario.world.task(scenario.operators, send(), 5)
         scenario.world.run(3)
         self.assertEqual(before, self.state(scenario, leader))
         self.assertEqual(5, self.events(scenario, leader).count(FRAME_REJECTED.number))
@@ -144,7 +144,7 @@
         self.assertEqual(200, found.status)
         self.assertEqual([], scenario.findings().violations)
 
-    def test_a_damaged_journal_makes_a_new_disk_that_learns(self) -> None:
+    def test_a_node_with_a_damaged_journal_rejoins_under_a_new_disk_id(self) -> None:
         scenario = Scenario(3)
         scenario.set_up()
         scenario.world.run(2)
@@ -175,7 +175,7 @@
         self.assertEqual(8, len(listing.servers))
         self.assertEqual([], scenario.world.faults)
 
-    def test_a_listing_that_flaps_revives_no_server_too_long(self) -> None:
+    def test_a_flapping_server_list_causes_no_violations(self) -> None:
         scenario = Scenario(5)
         scenario.set_up()
         scenario.start_callers(12, 4.0, 0)
@@ -187,42 +187,44 @@
         scenario.world.run(6)
         self.assertEqual([], scenario.findings().violations)
 
-    def speaks(self, scenario: Scenario, address: str, piece: bytes, pause: float) -> None:
-        """Something at an address that sends the same piece for ever, whatever it is asked."""
+    def listen_endless(self, scenario: Scenario, address: str, part: bytes, pause: float) -> None:
+        """Listen at an address; send each connection a response head that never ends."""
         node = scenario.platform_node
 
-        def greet(connection: Connection) -> None:
-            async def say() -> None:
+        def accept(connection: Connection) -> None:
+            async def send() -> None:
                 connection.write(b"HTTP/1.1 200 OK\r\nX: ")
                 while not connection.closed:
-                    connection.write(piece)
+                    connection.write(part)
                     await node.scheduler.sleep(pause)
 
-            node.scheduler.create_task(say(), name="speaks for ever")
+            node.scheduler.create_task(send(), name="endless response")
 
-        node.network.listen(address, greet)
+        node.network.listen(address, accept)
 
-    def test_a_server_with_an_endless_head_costs_nobody_his_answer(self) -> None:
+    def test_requests_succeed_despite_a_server_with_an_endless_head(self) -> None:
         scenario = Scenario(6)
         scenario.set_up()
-        self.speaks(scenario, "10.9.0.3:99", b"a" * 2000, 0.001)
+        self.listen_endless(scenario, "10.9.0.3:99", b"a" * 2000, 0.001)
         scenario.platform.show("pages", "10.9.0.3:99", "zone0", 1)
         scenario.start_callers(12, 4.0, 0)
         scenario.world.run(10)
-        pages = [
-            told for told in scenario.notes if told.target.startswith("/plain/") and told.ending
+        records = [
+            record
+            for record in scenario.notes
+            if record.target.startswith("/plain/") and record.ending
         ]
-        self.assertGreater(len(pages), 20)
-        self.assertGreater(sum(told.status == 200 for told in pages), 0.9 * len(pages))
+        self.assertGreater(len(records), 20)
+        self.assertGreater(sum(record.status == 200 for record in records), 0.9 * len(records))
         self.assertEqual([], scenario.findings().violations)
 
-    def test_a_platform_that_answers_byte_by_byte_is_given_up_on(self) -> None:
+    def test_a_platform_that_responds_byte_by_byte_times_out(self) -> None:
         scenario = Scenario(7)
         scenario.set_up()
         scenario.platform.listener.stop_accepting()
         for connection in list(scenario.platform.listener.connections):
             connection.abort()
-        self.speaks(scenario, scenario.platform.address, b"a", 0.2)
+        self.listen_endless(scenario, scenario.platform.address, b"a", 0.2)
         scenario.world.run(4)
         leader = scenario.leader()
         self.assertIn(SERVER_LIST_UNAVAILABLE.number, self.events(scenario, leader))
