--- a/packages/consensus/ryelock/consensus/applier.py
+++ b/packages/consensus/ryelock/consensus/applier.py
@@ -47,7 +47,7 @@
         if not log.append(entries) and not self.append_after_compaction(entries):
             return False
         before = self.state.voters
-        self.state.find_voters()
+        self.state.refresh_voters()
         if before != self.state.voters:
             self.state.log.write(VOTERS_CHANGED, voters=sorted(self.state.voters.values()))
         return True
@@ -81,7 +81,7 @@
             self.apply_entry(state.entry_at(state.applied_index + 1))
             if state.now() >= deadline:
                 break
-        self.note_settled()
+        self.record_leader_ready()
         self.notify_applied()
         if self.compaction.due(state.replicated_log.journal):
             self.write_snapshot()
@@ -91,20 +91,20 @@
         result: object = None
         if entry.kind in (EntryKind.COMMAND, EntryKind.INTERNAL):
             result = self.state_machine.apply(entry.index, entry.data)
-            entry.repeated = isinstance(result, dict) and result.get("again") is True
+            entry.is_duplicate = isinstance(result, dict) and result.get("again") is True
         self.state.applied_index = entry.index
         if entry.kind is EntryKind.COMMAND:
             self.state.applied_command_index = entry.index
         self.pending.resolve(entry, result)
 
-    def note_settled(self) -> None:
+    def record_leader_ready(self) -> None:
         """Note the moment at which a new leader has applied an entry of its own term."""
         state = self.state
-        if not state.leads or state.elected_at is None:
+        if not state.is_leader or state.elected_at is None:
             return
-        noted = state.settled_at is not None and state.settled_at >= state.elected_at
-        if not noted and state.settled:
-            state.settled_at = state.now()
+        noted = state.leader_ready_at is not None and state.leader_ready_at >= state.elected_at
+        if not noted and state.leader_ready:
+            state.leader_ready_at = state.now()
 
     def notify_applied(self) -> None:
         """Call all who wait for applied entries."""
@@ -137,7 +137,7 @@
             return False
         state.commit_index = state.applied_index = snapshot.index
         state.applied_command_index = snapshot.command_index
-        state.find_voters()
+        state.refresh_voters()
         self.state_machine.restore(snapshot.state)
         state.log.write(SNAPSHOT_INSTALLED, index=snapshot.index, source=source)
         self.notify_applied()
--- a/packages/consensus/ryelock/consensus/dispatcher.py
+++ b/packages/consensus/ryelock/consensus/dispatcher.py
@@ -59,9 +59,9 @@
         try:
             reply(encode(handler(decode(request_type, message))))
         except MalformedMessageError as error:
-            reply(self.answer_to_malformed(request_type, message, error))
+            reply(self.malformed_reply(request_type, message, error))
 
-    def answer_to_malformed(
+    def malformed_reply(
         self, request_type: type[Request], message: Message, error: MalformedMessageError
     ) -> Message:
         """Return what a malformed request is answered."""
--- a/packages/consensus/ryelock/consensus/election.py
+++ b/packages/consensus/ryelock/consensus/election.py
@@ -6,10 +6,10 @@
 
 from dataclasses import dataclass
 
-from ryelock.consensus.commands import CommandQueue, ElectionWon, HigherTermSeen
 from ryelock.consensus.election_timer import ElectionTimer
 from ryelock.consensus.entries import majority_of
 from ryelock.consensus.leadership import Leadership
+from ryelock.consensus.member_events import ElectionWon, EventQueue, HigherTermSeen
 from ryelock.consensus.messages import (
     Request,
     StatusRequest,
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ballot:
+class VoterResponse:
     """What one voter replied."""
 
     granted: bool
@@ -57,7 +57,7 @@
 
     __slots__ = (
         "campaign_number",
-        "commands",
+        "events",
         "leadership",
         "lease",
         "probed_at",
@@ -70,7 +70,7 @@
         self,
         state: MemberState,
         rpc: RpcClients,
-        commands: CommandQueue,
+        events: EventQueue,
         timer: ElectionTimer,
         lease: QuorumLease,
         leadership: Leadership,
@@ -78,7 +78,7 @@
         """Create the election part of a member."""
         self.state = state
         self.rpc = rpc
-        self.commands = commands
+        self.events = events
         self.timer = timer
         self.lease = lease
         self.leadership = leadership
@@ -110,7 +110,7 @@
         exception (section 3.10). The log must be at least as up-to-date as this one, so that a
         leader has all committed entries (Raft, section 5.4.1).
         """
-        if self.lease.in_force:
+        if self.lease.active:
             return False
         if self.state.knows_leader() and not request.transfer and request.term >= self.state.term:
             return False
@@ -153,7 +153,7 @@
         """Start a probe of the voters once the leader has been silent for a while."""
         now = self.state.now()
         timeout = self.state.settings.election_timeout
-        silence = seconds_since(now, self.state.leader_heard_at)
+        silence = seconds_since(now, self.state.last_leader_contact_at)
         since_probe = seconds_since(now, self.probed_at)
         if silence > PROBE_SILENCE_TIMEOUTS * timeout and since_probe > (
             PROBE_INTERVAL_TIMEOUTS * timeout
@@ -169,18 +169,18 @@
         """
         timeout = self.state.settings.election_timeout
         voters = dict(self.state.voters)
-        ballots: Queue[Ballot] = Queue(self.state.scheduler)
+        responses: Queue[VoterResponse] = Queue(self.state.scheduler)
         for disk, address in voters.items():
             if disk != self.state.disk:
-                request = self.request_ballot(
-                    address, StatusRequest(), PROBE_REPLY_TIMEOUTS * timeout, ballots
+                request = self.query_voter(
+                    address, StatusRequest(), PROBE_REPLY_TIMEOUTS * timeout, responses
                 )
                 self.state.scheduler.create_task(request, name="consensus reach")
         reached = 1
         for _ in range(len(voters) - 1):
-            ballot = await ballots.get(PROBE_WAIT_TIMEOUTS * timeout)
-            reached += ballot is not None and ballot.reached
-        self.lease.record_round(reached >= majority_of(len(voters)))
+            response = await responses.get(PROBE_WAIT_TIMEOUTS * timeout)
+            reached += response is not None and response.reached
+        self.lease.record_reachability(reached >= majority_of(len(voters)))
 
     def start_campaign(self, pre_vote: bool) -> None:
         """Start a campaign, which replaces one that is under way."""
@@ -193,7 +193,7 @@
         """Ask for votes, after a pre-vote unless the leader asked for this campaign."""
         if pre_vote and not await self.win_pre_vote(number):
             return
-        if self.state.leads:
+        if self.state.is_leader:
             return
         term = self.state.term + 1
         if not self.state.save_vote(term, self.state.disk):
@@ -203,8 +203,8 @@
         won, _ = await self.gather_votes(term, pre_vote=False, transfer=not pre_vote)
         if not self.is_candidate_of(term) or number != self.campaign_number:
             return
-        if won and not self.lease.in_force:
-            self.commands.put(ElectionWon(term))
+        if won and not self.lease.active:
+            self.events.put(ElectionWon(term))
         else:
             self.state.role = Role.FOLLOWER
 
@@ -215,28 +215,28 @@
     async def win_pre_vote(self, number: int) -> bool:
         """Whether a majority would vote for this member, and it may still campaign then."""
         won, reached = await self.gather_votes(self.state.term + 1, pre_vote=True, transfer=False)
-        if number != self.campaign_number or self.state.leads:
+        if number != self.campaign_number or self.state.is_leader:
             return False
-        self.lease.record_round(reached)
-        return won and not self.lease.in_force and not self.state.knows_leader()
+        self.lease.record_reachability(reached)
+        return won and not self.lease.active and not self.state.knows_leader()
 
     async def gather_votes(self, term: int, pre_vote: bool, transfer: bool) -> tuple[bool, bool]:
         """Return whether a majority granted its vote, and whether a majority replied at all."""
         voters = dict(self.state.voters)
         if not self.state.may_campaign:
             return False, False
-        ballots: Queue[Ballot] = Queue(self.state.scheduler)
+        responses: Queue[VoterResponse] = Queue(self.state.scheduler)
         timeout = self.state.settings.election_timeout * VOTE_TIMEOUTS
         for disk, address in voters.items():
             if disk != self.state.disk:
                 request = self.vote_request(disk, term, pre_vote, transfer)
                 self.state.scheduler.create_task(
-                    self.request_ballot(address, request, timeout, ballots), name="consensus vote"
+                    self.query_voter(address, request, timeout, responses), name="consensus vote"
                 )
-        return await self.count_ballots(voters, ballots, timeout)
+        return await self.count_responses(voters, responses, timeout)
 
-    async def count_ballots(
-        self, voters: dict[str, str], ballots: Queue[Ballot], timeout: float
+    async def count_responses(
+        self, voters: dict[str, str], responses: Queue[VoterResponse], timeout: float
     ) -> tuple[bool, bool]:
         """Count votes and replies until a majority has granted, all replied, or time is up."""
         own = int(self.state.disk in voters)
@@ -244,12 +244,12 @@
         needed = majority_of(len(voters))
         deadline = self.state.now() + timeout
         while granted < needed and counted < len(voters):
-            ballot = await ballots.get(max(0.0, deadline - self.state.now()))
-            if ballot is None:
+            response = await responses.get(max(0.0, deadline - self.state.now()))
+            if response is None:
                 break
             counted += 1
-            granted += ballot.granted
-            reached += ballot.reached
+            granted += response.granted
+            reached += response.reached
         return granted >= needed, reached >= needed
 
     def vote_request(self, disk: str, term: int, pre_vote: bool, transfer: bool) -> VoteRequest:
@@ -265,18 +265,18 @@
             last_term=Natural(last_term),
         )
 
-    async def request_ballot(
-        self, address: str, request: Request, timeout: float, ballots: Queue[Ballot]
+    async def query_voter(
+        self, address: str, request: Request, timeout: float, responses: Queue[VoterResponse]
     ) -> None:
         """Ask one voter, and put what it replies into a queue."""
         result = await self.rpc.call(address, request_to_wire(request), timeout)
         if result.is_error():
-            ballots.put(Ballot(granted=False, reached=False))
+            responses.put(VoterResponse(granted=False, reached=False))
             return
         try:
             reply = decode(VoteReply, result.ok)
         except MalformedMessageError:
             reply = VoteReply()
         if reply.term is not None and reply.term > self.state.term:
-            self.commands.put(HigherTermSeen(reply.term))
-        ballots.put(Ballot(granted=reply.granted, reached=not reply.other_disk))
+            self.events.put(HigherTermSeen(reply.term))
+        responses.put(VoterResponse(granted=reply.granted, reached=not reply.other_disk))
--- a/packages/consensus/ryelock/consensus/election_timer.py
+++ b/packages/consensus/ryelock/consensus/election_timer.py
@@ -24,7 +24,7 @@
         nobody leads, and a pre-vote disturbs nobody who does.
         """
         timeout = self.state.settings.election_timeout
-        if self.state.leader_heard_at is None:
+        if self.state.last_leader_contact_at is None:
             delay = timeout * (0.1 + 0.5 * self.random.random())
         else:
             delay = timeout * (1 + 0.7 * self.random.random())
--- a/packages/consensus/ryelock/consensus/entries.py
+++ b/packages/consensus/ryelock/consensus/entries.py
@@ -19,7 +19,7 @@
     """A command for the control nodes' state machines only."""
     VOTERS = "voters"
     """A change of voters."""
-    NOTHING = "nothing"
+    NO_OP = "nothing"
     """The first entry of a leader's term."""
 
 
@@ -37,12 +37,12 @@
     Attributes:
         kind: A member of `EntryKind`, so that `is` compares it; a kind that this version does not
             know stays as it came, and applying it does nothing.
-        repeated: Whether the state machine said that it had applied the command before. Such an
+        is_duplicate: Whether the state machine said that it had applied the command before. Such an
             entry is kept from replicas that lack the outcomes of old commands and would apply it a
             second time.
     """
 
-    __slots__ = ("data", "index", "kind", "repeated", "term")
+    __slots__ = ("data", "index", "is_duplicate", "kind", "term")
 
     def __init__(self, index: int, term: int, kind: str, data: bytes) -> None:
         """Create an entry that was not applied yet."""
@@ -50,7 +50,7 @@
         self.term = term
         self.kind = KINDS.get(kind, kind)
         self.data = data
-        self.repeated = False
+        self.is_duplicate = False
 
     def to_wire(self) -> list[object]:
         """Return the entry as messages and records carry it."""
@@ -66,7 +66,7 @@
             raise MalformedMessageError("entries: not an entry")
 
 
-def voters_from_data(data: bytes) -> Voters:
+def decode_voters(data: bytes) -> Voters:
     """Read the voters of an entry; raises MalformedMessageError."""
     try:
         found = cbor2.loads(data)
@@ -137,10 +137,10 @@
     return cbor2.dumps(["promise", noted])
 
 
-class Stored:
+class RecoveredState:
     """What a journal gave back, replayed: a later entry at an index replaces the tail."""
 
-    __slots__ = ("entries", "lease_noted", "snapshot", "term", "voted_for")
+    __slots__ = ("entries", "lease_may_be_active", "snapshot", "term", "voted_for")
 
     def __init__(self, snapshot: bytes | None, records: list[bytes]) -> None:
         """Replay the records behind a snapshot; raises ValueError on what is no record."""
@@ -150,7 +150,7 @@
         self.entries: list[Entry] = []
         self.term = self.snapshot.term
         self.voted_for = ""
-        self.lease_noted = False
+        self.lease_may_be_active = False
         for record in records:
             self.replay(cbor2.loads(record))
 
@@ -163,7 +163,7 @@
                 self.term = term
                 self.voted_for = voted_for
             case ["promise", bool(noted)]:
-                self.lease_noted = noted
+                self.lease_may_be_active = noted
             case _:
                 raise MalformedMessageError("unknown record")
 
--- a/packages/consensus/ryelock/consensus/followers.py
+++ b/packages/consensus/ryelock/consensus/followers.py
@@ -7,10 +7,10 @@
 from ryelock.consensus.transfer import OutgoingSnapshot
 from ryelock.runtime import Queue, Scheduler, Task
 
-BATCH_BYTES = 1_048_576
+MAX_BATCH_BYTES = 1_048_576
 """The most bytes of entries in one heartbeat; halved for a follower that is late, then grown."""
-BATCH_BYTES_LEAST = 16_384
-RELEASED_SECONDS = 3.0
+MIN_BATCH_BYTES = 16_384
+RELEASE_EXPIRY_SECONDS = 3.0
 """What a disk stored counts again so long after its process was released."""
 
 
@@ -36,9 +36,9 @@
         "last_stored_at",
         "match_index",
         "next_index",
+        "notifications",
         "outgoing",
         "task",
-        "wakeups",
     )
 
     def __init__(self, disk: str, address: str, next_index: int, scheduler: Scheduler) -> None:
@@ -47,30 +47,30 @@
         self.address = address
         self.next_index = next_index
         self.match_index = 0
-        self.batch_bytes = BATCH_BYTES
+        self.batch_bytes = MAX_BATCH_BYTES
         self.outgoing: OutgoingSnapshot | None = None
         self.last_contact_at: float | None = None
         self.last_stored_at: float | None = None
         self.disk_replaced = False
-        self.wakeups: Queue[bool] = Queue(scheduler)
+        self.notifications: Queue[bool] = Queue(scheduler)
         self.task: Task | None = None
 
-    def wake(self) -> None:
+    def notify(self) -> None:
         """Have the follower's task send its next request at once."""
-        self.wakeups.put(True)
+        self.notifications.put(True)
 
-    def contacted(self, sent_at: float) -> None:
+    def record_contact(self, sent_at: float) -> None:
         """Note that it answered, as a follower of this term, a request sent at that moment."""
         self.last_contact_at = later_of(self.last_contact_at, sent_at)
 
-    def stored(self, sent_at: float) -> None:
+    def record_stored(self, sent_at: float) -> None:
         """Note that it stored what a request carried; the next may be larger."""
         self.last_stored_at = later_of(self.last_stored_at, sent_at)
-        self.batch_bytes = min(BATCH_BYTES, self.batch_bytes + self.batch_bytes // 8)
+        self.batch_bytes = min(MAX_BATCH_BYTES, self.batch_bytes + self.batch_bytes // 8)
 
-    def timed_out(self) -> None:
+    def record_timeout(self) -> None:
         """Note that no answer came in time; a batch that is too large would never arrive."""
-        self.batch_bytes = max(BATCH_BYTES_LEAST, self.batch_bytes // 2)
+        self.batch_bytes = max(MIN_BATCH_BYTES, self.batch_bytes // 2)
 
     def begin_snapshot(self, snapshot: Snapshot) -> None:
         """Send a snapshot from here on, until it has arrived."""
@@ -110,10 +110,10 @@
         self.learners = {}
         self.released_at = {}
 
-    def wake_all(self) -> None:
+    def notify_all(self) -> None:
         """Have every follower's task send its next request at once."""
         for follower in self.by_disk.values():
-            follower.wake()
+            follower.notify()
 
     def drop(self, disk: str) -> None:
         """Send nothing more to a disk."""
@@ -153,20 +153,22 @@
     def majority_match_index(self) -> int | None:
         """Return the last index that a majority of the voters is known to hold (section 5.3)."""
         now = self.state.now()
-        released = {disk for disk, at in self.released_at.items() if now - at < RELEASED_SECONDS}
+        released = {
+            disk for disk, at in self.released_at.items() if now - at < RELEASE_EXPIRY_SECONDS
+        }
         matches = sorted(
             0 if disk in released else self.match_index_of(disk) for disk in self.state.voters
         )
         return matches[len(matches) - self.state.majority] if matches else None
 
-    def most_up_to_date(self, besides: Collection[str] = ()) -> str:
+    def most_up_to_date(self, excluding: Collection[str] = ()) -> str:
         """Return the voter with the longest log of those in contact; empty if there is none."""
         now = self.state.now()
         candidates = [
             (follower.match_index, disk)
             for disk, follower in self.by_disk.items()
             if disk in self.state.voters
-            and disk not in besides
+            and disk not in excluding
             and seconds_since(now, follower.last_contact_at) < self.state.settings.election_timeout
         ]
         return max(candidates)[1] if candidates else ""
--- a/packages/consensus/ryelock/consensus/isolation.py
+++ b/packages/consensus/ryelock/consensus/isolation.py
@@ -11,27 +11,27 @@
     """Writes one event when a member becomes isolated, and one when it hears a leader again.
 
     Attributes:
-        led_at: When this member last led, or started.
+        last_led_at: When this member last led, or started.
     """
 
-    __slots__ = ("isolated", "led_at", "state")
+    __slots__ = ("isolated", "last_led_at", "state")
 
     def __init__(self, state: MemberState) -> None:
         """Create the monitor of a member that starts now."""
         self.state = state
         self.isolated = False
-        self.led_at = state.now()
+        self.last_led_at = state.now()
 
-    def leading(self) -> None:
+    def record_leading(self) -> None:
         """Note that this member leads now."""
-        self.led_at = self.state.now()
+        self.last_led_at = self.state.now()
 
     def check(self) -> None:
         """Write an event where the member has become isolated or found its leader."""
         state = self.state
-        heard_at = self.led_at
-        if state.leader_heard_at is not None:
-            heard_at = max(heard_at, state.leader_heard_at)
+        heard_at = self.last_led_at
+        if state.last_leader_contact_at is not None:
+            heard_at = max(heard_at, state.last_leader_contact_at)
         limit = ISOLATED_TIMEOUTS * state.settings.election_timeout
         isolated = state.now() - heard_at > limit
         if isolated != self.isolated:
--- a/packages/consensus/ryelock/consensus/joining.py
+++ b/packages/consensus/ryelock/consensus/joining.py
@@ -4,10 +4,10 @@
 
 import cbor2
 
-from ryelock.consensus.commands import BootstrapCluster, CommandQueue
 from ryelock.consensus.election_timer import ElectionTimer
 from ryelock.consensus.entries import Entry, EntryKind, Voters
 from ryelock.consensus.followers import Followers
+from ryelock.consensus.member_events import BootstrapCluster, EventQueue
 from ryelock.consensus.messages import (
     JoinRequest,
     SeedReply,
@@ -32,13 +32,13 @@
 class Joining:
     """Finds the leader and joins it; bootstraps the cluster where all seeds are empty."""
 
-    __slots__ = ("commands", "followers", "replicator", "rpc", "seeds", "state", "timer")
+    __slots__ = ("events", "followers", "replicator", "rpc", "seeds", "state", "timer")
 
     def __init__(
         self,
         state: MemberState,
         rpc: RpcClients,
-        commands: CommandQueue,
+        events: EventQueue,
         timer: ElectionTimer,
         followers: Followers,
         replicator: Replicator,
@@ -47,7 +47,7 @@
         """Create the joining part of a member; `seeds` are addresses."""
         self.state = state
         self.rpc = rpc
-        self.commands = commands
+        self.events = events
         self.timer = timer
         self.followers = followers
         self.replicator = replicator
@@ -73,7 +73,7 @@
     def on_join(self, request: JoinRequest) -> StatusReply:
         """Replicate to another disk as a learner, where this member leads."""
         state = self.state
-        if state.leads and request.sender != state.disk:
+        if state.is_leader and request.sender != state.disk:
             self.followers.learners[request.sender] = (request.address, state.now())
             if request.sender not in self.followers.by_disk:
                 self.replicator.add_follower(request.sender, request.address)
@@ -89,22 +89,22 @@
         """
         while True:
             if self.state.disk not in self.state.voters or not self.state.knows_leader():
-                replies = await self.ask_members()
+                replies = await self.query_members()
                 if self.may_bootstrap_with(replies):
-                    self.commands.put(BootstrapCluster(self.founding_voters(replies)))
+                    self.events.put(BootstrapCluster(self.initial_voters(replies)))
                 else:
                     await self.join_leader(replies)
             jitter = JOIN_JITTER_SECONDS * self.timer.random.random()
             await self.state.scheduler.sleep(JOIN_INTERVAL_SECONDS + jitter)
 
-    async def ask_members(self) -> dict[str, SeedReply]:
+    async def query_members(self) -> dict[str, SeedReply]:
         """Return what the seeds and the known voters answer in time, by address."""
         state = self.state
         known = {*self.seeds, *state.voters.values(), state.leader_address}
         addresses = known - {"", state.address}
         found: Queue[tuple[str, SeedReply | None]] = Queue(state.scheduler)
         for address in sorted(addresses):
-            state.scheduler.create_task(self.ask_member(address, found), name="consensus who")
+            state.scheduler.create_task(self.query_member(address, found), name="consensus who")
         replies: dict[str, SeedReply] = {}
         if state.address in self.seeds:
             replies[state.address] = self.own_reply()
@@ -123,10 +123,10 @@
         own = self.on_status(StatusRequest())
         return SeedReply(sender=own.sender, empty=own.empty, leader_address=own.leader_address)
 
-    async def ask_member(self, address: str, found: Queue[tuple[str, SeedReply | None]]) -> None:
+    async def query_member(self, address: str, found: Queue[tuple[str, SeedReply | None]]) -> None:
         """Ask one address who is there, and put the reply (None: no use) into a queue."""
         result = await self.rpc.call(address, request_to_wire(StatusRequest()), STATUS_SECONDS)
-        found.put((address, read_seed_reply(result.ok) if result.is_ok() else None))
+        found.put((address, decode_seed_reply(result.ok) if result.is_ok() else None))
 
     def may_bootstrap_with(self, replies: dict[str, SeedReply]) -> bool:
         """Whether this and every other seed answered, and all that have a disk are empty.
@@ -138,13 +138,13 @@
         disks = {reply.sender for reply in with_disk}
         return (
             self.state.replicated_log.empty
-            and self.state.settings.may_found
+            and self.state.settings.may_bootstrap
             and self.state.address in self.seeds
             and all(reply.empty for reply in with_disk)
             and len(disks) == len(with_disk)
         )
 
-    def founding_voters(self, replies: dict[str, SeedReply]) -> Voters:
+    def initial_voters(self, replies: dict[str, SeedReply]) -> Voters:
         """Return all seeds that have a disk."""
         return {replies[seed].sender: seed for seed in self.seeds if replies[seed].sender}
 
@@ -164,13 +164,13 @@
         if not log.empty:
             return
         entry = Entry(1, 1, EntryKind.VOTERS, cbor2.dumps(dict(sorted(voters.items()))))
-        if log.begin(1, entry):
-            self.state.find_voters()
+        if log.bootstrap(1, entry):
+            self.state.refresh_voters()
             self.timer.reset()
             self.state.log.write(CLUSTER_BOOTSTRAPPED, voters=sorted(voters.values()))
 
 
-def read_seed_reply(message: object) -> SeedReply | None:
+def decode_seed_reply(message: object) -> SeedReply | None:
     """Return a member's reply, or None where it is no member's or malformed."""
     try:
         reply = decode(SeedReply, message)
--- a/packages/consensus/ryelock/consensus/leadership.py
+++ b/packages/consensus/ryelock/consensus/leadership.py
@@ -35,7 +35,7 @@
 
     def step_down(self, reason: str) -> None:
         """Become a follower without a leader; proposals that wait fail, as uncertain."""
-        if not self.state.leads:
+        if not self.state.is_leader:
             return
         self.state.role = Role.FOLLOWER
         self.state.leader = ""
--- a/packages/consensus/ryelock/consensus/leadership_transfer.py
+++ b/packages/consensus/ryelock/consensus/leadership_transfer.py
@@ -55,7 +55,7 @@
     async def transfer_to(self, successor: str) -> bool:
         """Have a voter elected that holds the whole log; True once this member leads no more."""
         follower = self.followers.by_disk.get(successor)
-        if not self.state.leads or follower is None or successor not in self.state.voters:
+        if not self.state.is_leader or follower is None or successor not in self.state.voters:
             return False
         deadline = self.state.now() + CATCH_UP_SECONDS
         while follower.match_index < self.state.last_index and self.state.now() < deadline:
@@ -63,9 +63,9 @@
         if not await self.accepts(follower.address):
             return False
         deadline += ELECTION_SECONDS
-        while self.state.leads and self.state.now() < deadline:
+        while self.state.is_leader and self.state.now() < deadline:
             await self.state.scheduler.sleep(POLL_SECONDS)
-        return not self.state.leads
+        return not self.state.is_leader
 
     async def accepts(self, address: str) -> bool:
         """Ask the successor to campaign, and return whether it does."""
--- a/packages/consensus/ryelock/consensus/log.py
+++ b/packages/consensus/ryelock/consensus/log.py
@@ -11,22 +11,22 @@
 from ryelock.consensus.entries import (
     Entry,
     EntryKind,
+    RecoveredState,
     Snapshot,
-    Stored,
     Voters,
+    decode_voters,
     entry_record,
     promise_record,
     vote_record,
-    voters_from_data,
 )
 from ryelock.journal import Journal
 
-RETAINED_BYTES = 1_048_576
-"""The most bytes of entries kept in memory behind the snapshot that replaced them."""
+MAX_RETAINED_BYTES = 1_048_576
+"""The most bytes of entries remaining in memory behind the snapshot that replaced them."""
 VOTERS, COMMAND = EntryKind.VOTERS, EntryKind.COMMAND
 """Looked up once: the loops over all entries below are on the replication path."""
 ENTRY_OVERHEAD_BYTES = 32
-"""What an entry counts besides its data."""
+"""What an entry counts excluding its data."""
 
 
 def term_of(entry: Entry) -> int:
@@ -34,12 +34,12 @@
     return entry.term
 
 
-def last_of(entries: list[Entry], bytes_most: int) -> list[Entry]:
+def newest_entries(entries: list[Entry], max_bytes: int) -> list[Entry]:
     """Return the last entries that come to so many bytes at most."""
     size = 0
     for position in range(len(entries) - 1, -1, -1):
         size += len(entries[position].data) + ENTRY_OVERHEAD_BYTES
-        if size > bytes_most:
+        if size > max_bytes:
             return entries[position + 1 :]
     return entries
 
@@ -50,10 +50,10 @@
     Attributes:
         term: The current term.
         voted_for: The disk that got this member's vote in it; empty where none did.
-        lease_noted: Whether a lease that this voter granted may be in force.
+        lease_may_be_active: Whether a lease that this voter granted may be in force.
         snapshot: What replaced the entries up to its index.
         entries: The entries behind the snapshot.
-        retained: The last entries that the snapshot replaced, kept in memory for replicas that
+        retained: The last entries that the snapshot replaced, remaining in memory for replicas that
             are only a little behind; they end at the snapshot's index and go with a restart.
         restored: Whether the disk held anything when it was opened.
     """
@@ -61,18 +61,18 @@
     __slots__ = (
         "entries",
         "journal",
-        "lease_noted",
+        "lease_may_be_active",
+        "max_retained_bytes",
         "restored",
         "retained",
-        "retained_most",
         "snapshot",
         "term",
         "voted_for",
     )
 
-    def __init__(self, journal: Journal, retained_most: int = RETAINED_BYTES) -> None:
+    def __init__(self, journal: Journal, max_retained_bytes: int = MAX_RETAINED_BYTES) -> None:
         """Take over what an opened journal gave back; raises ValueError on what is no record."""
-        stored = Stored(journal.snapshot, journal.records)
+        stored = RecoveredState(journal.snapshot, journal.records)
         self.journal = journal
         self.restored = journal.snapshot is not None or bool(journal.records)
         journal.snapshot = None
@@ -80,10 +80,10 @@
         self.snapshot = stored.snapshot
         self.entries = stored.entries
         self.retained: list[Entry] = []
-        self.retained_most = retained_most
+        self.max_retained_bytes = max_retained_bytes
         self.term = stored.term
         self.voted_for = stored.voted_for
-        self.lease_noted = stored.lease_noted
+        self.lease_may_be_active = stored.lease_may_be_active
 
     # Reading.
 
@@ -109,19 +109,19 @@
         return self.entries[position] if position >= 0 else self.retained[position]
 
     @property
-    def retained_from(self) -> int:
+    def first_retained_index(self) -> int:
         """The first index that is retained; the one behind the snapshot where none is."""
         return self.snapshot.index + 1 - len(self.retained)
 
-    def reaches_back(self, index: int) -> bool:
+    def has_term_at(self, index: int) -> bool:
         """Whether the entry at an index is known, or is the last that the snapshot replaced."""
-        return index >= min(self.retained_from, self.snapshot.index)
+        return index >= min(self.first_retained_index, self.snapshot.index)
 
     def entries_from(self, index: int) -> list[Entry]:
         """Return all entries from an index on; the index lies behind the snapshot."""
         return self.entries[index - self.snapshot.index - 1 :]
 
-    def holds(self, index: int, term: int) -> bool:
+    def contains(self, index: int, term: int) -> bool:
         """Whether the log has an entry of that term at that index, or its snapshot ends there."""
         return self.snapshot.index <= index <= self.last_index and self.term_at(index) == term
 
@@ -138,7 +138,7 @@
         """Return the voters as the entries up to an index name them, committed or not."""
         for entry in reversed(self.entries[: index - self.snapshot.index]):
             if entry.kind is VOTERS:
-                return voters_from_data(entry.data)
+                return decode_voters(entry.data)
         return self.snapshot.voters
 
     def configuration_position(self) -> tuple[int, int]:
@@ -159,7 +159,7 @@
         return [
             (entry.index, entry.data)
             for entry in between
-            if entry.kind is COMMAND and not entry.repeated
+            if entry.kind is COMMAND and not entry.is_duplicate
         ]
 
     def last_command_index(self) -> int:
@@ -179,14 +179,14 @@
         self.voted_for = voted_for
         return True
 
-    def save_lease_note(self, noted: bool) -> bool:
+    def save_lease_flag(self, noted: bool) -> bool:
         """Note on disk that a lease may be in force, or that none is."""
         if self.journal.write([promise_record(noted)]).is_error():
             return False
-        self.lease_noted = noted
+        self.lease_may_be_active = noted
         return True
 
-    def begin(self, term: int, entry: Entry) -> bool:
+    def bootstrap(self, term: int, entry: Entry) -> bool:
         """Write the first term and entry of an empty log in one."""
         if self.journal.write([vote_record(term, ""), entry_record(entry)]).is_error():
             return False
@@ -195,31 +195,31 @@
         return True
 
     def append(self, entries: list[Entry]) -> bool:
-        """Write the entries that are lacking; the first one of another term cuts the tail off.
+        """Write the entries that are missing; the first one of another term cuts the tail off.
 
         Entries that the log has already stay, whatever is behind them: a request that was delayed
         must not cut off what a later one appended (Raft, section 5.3 and figure 2, AppendEntries).
         """
-        lacking = list(entries)
-        while lacking and lacking[0].index <= self.last_index:
-            first = lacking[0]
+        missing = list(entries)
+        while missing and missing[0].index <= self.last_index:
+            first = missing[0]
             if first.index > self.snapshot.index and self.term_at(first.index) != first.term:
                 break
-            lacking.pop(0)
-        if not lacking:
+            missing.pop(0)
+        if not missing:
             return True
-        if self.journal.write([entry_record(entry) for entry in lacking]).is_error():
+        if self.journal.write([entry_record(entry) for entry in missing]).is_error():
             return False
-        del self.entries[lacking[0].index - self.snapshot.index - 1 :]
-        self.entries += lacking
+        del self.entries[missing[0].index - self.snapshot.index - 1 :]
+        self.entries += missing
         return True
 
     def compact(self, snapshot: Snapshot) -> bool:
         """Replace this log's own entries by a snapshot; the last of them are retained."""
         replaced = self.retained + self.entries[: snapshot.index - self.snapshot.index]
-        if not self.replace_start(snapshot, self.entries_from(snapshot.index + 1)):
+        if not self.replace_prefix(snapshot, self.entries_from(snapshot.index + 1)):
             return False
-        self.retained = last_of(replaced, self.retained_most)
+        self.retained = newest_entries(replaced, self.max_retained_bytes)
         return True
 
     def install(self, snapshot: Snapshot) -> bool:
@@ -228,23 +228,23 @@
         Where the entry at its end has its term the logs agree up to there, and the entries behind
         it stay: they were acknowledged, and a leader may count on them (Raft, section 7).
         """
-        agrees = self.holds(snapshot.index, snapshot.term)
-        if not self.replace_start(
+        agrees = self.contains(snapshot.index, snapshot.term)
+        if not self.replace_prefix(
             snapshot, self.entries_from(snapshot.index + 1) if agrees else []
         ):
             return False
         self.retained = []
         return True
 
-    def replace_start(self, snapshot: Snapshot, kept: list[Entry]) -> bool:
+    def replace_prefix(self, snapshot: Snapshot, remaining: list[Entry]) -> bool:
         """Write a snapshot with the entries behind it; False where the disk refused."""
         records = [
             vote_record(self.term, self.voted_for),
-            promise_record(self.lease_noted),
-            *(entry_record(entry) for entry in kept),
+            promise_record(self.lease_may_be_active),
+            *(entry_record(entry) for entry in remaining),
         ]
         if self.journal.write_snapshot(snapshot.encode(), records).is_error():
             return False
         self.snapshot = snapshot
-        self.entries = kept
+        self.entries = remaining
         return True
--- a/packages/consensus/ryelock/consensus/log_receiver.py
+++ b/packages/consensus/ryelock/consensus/log_receiver.py
@@ -57,7 +57,7 @@
             last_index=Natural(self.state.last_index),
         )
 
-    def reason_not_to_follow(
+    def leader_rejection(
         self, request: AppendEntriesRequest | InstallSnapshotRequest | LeaderHeader
     ) -> AppendReply | None:
         """Return the rejection of a leader that must not be followed; None where it may be.
@@ -67,7 +67,7 @@
         """
         if request.recipient != self.state.disk:
             return replace(self.rejection(), other_disk=True)
-        if self.lease.in_force:
+        if self.lease.active:
             return replace(self.rejection(), lease_granted=True)
         if request.term < self.state.term:
             return self.rejection()
@@ -80,7 +80,7 @@
         though this member can't read the rest. None where the request is to be called malformed.
         """
         try:
-            return self.reason_not_to_follow(decode(LeaderHeader, message))
+            return self.leader_rejection(decode(LeaderHeader, message))
         except MalformedMessageError:
             return None
 
@@ -91,18 +91,18 @@
             return False
         self.leadership.step_down("another leads")
         state.role = Role.FOLLOWER
-        self.lease.clear_note()
+        self.lease.clear_lease_flag()
         if leader != state.leader:
             state.log.write(BECAME_FOLLOWER, leader=leader, epoch=term)
         state.leader = leader
         state.leader_address = address
-        state.leader_heard_at = state.now()
+        state.last_leader_contact_at = state.now()
         self.timer.reset()
         return True
 
     def on_heartbeat(self, request: AppendEntriesRequest) -> AppendReply:
         """Take a heartbeat with its entries (Raft, section 5.3, AppendEntries)."""
-        reason = self.reason_not_to_follow(request)
+        reason = self.leader_rejection(request)
         if reason is not None:
             return reason
         if not self.follow(request.term, request.leader, request.address):
@@ -145,7 +145,7 @@
             return replace(
                 self.rejection(), last_index=Natural(state.snapshot.index), snapshot_agrees=True
             )
-        if log.holds(previous_index, previous_term):
+        if log.contains(previous_index, previous_term):
             return None
         return replace(
             self.rejection(),
@@ -155,7 +155,7 @@
 
     def on_snapshot(self, request: InstallSnapshotRequest) -> AppendReply:
         """Take a chunk of a snapshot (Raft, section 7, InstallSnapshot)."""
-        reason = self.reason_not_to_follow(request)
+        reason = self.leader_rejection(request)
         if reason is not None:
             return reason
         chunk = chunk_from_wire(request.chunk)
@@ -165,13 +165,13 @@
             # It would take back what this member has applied, and it has all of it.
             self.incoming = None
             return self.acceptance(self.state.commit_index)
-        return self.take_chunk(request.leader, chunk)
+        return self.receive_chunk(request.leader, chunk)
 
-    def take_chunk(self, leader: str, chunk: SnapshotChunk) -> AppendReply:
+    def receive_chunk(self, leader: str, chunk: SnapshotChunk) -> AppendReply:
         """Add a chunk to the snapshot that is arriving; install it once it is complete."""
-        if self.incoming is None or not self.incoming.belongs(leader, chunk):
+        if self.incoming is None or not self.incoming.matches(leader, chunk):
             self.incoming = IncomingSnapshot(leader, chunk)
-        self.incoming.take(chunk)
+        self.incoming.add_chunk(chunk)
         if not self.incoming.complete:
             return replace(self.rejection(), received=Natural(len(self.incoming.buffer)))
         snapshot, self.incoming = self.incoming.snapshot(), None
--- a/packages/consensus/ryelock/consensus/commands.py
+++ b/packages/consensus/ryelock/consensus/member_events.py
@@ -50,5 +50,5 @@
     voters: Voters
 
 
-Command = PeerRequest | FollowerReplied | HigherTermSeen | ElectionWon | BootstrapCluster
-CommandQueue = Queue[Command | Proposal]
+MemberEvent = PeerRequest | FollowerReplied | HigherTermSeen | ElectionWon | BootstrapCluster
+EventQueue = Queue[MemberEvent | Proposal]
--- a/packages/consensus/ryelock/consensus/membership.py
+++ b/packages/consensus/ryelock/consensus/membership.py
@@ -15,8 +15,8 @@
 
 from ryelock.consensus.entries import Voters, majority_of
 
-VOTERS_MOST = 5
-VOTERS_FEW = 3
+MAX_VOTERS = 5
+DEFAULT_VOTERS = 3
 """The number of voters with enough disks for five, and otherwise."""
 
 
@@ -34,24 +34,24 @@
 
     Attributes:
         voters: The present voters.
-        own: The leader's disk.
+        own_disk: The leader's disk.
         lost: Disks that stored nothing for too long.
         leaving: Disks whose process asked to leave.
         standbys: Disks that hold the log and are no voters, best first.
-        crowded: The number of other voters in the zone of each voter.
+        voters_in_zone: The number of other voters in the zone of each voter.
     """
 
     voters: Voters
-    own: str
+    own_disk: str
     lost: frozenset[str] = frozenset()
     leaving: frozenset[str] = frozenset()
     standbys: tuple[Standby, ...] = ()
-    crowded: Mapping[str, int] = field(default_factory=dict)
+    voters_in_zone: Mapping[str, int] = field(default_factory=dict)
 
     @property
     def lost_voters(self) -> list[str]:
         """The voters that are lost, but for the leader itself."""
-        return sorted(disk for disk in self.voters if disk in self.lost and disk != self.own)
+        return sorted(disk for disk in self.voters if disk in self.lost and disk != self.own_disk)
 
     @property
     def leaving_voters(self) -> list[str]:
@@ -59,15 +59,15 @@
         return sorted(
             disk
             for disk in self.voters
-            if disk in self.leaving and disk not in self.lost and disk != self.own
+            if disk in self.leaving and disk not in self.lost and disk != self.own_disk
         )
 
     @property
-    def wanted(self) -> int:
-        """The number of voters wanted with the disks that stay."""
+    def target_size(self) -> int:
+        """The number of voters target_size with the disks that stay."""
         away = {*self.lost_voters, *self.leaving_voters}
         staying = len(self.voters) - len(away) + len(self.standbys)
-        return VOTERS_MOST if staying >= VOTERS_MOST else VOTERS_FEW
+        return MAX_VOTERS if staying >= MAX_VOTERS else DEFAULT_VOTERS
 
     @property
     def is_even(self) -> bool:
@@ -82,10 +82,10 @@
     if membership.leaving_voters:
         return replace_leaving(membership)
     count = len(membership.voters)
-    if membership.standbys and count < membership.wanted:
+    if membership.standbys and count < membership.target_size:
         return with_standby(membership)
-    if membership.is_even and count > membership.wanted:
-        return without(membership, most_crowded(membership))
+    if membership.is_even and count > membership.target_size:
+        return without(membership, voter_in_fullest_zone(membership))
     return None
 
 
@@ -127,7 +127,7 @@
     return {other: address for other, address in membership.voters.items() if other != disk}
 
 
-def most_crowded(membership: VoterSet) -> str:
+def voter_in_fullest_zone(membership: VoterSet) -> str:
     """Return the voter in the zone with the most other voters, but never the leader itself."""
-    others = [disk for disk in membership.voters if disk != membership.own]
-    return max(others, key=lambda disk: (membership.crowded.get(disk, 0), disk))
+    others = [disk for disk in membership.voters if disk != membership.own_disk]
+    return max(others, key=lambda disk: (membership.voters_in_zone.get(disk, 0), disk))
--- a/packages/consensus/ryelock/consensus/messages.py
+++ b/packages/consensus/ryelock/consensus/messages.py
@@ -18,7 +18,7 @@
 Recipient = Annotated[str, WireName("to")]
 """The disk that a message is for: an address may have been taken over by another disk."""
 Payload = Annotated[dict[str, object] | None, WireName("said"), AsIs(dict), OmitDefault()]
-"""What the process tells its peers besides the log."""
+"""What the process tells its peers excluding the log."""
 
 
 class Request(Protocol):
--- a/packages/consensus/ryelock/consensus/node.py
+++ b/packages/consensus/ryelock/consensus/node.py
@@ -5,15 +5,6 @@
 from random import Random
 
 from ryelock.consensus.applier import CommittedApplier
-from ryelock.consensus.commands import (
-    BootstrapCluster,
-    Command,
-    CommandQueue,
-    ElectionWon,
-    FollowerReplied,
-    HigherTermSeen,
-    PeerRequest,
-)
 from ryelock.consensus.compaction import Compaction
 from ryelock.consensus.dispatcher import RequestDispatcher
 from ryelock.consensus.election import Election
@@ -26,6 +17,15 @@
 from ryelock.consensus.leadership_transfer import LeadershipTransfer
 from ryelock.consensus.log import ReplicatedLog
 from ryelock.consensus.log_receiver import LogReceiver
+from ryelock.consensus.member_events import (
+    BootstrapCluster,
+    ElectionWon,
+    EventQueue,
+    FollowerReplied,
+    HigherTermSeen,
+    MemberEvent,
+    PeerRequest,
+)
 from ryelock.consensus.payloads import Payloads
 from ryelock.consensus.pending import Outcome, PendingProposals, Proposal
 from ryelock.consensus.proposals import Proposals
@@ -52,9 +52,9 @@
 
     __slots__ = (
         "applier",
-        "commands",
         "dispatcher",
         "election",
+        "events",
         "followers",
         "isolation",
         "joining",
@@ -99,12 +99,12 @@
             settings: Intervals and sizes.
             random: Source of the random election timeouts.
         """
-        replicated_log = ReplicatedLog(journal, settings.retained_bytes)
+        replicated_log = ReplicatedLog(journal, settings.max_retained_bytes)
         state = MemberState(scheduler, log, replicated_log, settings, name, disk, address)
-        commands: CommandQueue = Queue(scheduler)
+        events: EventQueue = Queue(scheduler)
         pending = PendingProposals()
         self.state = state
-        self.commands = commands
+        self.events = events
         self.tasks: list[Task] = []
         self.payloads = Payloads()
         self.isolation = IsolationMonitor(state)
@@ -122,7 +122,7 @@
         self.replicator = Replicator(
             state,
             rpc_clients,
-            commands,
+            events,
             self.followers,
             self.leadership,
             self.applier,
@@ -132,11 +132,11 @@
             state, self.timer, self.lease, self.leadership, self.applier, self.payloads
         )
         self.election = Election(
-            state, rpc_clients, commands, self.timer, self.lease, self.leadership
+            state, rpc_clients, events, self.timer, self.lease, self.leadership
         )
         self.proposals = Proposals(
             state,
-            commands,
+            events,
             pending,
             self.followers,
             self.leadership,
@@ -145,7 +145,7 @@
             self.replicator,
         )
         self.joining = Joining(
-            state, rpc_clients, commands, self.timer, self.followers, self.replicator, seeds
+            state, rpc_clients, events, self.timer, self.followers, self.replicator, seeds
         )
         self.dispatcher = RequestDispatcher(self.receiver, self.election, self.lease, self.joining)
 
@@ -169,36 +169,36 @@
         while True:
             behind = state.applied_index < state.commit_index
             timeout = 0.0 if behind else state.settings.heartbeat_seconds / 2
-            command = await self.commands.get(timeout)
-            if command is not None:
-                self.execute_queued(command)
+            event = await self.events.get(timeout)
+            if event is not None:
+                self.process_queued(event)
             self.applier.apply_committed()
             self.check_timers()
             if state.applied_index < state.commit_index:
                 await state.scheduler.sleep(APPLY_PAUSE_SECONDS)
 
-    def execute_queued(self, first: Command | Proposal) -> None:
-        """Execute a command and all that are queued behind it.
+    def process_queued(self, first: MemberEvent | Proposal) -> None:
+        """Execute a event and all that are queued behind it.
 
         Proposals that come one after the other are appended in one write.
         """
         proposals: list[Proposal] = []
-        command: Command | Proposal | None = first
-        while command is not None:
-            if isinstance(command, Proposal):
-                proposals.append(command)
+        event: MemberEvent | Proposal | None = first
+        while event is not None:
+            if isinstance(event, Proposal):
+                proposals.append(event)
             else:
                 if proposals:
-                    self.proposals.take(proposals)
+                    self.proposals.append_batch(proposals)
                     proposals = []
-                self.execute(command)
-            command = self.commands.items.popleft() if self.commands.items else None
+                self.process_event(event)
+            event = self.events.items.popleft() if self.events.items else None
         if proposals:
-            self.proposals.take(proposals)
+            self.proposals.append_batch(proposals)
 
-    def execute(self, command: Command) -> None:
-        """Execute one command."""
-        match command:
+    def process_event(self, event: MemberEvent) -> None:
+        """Execute one event."""
+        match event:
             case FollowerReplied(follower, term, sent_at, result):
                 self.replicator.on_reply(follower, term, sent_at, result)
             case PeerRequest(message, reply):
@@ -213,15 +213,17 @@
     def check_timers(self) -> None:
         """Step down or campaign where it is time."""
         state = self.state
-        if not state.leads:
+        if not state.is_leader:
             self.isolation.check()
             self.election.check_timers()
             return
-        self.isolation.leading()
+        self.isolation.record_leading()
         if self.leadership.lost_majority():
             state.log.write(LEADER_STEPPED_DOWN, epoch=state.term)
             self.leadership.step_down("lost its majority")
-        elif state.settled and not state.changing_voters and state.disk not in state.voters:
+        elif (
+            state.leader_ready and not state.voter_change_pending and state.disk not in state.voters
+        ):
             # Its removal is committed (dissertation, section 4.2.2).
             self.transfer.step_down_to_successor("no voter any more")
 
@@ -231,7 +233,7 @@
         """Queue a request of another process; False where its kind is not of consensus."""
         if not self.dispatcher.handles(message):
             return False
-        self.commands.put(PeerRequest(message, reply))
+        self.events.put(PeerRequest(message, reply))
         return True
 
     def handle(self, message: Message, reply: Reply) -> None:
@@ -260,9 +262,9 @@
         """Have another voter elected; True once this member leads no more."""
         return await self.transfer.transfer_to(successor)
 
-    def best_successor(self, besides: Collection[str] = ()) -> str:
+    def best_successor(self, excluding: Collection[str] = ()) -> str:
         """Return the disk of the voter to transfer leadership to; empty where there is none."""
-        return self.followers.most_up_to_date(besides)
+        return self.followers.most_up_to_date(excluding)
 
     def drop_learner(self, disk: str) -> None:
         """Forget a learner that does not ask to join any more."""
@@ -279,7 +281,7 @@
     def commands_since(self, index: int) -> list[tuple[int, bytes]] | None:
         """Return the applied commands behind an index; None where only a snapshot has them."""
         log = self.state.replicated_log
-        if index + 1 < log.retained_from or index > self.state.applied_index:
+        if index + 1 < log.first_retained_index or index > self.state.applied_index:
             return None
         return log.commands_between(index, self.state.applied_index)
 
@@ -357,9 +359,9 @@
         return self.state.role
 
     @property
-    def settled(self) -> bool:
+    def leader_ready(self) -> bool:
         """Whether it leads and has applied an entry of its own term."""
-        return self.state.settled
+        return self.state.leader_ready
 
     @property
     def elected_at(self) -> float:
@@ -367,9 +369,9 @@
         return -math.inf if self.state.elected_at is None else self.state.elected_at
 
     @property
-    def settled_at(self) -> float:
+    def leader_ready_at(self) -> float:
         """When it had applied an entry of the term it last led; minus infinity if it never did."""
-        return -math.inf if self.state.settled_at is None else self.state.settled_at
+        return -math.inf if self.state.leader_ready_at is None else self.state.leader_ready_at
 
     @property
     def leader_address(self) -> str:
@@ -407,9 +409,9 @@
         return self.state.voters
 
     @property
-    def changing_voters(self) -> bool:
+    def voter_change_pending(self) -> bool:
         """Whether a change of voters is not committed yet."""
-        return self.state.changing_voters
+        return self.state.voter_change_pending
 
     @property
     def peers(self) -> dict[str, Follower]:
--- a/packages/consensus/ryelock/consensus/proposals.py
+++ b/packages/consensus/ryelock/consensus/proposals.py
@@ -4,8 +4,7 @@
 from expression import Error
 
 from ryelock.consensus.applier import CommittedApplier
-from ryelock.consensus.commands import CommandQueue
-from ryelock.consensus.entries import Entry, EntryKind, Voters, voters_from_data
+from ryelock.consensus.entries import Entry, EntryKind, Voters, decode_voters
 from ryelock.consensus.errors import (
     LeaderDiskError,
     NotLeaderError,
@@ -15,7 +14,8 @@
 from ryelock.consensus.followers import Followers
 from ryelock.consensus.leadership import Leadership
 from ryelock.consensus.leadership_transfer import LeadershipTransfer
-from ryelock.consensus.membership import VOTERS_MOST
+from ryelock.consensus.member_events import EventQueue
+from ryelock.consensus.membership import MAX_VOTERS
 from ryelock.consensus.pending import Outcome, PendingProposals, Proposal
 from ryelock.consensus.replicator import Replicator
 from ryelock.consensus.state import MemberState
@@ -32,7 +32,7 @@
 
     __slots__ = (
         "applier",
-        "commands",
+        "events",
         "followers",
         "leadership",
         "pending",
@@ -44,7 +44,7 @@
     def __init__(
         self,
         state: MemberState,
-        commands: CommandQueue,
+        events: EventQueue,
         pending: PendingProposals,
         followers: Followers,
         leadership: Leadership,
@@ -54,7 +54,7 @@
     ) -> None:
         """Create the proposal part of a member."""
         self.state = state
-        self.commands = commands
+        self.events = events
         self.pending = pending
         self.followers = followers
         self.leadership = leadership
@@ -65,33 +65,33 @@
     async def submit(self, kind: EntryKind, data: bytes) -> Outcome:
         """Propose an entry and return what applying it returned, or why that is not known."""
         outcomes: Queue[Outcome] = Queue(self.state.scheduler)
-        self.commands.put(Proposal(kind, data, outcomes))
+        self.events.put(Proposal(kind, data, outcomes))
         outcome = await outcomes.get(PROPOSAL_SECONDS)
         return Error(ProposalTimeoutError()) if outcome is None else outcome
 
-    def take(self, proposals: list[Proposal]) -> None:
+    def append_batch(self, proposals: list[Proposal]) -> None:
         """Append a batch of proposals in one write and replicate them; the owner's task only."""
-        if not self.state.leads:
+        if not self.state.is_leader:
             for proposal in proposals:
                 proposal.reject(NotLeaderError())
             return
-        entries, accepted = self.accept(proposals)
+        entries, accepted = self.admit(proposals)
         if not self.applier.store(entries):
-            self.fail_for_disk(accepted)
+            self.reject_after_disk_failure(accepted)
             return
         for entry, proposal in zip(entries, accepted, strict=True):
             self.pending.add(entry, proposal)
-        self.replicator.follow_voters()
-        self.followers.wake_all()
-        self.replicator.count_commit()
+        self.replicator.replicate_to_voters()
+        self.followers.notify_all()
+        self.replicator.advance_commit_index()
 
-    def accept(self, proposals: list[Proposal]) -> tuple[list[Entry], list[Proposal]]:
+    def admit(self, proposals: list[Proposal]) -> tuple[list[Entry], list[Proposal]]:
         """Return the entries to append and their proposals; changes of voters may be rejected."""
         entries: list[Entry] = []
         accepted: list[Proposal] = []
         for proposal in proposals:
             if proposal.kind is EntryKind.VOTERS:
-                reason = self.reason_against(voters_from_data(proposal.data), entries)
+                reason = self.voter_change_rejection(decode_voters(proposal.data), entries)
                 if reason:
                     proposal.reject(VotersRejectedError(reason))
                     continue
@@ -100,26 +100,26 @@
             accepted.append(proposal)
         return entries, accepted
 
-    def fail_for_disk(self, proposals: list[Proposal]) -> None:
+    def reject_after_disk_failure(self, proposals: list[Proposal]) -> None:
         """Fail proposals that the disk refused, and let another lead."""
         for proposal in proposals:
             proposal.reject(LeaderDiskError())
-        self.state.note_disk_failure()
+        self.state.record_disk_failure()
         self.transfer.step_down_to_successor("its disk failed")
 
-    def reason_against(self, voters: Voters, appended: list[Entry]) -> str:
+    def voter_change_rejection(self, voters: Voters, appended: list[Entry]) -> str:
         """Return why a change of voters must not be appended now; empty where it may be.
 
         One voter at a time, the last change committed, and an entry of this term committed:
         majorities before and after a change then always meet (dissertation, section 4.1, and the
         correction of 2015 for the last condition).
         """
-        if not self.state.settled or self.state.changing_voters:
+        if not self.state.leader_ready or self.state.voter_change_pending:
             return "not settled"
         if any(entry.kind is EntryKind.VOTERS for entry in appended):
             return "another change of voters is under way"
         changed = len(set(voters) ^ set(self.state.voters))
-        if changed != 1 or not 0 < len(voters) <= VOTERS_MOST + 1:
+        if changed != 1 or not 0 < len(voters) <= MAX_VOTERS + 1:
             return "not one voter at a time"
         if self.state.disk not in voters:
             return "a leader does not remove itself"
@@ -141,15 +141,15 @@
         """
         asked_at = self.state.now()
         read_index = self.state.commit_index
-        while self.state.leads and self.state.now() < asked_at + seconds:
+        while self.state.is_leader and self.state.now() < asked_at + seconds:
             if (
-                self.state.settled
+                self.state.leader_ready
                 and self.state.applied_index >= read_index
                 and self.leadership.majority_contact_at() >= asked_at
             ):
                 return True
             for follower in self.followers.by_disk.values():
-                if not len(follower.wakeups):
-                    follower.wake()
+                if not len(follower.notifications):
+                    follower.notify()
             await self.state.scheduler.sleep(CONFIRM_POLL_SECONDS)
         return False
--- a/packages/consensus/ryelock/consensus/quorum_lease.py
+++ b/packages/consensus/ryelock/consensus/quorum_lease.py
@@ -32,15 +32,15 @@
         self.state = state
         self.majority_unreachable_at: float | None = None
         self.granted_until: float | None = None
-        if state.replicated_log.lease_noted:
+        if state.replicated_log.lease_may_be_active:
             self.granted_until = state.now() + state.settings.lease_seconds * RESTART_MARGIN
 
     @property
-    def in_force(self) -> bool:
+    def active(self) -> bool:
         """Whether this member may follow no leader now."""
         return self.granted_until is not None and self.state.now() < self.granted_until
 
-    def record_round(self, majority_reached: bool) -> None:
+    def record_reachability(self, majority_reached: bool) -> None:
         """Note whether a round of requests reached a majority of the voters."""
         self.majority_unreachable_at = None if majority_reached else self.state.now()
 
@@ -63,7 +63,7 @@
         if not self.may_grant(seconds):
             return False
         log = self.state.replicated_log
-        if not log.lease_noted and not log.save_lease_note(True):
+        if not log.lease_may_be_active and not log.save_lease_flag(True):
             return False
         until = self.state.now() + seconds
         self.granted_until = until if self.granted_until is None else max(self.granted_until, until)
@@ -79,7 +79,7 @@
             and silence < UNREACHABLE_TIMEOUTS * self.state.settings.election_timeout
         )
 
-    def clear_note(self) -> None:
+    def clear_lease_flag(self) -> None:
         """Note on disk that no lease is in force; called once a leader is followed again."""
-        if self.state.replicated_log.lease_noted:
-            self.state.replicated_log.save_lease_note(False)
+        if self.state.replicated_log.lease_may_be_active:
+            self.state.replicated_log.save_lease_flag(False)
--- a/packages/consensus/ryelock/consensus/replicator.py
+++ b/packages/consensus/ryelock/consensus/replicator.py
@@ -7,11 +7,11 @@
 from expression import Result
 
 from ryelock.consensus.applier import CommittedApplier
-from ryelock.consensus.commands import CommandQueue, FollowerReplied
 from ryelock.consensus.entries import Entry, EntryKind
 from ryelock.consensus.followers import Follower, Followers
 from ryelock.consensus.leadership import Leadership
 from ryelock.consensus.log import ENTRY_OVERHEAD_BYTES
+from ryelock.consensus.member_events import EventQueue, FollowerReplied
 from ryelock.consensus.messages import (
     AppendEntriesRequest,
     AppendReply,
@@ -33,13 +33,13 @@
 class Replicator:
     """Leads a term: appends its first entry, replicates, and counts what is committed."""
 
-    __slots__ = ("applier", "commands", "followers", "leadership", "payloads", "rpc", "state")
+    __slots__ = ("applier", "events", "followers", "leadership", "payloads", "rpc", "state")
 
     def __init__(
         self,
         state: MemberState,
         rpc: RpcClients,
-        commands: CommandQueue,
+        events: EventQueue,
         followers: Followers,
         leadership: Leadership,
         applier: CommittedApplier,
@@ -48,7 +48,7 @@
         """Create the replicator of a member that does not lead."""
         self.state = state
         self.rpc = rpc
-        self.commands = commands
+        self.events = events
         self.followers = followers
         self.leadership = leadership
         self.applier = applier
@@ -69,14 +69,14 @@
         state.elected_at = state.now()
         self.followers.begin_term()
         state.log.write(BECAME_LEADER, epoch=term)
-        if not self.applier.store([Entry(state.last_index + 1, term, EntryKind.NOTHING, b"")]):
-            state.note_disk_failure()
+        if not self.applier.store([Entry(state.last_index + 1, term, EntryKind.NO_OP, b"")]):
+            state.record_disk_failure()
             self.leadership.step_down("its disk failed")
             return
-        self.follow_voters()
-        self.count_commit()
+        self.replicate_to_voters()
+        self.advance_commit_index()
 
-    def follow_voters(self) -> None:
+    def replicate_to_voters(self) -> None:
         """Replicate to every voter, also to one that was added just now."""
         for disk, address in self.state.voters.items():
             if disk != self.state.disk and disk not in self.followers.by_disk:
@@ -92,7 +92,7 @@
 
     async def replicate_to(self, follower: Follower, term: int) -> None:
         """Send to one follower for the length of a term, at least one request an interval."""
-        while self.state.leads and self.state.term == term:
+        while self.state.is_leader and self.state.term == term:
             sent_at = self.state.now()
             message = self.next_message(follower)
             timeout = (
@@ -101,9 +101,9 @@
                 else SNAPSHOT_CHUNK_SECONDS
             )
             result = await self.rpc.call(follower.address, message, timeout)
-            self.commands.put(FollowerReplied(follower, term, sent_at, result))
-            follower.wakeups.items.clear()
-            await follower.wakeups.get(self.state.settings.heartbeat_seconds)
+            self.events.put(FollowerReplied(follower, term, sent_at, result))
+            follower.notifications.items.clear()
+            await follower.notifications.get(self.state.settings.heartbeat_seconds)
 
     # Requests.
 
@@ -114,7 +114,7 @@
         else a follower that is slower than the leader's snapshots never has one.
         """
         log = self.state.replicated_log
-        if follower.outgoing is None and not log.reaches_back(follower.next_index - 1):
+        if follower.outgoing is None and not log.has_term_at(follower.next_index - 1):
             follower.begin_snapshot(log.snapshot)
         if follower.outgoing is None:
             return request_to_wire(self.append_request(follower))
@@ -144,7 +144,7 @@
             payload=self.payloads.heartbeat_payload(),
         )
 
-    def batch(self, start: int, bytes_most: int) -> list[object]:
+    def batch(self, start: int, max_bytes: int) -> list[object]:
         """Return entries from an index on, at least one if there is any, of about so many bytes."""
         log = self.state.replicated_log
         found: list[object] = []
@@ -152,7 +152,7 @@
         for index in range(start, log.last_index + 1):
             entry = log.entry_at(index)
             size += len(entry.data) + ENTRY_OVERHEAD_BYTES
-            if found and size > bytes_most:
+            if found and size > max_bytes:
                 break
             found.append(entry.to_wire())
         return found
@@ -163,10 +163,10 @@
         self, follower: Follower, term: int, sent_at: float, result: Result[Message, RpcError]
     ) -> None:
         """Take in what came back for a request; one of an earlier term counts for nothing."""
-        if not self.state.leads or self.state.term != term:
+        if not self.state.is_leader or self.state.term != term:
             return
         if result.is_error():
-            follower.timed_out()
+            follower.record_timeout()
             return
         try:
             reply = decode(AppendReply, result.ok)
@@ -189,32 +189,32 @@
         self, follower: Follower, reply: AppendReply, last_index: int, sent_at: float
     ) -> None:
         """The follower's log agrees with this one up to an index."""
-        follower.contacted(sent_at)
+        follower.record_contact(sent_at)
         follower.outgoing = None
-        follower.stored(sent_at)
+        follower.record_stored(sent_at)
         follower.match_index = max(follower.match_index, last_index)
         follower.next_index = follower.match_index + 1
         if reply.payload is not None:
             self.payloads.on_payload(follower.disk, reply.payload, sent_at)
-        self.count_commit()
+        self.advance_commit_index()
         if follower.next_index <= self.state.last_index:
-            follower.wake()
+            follower.notify()
 
     def on_rejected(
         self, follower: Follower, reply: AppendReply, last_index: int, sent_at: float
     ) -> None:
         """The follower needs other entries, or more of a snapshot."""
         if reply.term == self.state.term:
-            follower.contacted(sent_at)
+            follower.record_contact(sent_at)
         if follower.outgoing is not None:
             if reply.received is not None and follower.outgoing.acknowledge(reply.received):
-                follower.stored(sent_at)
-                follower.wake()
+                follower.record_stored(sent_at)
+                follower.notify()
             return
         next_index = self.next_index_after(follower, reply, last_index)
         if next_index != follower.next_index:
             follower.next_index = next_index
-            follower.wake()
+            follower.notify()
 
     def next_index_after(self, follower: Follower, reply: AppendReply, last_index: int) -> int:
         """Return the index to go on from after a rejection (Raft, end of section 5.3).
@@ -233,7 +233,7 @@
             last_index = agrees_until if agrees_until < follower.next_index - 1 else last_index
         return max(1, min(follower.next_index - 1, last_index + 1))
 
-    def count_commit(self) -> None:
+    def advance_commit_index(self) -> None:
         """Commit what a majority holds, if its last entry is of the current term.
 
         An older entry on a majority may still be replaced; it is committed by one of this term
@@ -244,4 +244,4 @@
             return
         if self.state.term_at(reached) == self.state.term:
             self.applier.advance(reached)
-            self.followers.wake_all()
+            self.followers.notify_all()
--- a/packages/consensus/ryelock/consensus/settings.py
+++ b/packages/consensus/ryelock/consensus/settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ryelock.consensus.log import RETAINED_BYTES
+from ryelock.consensus.log import MAX_RETAINED_BYTES
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,9 +16,9 @@
         lease_seconds: The longest lease that a voter grants to an edge while there is no leader.
         replace_seconds: Seconds without a stored entry after which a voter counts as lost.
         snapshot_records: Journal records after which a snapshot is due.
-        may_found: Whether this member may bootstrap a new cluster.
+        may_bootstrap: Whether this member may bootstrap a new cluster.
         disk_bytes: Size of the disk; 0 where it is not known.
-        retained_bytes: Bytes of entries kept in memory behind the snapshot that replaced them.
+        max_retained_bytes: Bytes of entries kept in memory behind the snapshot that replaced them.
     """
 
     heartbeat_seconds: float = 0.15
@@ -26,6 +26,6 @@
     lease_seconds: float = 1.5
     replace_seconds: float = 8.0
     snapshot_records: int = 4000
-    may_found: bool = True
+    may_bootstrap: bool = True
     disk_bytes: int = 0
-    retained_bytes: int = RETAINED_BYTES
+    max_retained_bytes: int = MAX_RETAINED_BYTES
--- a/packages/consensus/ryelock/consensus/state.py
+++ b/packages/consensus/ryelock/consensus/state.py
@@ -40,9 +40,9 @@
         applied_index: The last index applied to the state machine; never above commit_index.
         applied_command_index: The last applied index whose entry was a command for all replicas.
         leader: The disk of the leader that this member follows; empty where it knows none.
-        leader_heard_at: When a message of a leader of the current term last came.
+        last_leader_contact_at: When a message of a leader of the current term last came.
         elected_at: When this member last became leader.
-        settled_at: When it had applied an entry of the term that it last led.
+        leader_ready_at: When it had applied an entry of the term that it last led.
         disk_failed_at: When the disk last refused a write that an election rests on.
         leaving: Whether a planned stop is under way; such a member does not campaign.
     """
@@ -55,9 +55,10 @@
         "disk",
         "disk_failed_at",
         "elected_at",
+        "last_leader_contact_at",
         "leader",
         "leader_address",
-        "leader_heard_at",
+        "leader_ready_at",
         "leaving",
         "log",
         "name",
@@ -65,7 +66,6 @@
         "role",
         "scheduler",
         "settings",
-        "settled_at",
         "voters",
     )
 
@@ -90,16 +90,16 @@
         self.role = Role.FOLLOWER
         self.leader = ""
         self.leader_address = ""
-        self.leader_heard_at: float | None = None
+        self.last_leader_contact_at: float | None = None
         self.elected_at: float | None = None
-        self.settled_at: float | None = None
+        self.leader_ready_at: float | None = None
         self.disk_failed_at: float | None = None
         self.leaving = False
         self.commit_index = self.snapshot.index
         self.applied_index = self.snapshot.index
         self.applied_command_index = self.snapshot.command_index
         self.voters: Voters = {}
-        self.find_voters()
+        self.refresh_voters()
 
     def now(self) -> float:
         """Return the moment by the member's steady clock, in seconds."""
@@ -138,16 +138,16 @@
         """Persist a term and the vote in it; False where the disk refused."""
         saved = self.replicated_log.save_vote(term, voted_for)
         if not saved:
-            self.note_disk_failure()
+            self.record_disk_failure()
         return saved
 
-    def note_disk_failure(self) -> None:
+    def record_disk_failure(self) -> None:
         """Remember that the disk refused a write just now."""
         self.disk_failed_at = self.now()
 
     # Voters.
 
-    def find_voters(self) -> None:
+    def refresh_voters(self) -> None:
         """Take the voters from the log: a change counts from its append on (section 6)."""
         self.voters = self.replicated_log.voters_at(self.last_index)
 
@@ -168,7 +168,7 @@
         return self.disk in self.replicated_log.voters_at(self.commit_index)
 
     @property
-    def changing_voters(self) -> bool:
+    def voter_change_pending(self) -> bool:
         """Whether a change of voters is in the log and not committed yet."""
         uncommitted = self.replicated_log.entries[self.commit_index - self.snapshot.index :]
         return any(entry.kind is EntryKind.VOTERS for entry in uncommitted)
@@ -176,20 +176,20 @@
     # The leader.
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this member is the leader of its term."""
         return self.role is Role.LEADER
 
     def knows_leader(self) -> bool:
         """Whether it leads, or heard its leader within the shortest election timeout."""
-        silence = seconds_since(self.now(), self.leader_heard_at)
-        return self.leads or silence < self.settings.election_timeout
+        silence = seconds_since(self.now(), self.last_leader_contact_at)
+        return self.is_leader or silence < self.settings.election_timeout
 
     @property
-    def settled(self) -> bool:
+    def leader_ready(self) -> bool:
         """Whether it leads and has applied an entry of its own term.
 
         By leader completeness (section 5.4.3) it has then applied all that was committed before
         its election, which linearizable reads need (dissertation, section 6.4, step 1).
         """
-        return self.leads and self.term_at(self.applied_index) == self.term
+        return self.is_leader and self.term_at(self.applied_index) == self.term
--- a/packages/consensus/ryelock/consensus/status.py
+++ b/packages/consensus/ryelock/consensus/status.py
@@ -21,7 +21,7 @@
     """How the leader sees one disk."""
 
     LEADER = "leader"
-    LEVEL = "level"
+    UP_TO_DATE = "level"
     CATCHING_UP = "catching up"
     LOST = "lost"
     LEAVING = "leaving"
@@ -70,7 +70,7 @@
 def member_status(consensus: Consensus) -> MemberStatus:
     """Return the state of this member."""
     behind = consensus.commit_index - consensus.applied_index
-    heard = rounded_seconds_since(consensus, consensus.state.leader_heard_at)
+    heard = rounded_seconds_since(consensus, consensus.state.last_leader_contact_at)
     if consensus.leaving:
         state = MemberRole.LEAVING
     elif consensus.role is Role.LEADER:
@@ -117,7 +117,7 @@
     elif behind:
         state = ReplicaState.CATCHING_UP
     else:
-        state = ReplicaState.LEVEL
+        state = ReplicaState.UP_TO_DATE
     return ReplicaStatus(disk, address, disk in consensus.voters, state, behind, heard)
 
 
--- a/packages/consensus/ryelock/consensus/transfer.py
+++ b/packages/consensus/ryelock/consensus/transfer.py
@@ -13,7 +13,7 @@
 
 SNAPSHOT_CHUNK_BYTES = 262_144
 """The most bytes of a snapshot in one message."""
-SNAPSHOT_BYTES_MOST = 134_217_728
+MAX_SNAPSHOT_BYTES = 134_217_728
 """A follower takes no snapshot that is larger."""
 
 
@@ -59,7 +59,7 @@
             int(offset),
             bytes(part),
         ]:
-            if not 0 <= offset <= offset + len(part) <= size <= SNAPSHOT_BYTES_MOST:
+            if not 0 <= offset <= offset + len(part) <= size <= MAX_SNAPSHOT_BYTES:
                 raise MalformedMessageError("piece: not within the snapshot")
             return SnapshotChunk(index, term, voters, command_index, size, offset, part)
         case _:
@@ -80,7 +80,7 @@
         self.snapshot = snapshot
         self.received = 0
 
-    def next_chunk(self, bytes_most: int) -> SnapshotChunk:
+    def next_chunk(self, max_bytes: int) -> SnapshotChunk:
         """Return the chunk behind what the follower has, of so many bytes at most."""
         snapshot = self.snapshot
         return SnapshotChunk(
@@ -90,7 +90,7 @@
             snapshot.command_index,
             len(snapshot.state),
             self.received,
-            snapshot.state[self.received : self.received + bytes_most],
+            snapshot.state[self.received : self.received + max_bytes],
         )
 
     def acknowledge(self, received: int) -> bool:
@@ -115,12 +115,12 @@
         self.command_index = chunk.command_index
         self.buffer = bytearray()
 
-    def belongs(self, leader: str, chunk: SnapshotChunk) -> bool:
+    def matches(self, leader: str, chunk: SnapshotChunk) -> bool:
         """Whether a chunk is of this very snapshot of this leader."""
         mine = (self.leader, self.index, self.term, self.size)
         return mine == (leader, chunk.index, chunk.term, chunk.size)
 
-    def take(self, chunk: SnapshotChunk) -> None:
+    def add_chunk(self, chunk: SnapshotChunk) -> None:
         """Add a chunk that goes on where the buffer ends; any other changes nothing."""
         if chunk.offset == len(self.buffer):
             self.buffer += chunk.data
--- a/packages/control_plane/ryelock/control_plane/edge_leases.py
+++ b/packages/control_plane/ryelock/control_plane/edge_leases.py
@@ -112,7 +112,7 @@
 
     def takeover_is_complete(self, now: float) -> bool:
         """Tell whether all that an earlier leader granted is expired or reported."""
-        return now >= self.consensus.settled_at + self.takeover_seconds
+        return now >= self.consensus.leader_ready_at + self.takeover_seconds
 
     def grant(self, edge: EdgeRun, now: float) -> None:
         """Grant a lease that comes with everything applied here."""
--- a/packages/control_plane/ryelock/control_plane/lease_renewal.py
+++ b/packages/control_plane/ryelock/control_plane/lease_renewal.py
@@ -89,7 +89,7 @@
 
     async def renew(self, message: Message, reply: Reply) -> None:
         """Answer one node's renewal, held back a little while there is nothing new for it."""
-        if not self.consensus.settled:
+        if not self.consensus.leader_ready:
             reply(NotLeaderResponse(self.consensus.leader_address).to_wire())
             return
         if self.leases.begin_term():
@@ -105,7 +105,7 @@
         self.record(request)
         await self.wait_for_update(request)
         # This leader may have been deposed while the renewal waited.
-        if not self.consensus.settled or self.leases.term != self.consensus.term:
+        if not self.consensus.leader_ready or self.leases.term != self.consensus.term:
             reply(NotLeaderResponse(self.consensus.leader_address).to_wire())
             return
         reply(self.respond(request))
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -289,10 +289,10 @@
         """Assign roles and derive watches while this node leads."""
         while True:
             await self.scheduler.sleep(MAINTENANCE_SECONDS)
-            if self.consensus.settled:
+            if self.consensus.leader_ready:
                 await self.role_assigner.assign_roles()
             # The node may have been deposed while it waited for a commit.
-            if self.consensus.settled:
+            if self.consensus.leader_ready:
                 await self.derived_watches.refresh()
 
     async def maintain_sessions(self) -> None:
--- a/packages/control_plane/ryelock/control_plane/rpc_handlers.py
+++ b/packages/control_plane/ryelock/control_plane/rpc_handlers.py
@@ -125,7 +125,7 @@
 
     def on_renewal(self, message: Message, reply: Reply) -> None:
         """Answer a renewal; where this node does not lead, relay it once."""
-        if self.consensus.settled or message.get("passed") is True:
+        if self.consensus.leader_ready or message.get("passed") is True:
             coroutine = self.renewals.renew(message, reply)
         else:
             coroutine = self.relay_renewal(message, reply)
--- a/packages/control_plane/ryelock/control_plane/voters.py
+++ b/packages/control_plane/ryelock/control_plane/voters.py
@@ -50,13 +50,13 @@
         """Check the voters for the life of the process, while this node leads."""
         while True:
             await self.scheduler.sleep(CHECK_SECONDS)
-            if self.consensus.settled:
+            if self.consensus.leader_ready:
                 await self.change_voters()
 
     async def change_voters(self) -> None:
         """Make all changes that can be made now, one voter after the other."""
         for _ in range(MAX_STEPS):
-            if not self.consensus.settled:
+            if not self.consensus.leader_ready:
                 return
             voter_set = self.voter_set()
             voters = next_voters(voter_set)
@@ -159,7 +159,7 @@
     def on_release_request(self, message: Message) -> Message:
         """Record that a node shuts down, and answer whether it may end now."""
         disk = str(message.get("disk"))
-        if not self.consensus.settled:
+        if not self.consensus.leader_ready:
             return {"ok": False, "may_end": False}
         self.leaving[disk] = self.scheduler.now()
         is_releasable = self.is_releasable(disk)
@@ -170,7 +170,7 @@
     def is_releasable(self, disk: str) -> bool:
         """Tell whether no committed entry needs a disk and no standby could take its place."""
         consensus = self.consensus
-        if consensus.changing_voters:
+        if consensus.voter_change_pending:
             return False
         if disk not in consensus.voters:
             return True
--- a/packages/testing/ryelock/testing/cases/control.py
+++ b/packages/testing/ryelock/testing/cases/control.py
@@ -222,7 +222,7 @@
     found.look("succession")
 
     def led() -> bool:
-        return any(scenario.node(other).core.consensus.settled for other in others)
+        return any(scenario.node(other).core.consensus.leader_ready for other in others)
 
     if not scenario.world.run_until(led, SUCCESSION_SECONDS):
         found.broken("succession", f"no leader {SUCCESSION_SECONDS} s after the isolation")
--- a/packages/testing/ryelock/testing/model/adapter.py
+++ b/packages/testing/ryelock/testing/model/adapter.py
@@ -12,8 +12,8 @@
 import cbor2
 
 from ryelock.consensus import Consensus, ConsensusSettings
-from ryelock.consensus.entries import Entry, EntryKind, Stored, voters_from_data
-from ryelock.consensus.log import RETAINED_BYTES
+from ryelock.consensus.entries import Entry, EntryKind, RecoveredState, decode_voters
+from ryelock.consensus.log import MAX_RETAINED_BYTES
 from ryelock.control_plane.departure import MAX_DEPARTURE_SECONDS, ConsensusDeparture
 from ryelock.control_plane.identity import open_disk, read_identity
 from ryelock.control_plane.process import FINISH_SECONDS
@@ -48,7 +48,7 @@
 @contextmanager
 def batch_limit(size: int) -> Iterator[None]:
     """Entries of one heartbeat stay below so many bytes (at least one entry is sent)."""
-    with mock.patch("ryelock.consensus.followers.BATCH_BYTES", size):
+    with mock.patch("ryelock.consensus.followers.MAX_BATCH_BYTES", size):
         yield
 
 
@@ -230,7 +230,9 @@
             lease_seconds=QUORUM_LEASE_SECONDS,
             replace_seconds=REPLACE_SECONDS,
             snapshot_records=snapshot_records,
-            retained_bytes=RETAINED_BYTES if snapshot_records == RETAINING_SNAPSHOT_RECORDS else 0,
+            max_retained_bytes=MAX_RETAINED_BYTES
+            if snapshot_records == RETAINING_SNAPSHOT_RECORDS
+            else 0,
         )
         self.consensus = Consensus(
             scheduler,
@@ -268,7 +270,7 @@
     @property
     def settled(self) -> bool:
         """Whether it leads and has seen an entry of its own term agreed."""
-        return self.consensus.settled
+        return self.consensus.leader_ready
 
     @property
     def applied(self) -> int:
@@ -363,7 +365,7 @@
 
     __slots__ = ("base_index", "base_term", "base_voters", "disk", "entries", "term", "voted")
 
-    def __init__(self, disk: str, stored: Stored) -> None:
+    def __init__(self, disk: str, stored: RecoveredState) -> None:
         """Take over what a fresh open replayed."""
         self.disk = disk
         self.term = stored.term
@@ -399,7 +401,7 @@
         """The snapshot's voters and those of each later entry, with their indexes."""
         found = [(self.base_index, dict(self.base_voters))] if self.base_voters else []
         found += [
-            (entry.index, voters_from_data(entry.data))
+            (entry.index, decode_voters(entry.data))
             for entry in self.entries
             if entry.kind == EntryKind.VOTERS
         ]
@@ -416,7 +418,7 @@
     found = open_journal(folder, SilentLog(), segment_bytes)
     if found.is_error():
         raise found.error
-    return DiskLog(disk, Stored(found.ok.snapshot, found.ok.records))
+    return DiskLog(disk, RecoveredState(found.ok.snapshot, found.ok.records))
 
 
 UNREADABLE = (JournalError, ValueError)
--- a/packages/testing/ryelock/testing/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -247,7 +247,7 @@
     def leader(self) -> str:
         """Return the settled leader's name; empty where there is none."""
         for name in self.alive(self.cores):
-            if self.node(name).core.consensus.settled:
+            if self.node(name).core.consensus.leader_ready:
                 return name
         return ""
 
--- a/packages/testing/ryelock/testing/scripted.py
+++ b/packages/testing/ryelock/testing/scripted.py
@@ -403,7 +403,7 @@
         """A leader, the configuration, and edges that are ready."""
         world = self.world
         cores = [world.nodes[name].core for name in self.cores]
-        if not world.run_until(lambda: any(core.consensus.settled for core in cores), 30):
+        if not world.run_until(lambda: any(core.consensus.leader_ready for core in cores), 30):
             raise AssertionError("no leader")
         given = {"id": "setup", "base": 0, "put": CONFIGURATION}
         found = world.task(
--- a/tests/consensus/test_compaction.py
+++ b/tests/consensus/test_compaction.py
@@ -5,7 +5,7 @@
 import testtools
 from consensus_lab import Lab
 
-from ryelock.consensus.compaction import Compaction, journal_bytes_most
+from ryelock.consensus.compaction import Compaction, journal_limit_bytes
 from ryelock.consensus.entries import Entry, EntryKind
 from ryelock.consensus.node import Consensus
 from ryelock.journal import FolderError, Journal
@@ -74,17 +74,17 @@
 
     def test_by_records_alone_the_disk_is_full_after_a_hundred(self) -> None:
         def by_records(compaction: Compaction, journal: Journal) -> bool:
-            return journal.written > compaction.records_most
+            return journal.written > compaction.max_records
 
         with mock.patch.object(Compaction, "due", by_records):
             self.assertLess(taken(DISK_BYTES, 900)[0], 101)
 
     def test_the_journal_grows_with_the_snapshot_as_far_as_the_disk_allows(self) -> None:
-        self.assertEqual(4_194_304, journal_bytes_most(0, 0))
-        self.assertEqual(20 * MEGABYTE, journal_bytes_most(10 * MEGABYTE, 0))
-        self.assertEqual(12 * MEGABYTE, journal_bytes_most(10 * MEGABYTE, 64 * MEGABYTE))
+        self.assertEqual(4_194_304, journal_limit_bytes(0, 0))
+        self.assertEqual(20 * MEGABYTE, journal_limit_bytes(10 * MEGABYTE, 0))
+        self.assertEqual(12 * MEGABYTE, journal_limit_bytes(10 * MEGABYTE, 64 * MEGABYTE))
         for snapshot in range(0, 14 * MEGABYTE, MEGABYTE):
-            most = journal_bytes_most(snapshot, 64 * MEGABYTE)
+            most = journal_limit_bytes(snapshot, 64 * MEGABYTE)
             self.assertTrue(2 * snapshot + most <= 32 * MEGABYTE, snapshot)
 
     def test_a_failed_snapshot_is_not_tried_again_at_once(self) -> None:
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -6,7 +6,7 @@
 
 from ryelock.consensus import majority_of
 from ryelock.consensus.entries import Voters
-from ryelock.consensus.membership import VOTERS_MOST, Standby, VoterSet, next_voters
+from ryelock.consensus.membership import MAX_VOTERS, Standby, VoterSet, next_voters
 
 STEPS_MOST = 20
 
@@ -23,7 +23,7 @@
 def every_membership() -> list[VoterSet]:
     """Each mix of live, lost and leaving voters with up to four spares; the leader is alive."""
     found: list[VoterSet] = []
-    for count in range(1, VOTERS_MOST + 2):
+    for count in range(1, MAX_VOTERS + 2):
         voters = disks(count, "voter")
         for states in product(("live", "lost", "leaving"), repeat=count - 1):
             state = dict(zip(voters[1:], states, strict=True))
@@ -43,7 +43,7 @@
 def after(membership: VoterSet, voters: Voters) -> VoterSet:
     return VoterSet(
         voters,
-        membership.own,
+        membership.own_disk,
         membership.lost,
         membership.leaving,
         tuple(spare for spare in membership.standbys if spare.disk not in voters),
@@ -61,8 +61,8 @@
             if voters is None:
                 continue
             self.assertEqual(1, len(set(voters) ^ set(membership.voters)), str(membership))
-            self.assertIn(membership.own, voters)
-            self.assertTrue(len(voters) <= VOTERS_MOST + 1)
+            self.assertIn(membership.own_disk, voters)
+            self.assertTrue(len(voters) <= MAX_VOTERS + 1)
 
     def test_no_step_bears_fewer_losses_than_the_one_before(self) -> None:
         for membership in every_membership():
@@ -96,7 +96,7 @@
     def assert_ended_well(self, first: VoterSet, last: VoterSet) -> None:
         alive = self.alive(first)
         staying = alive - first.leaving
-        if len(staying) >= VOTERS_MOST:
+        if len(staying) >= MAX_VOTERS:
             self.assertTrue(bearable(last.voters, alive) >= 2, (first, last))
         elif len(staying) >= 3:
             self.assertTrue(bearable(last.voters, alive) >= 1, (first, last))
--- a/tests/consensus/test_replicated_log.py
+++ b/tests/consensus/test_replicated_log.py
@@ -79,12 +79,12 @@
 
     def test_compaction_keeps_the_entries_behind_and_the_vote(self) -> None:
         self.fill(5, term=3)
-        self.assertTrue(self.log.save_lease_note(True))
+        self.assertTrue(self.log.save_lease_flag(True))
         self.assertTrue(self.log.compact(self.snapshot(3, 3)))
         for log in (self.log, self.reopened()):
             self.assertEqual([(4, 3), (5, 3)], positions(log))
             self.assertEqual((3, 3, 5), (log.snapshot.index, log.term_at(3), log.last_index))
-            self.assertEqual((3, "disk", True), (log.term, log.voted_for, log.lease_noted))
+            self.assertEqual((3, "disk", True), (log.term, log.voted_for, log.lease_may_be_active))
 
     def test_voters_are_those_of_the_last_entry_that_names_some(self) -> None:
         self.fill(2)
--- a/tests/consensus/test_replication.py
+++ b/tests/consensus/test_replication.py
@@ -8,8 +8,8 @@
 from consensus_lab import CountingMachine, Lab, entries
 
 from ryelock.consensus.entries import Entry, EntryKind, Snapshot
-from ryelock.consensus.followers import BATCH_BYTES, BATCH_BYTES_LEAST, Follower
-from ryelock.consensus.log import RETAINED_BYTES, ReplicatedLog
+from ryelock.consensus.followers import MAX_BATCH_BYTES, MIN_BATCH_BYTES, Follower
+from ryelock.consensus.log import MAX_RETAINED_BYTES, ReplicatedLog
 from ryelock.consensus.messages import AppendReply, VoteRequest
 from ryelock.consensus.node import Consensus
 from ryelock.consensus.replicator import Replicator
@@ -85,7 +85,7 @@
     def test_batches_of_one_size_never_cross_a_slow_link(self) -> None:
         batch = Replicator.batch
         with mock.patch.object(
-            Replicator, "batch", lambda leader, start, _most: batch(leader, start, BATCH_BYTES)
+            Replicator, "batch", lambda leader, start, _most: batch(leader, start, MAX_BATCH_BYTES)
         ):
             lab = Lab()
             self.assertTrue(lab.leader.replicated_log.append(entries(1, 200, 1, 5000)))
@@ -130,16 +130,16 @@
             self.assertTrue(log.append(entries(last - 99, last, 1, 10_000)))
             self.assertTrue(log.compact(Snapshot(last, 1, {}, b"", last)))
         size = sum(len(entry.data) for entry in log.retained)
-        self.assertTrue(RETAINED_BYTES // 2 < size < RETAINED_BYTES, size)
+        self.assertTrue(MAX_RETAINED_BYTES // 2 < size < MAX_RETAINED_BYTES, size)
         self.assertEqual(1000, log.retained[-1].index)
-        self.assertEqual(log.retained_from, log.retained[0].index)
-        self.assertFalse(log.reaches_back(log.retained_from - 1))
-        self.assertTrue(log.reaches_back(log.retained_from))
-        self.assertIsNone(lab.leader.commands_since(log.retained_from - 2))
+        self.assertEqual(log.first_retained_index, log.retained[0].index)
+        self.assertFalse(log.has_term_at(log.first_retained_index - 1))
+        self.assertTrue(log.has_term_at(log.first_retained_index))
+        self.assertIsNone(lab.leader.commands_since(log.first_retained_index - 2))
         again = lab.consensus("leader", lab.leader.replicated_log.journal.folder)  # type: ignore[arg-type]
         self.assertEqual((1000, []), (again.snapshot.index, again.replicated_log.retained))
-        self.assertTrue(again.replicated_log.reaches_back(1000))
-        self.assertFalse(again.replicated_log.reaches_back(999))
+        self.assertTrue(again.replicated_log.has_term_at(1000))
+        self.assertFalse(again.replicated_log.has_term_at(999))
 
     def test_a_snapshot_crosses_in_chunks_also_over_a_slow_link(self) -> None:
         lab = self.with_snapshot(3_000_000)
@@ -256,18 +256,18 @@
         lab.lead(2)
         self.assertTrue(lab.leader.replicated_log.append(entries(201, 201, 2)))
         lab.leader.applier.advance(201)
-        self.assertEqual((201, False), (lab.leader.commit_index, lab.leader.settled))
+        self.assertEqual((201, False), (lab.leader.commit_index, lab.leader.leader_ready))
         while lab.leader.applied_index < 201:
-            self.assertFalse(lab.leader.settled)
+            self.assertFalse(lab.leader.leader_ready)
             lab.leader.applier.apply_committed()
-        self.assertTrue(lab.leader.settled)
+        self.assertTrue(lab.leader.leader_ready)
 
     def test_an_entry_larger_than_a_batch_still_crosses(self) -> None:
         lab = Lab()
-        self.assertTrue(lab.leader.replicated_log.append(entries(1, 3, 1, 4 * BATCH_BYTES_LEAST)))
+        self.assertTrue(lab.leader.replicated_log.append(entries(1, 3, 1, 4 * MIN_BATCH_BYTES)))
         lab.lead(2)
         lab.peer.next_index = 1
-        lab.peer.batch_bytes = BATCH_BYTES_LEAST
+        lab.peer.batch_bytes = MIN_BATCH_BYTES
         self.assertLess(lab.rounds_until_level(20), 10)
 
 
@@ -332,7 +332,7 @@
 
     def test_a_snapshot_that_drops_the_entries_behind_it_forgets(self) -> None:
         def install(log: ReplicatedLog, snapshot: Snapshot) -> bool:
-            return log.replace_start(snapshot, [])
+            return log.replace_prefix(snapshot, [])
 
         with mock.patch.object(ReplicatedLog, "install", install):
             self.assertRaises(AssertionError, self.forgets)
--- a/tests/edge/test_lapse.py
+++ b/tests/edge/test_lapse.py
@@ -150,10 +150,10 @@
         reset = ElectionTimer.reset
 
         def usual(timer: ElectionTimer) -> None:
-            heard_at = timer.state.leader_heard_at
-            timer.state.leader_heard_at = -1e6 if heard_at is None else heard_at
+            heard_at = timer.state.last_leader_contact_at
+            timer.state.last_leader_contact_at = -1e6 if heard_at is None else heard_at
             reset(timer)
-            timer.state.leader_heard_at = heard_at
+            timer.state.last_leader_contact_at = heard_at
 
         with mock.patch.object(ElectionTimer, "reset", usual):
             found = [self.lose_all(lapsing(seed)) for seed in range(10, 16)]
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -130,7 +130,7 @@
 
     def found(self, voters: dict[str, str]) -> None:
         """Write the first term and entry."""
-        assert self.log.begin(1, Entry(1, 1, "voters", cbor2.dumps(voters)))
+        assert self.log.bootstrap(1, Entry(1, 1, "voters", cbor2.dumps(voters)))
 
     def vote(self, term: int, voted: str) -> None:
         """Write a term and the vote given in it."""
@@ -138,7 +138,7 @@
 
     def promise(self, noted: bool) -> None:
         """Write whether a promise may stand."""
-        assert self.log.save_lease_note(noted)
+        assert self.log.save_lease_flag(noted)
 
     def append(self, first: int, term: int, batch: list[tuple[str, bytes]]) -> None:
         """Write entries of one term from an index on."""
@@ -208,7 +208,7 @@
             "disk": self.disk,
             "term": log.term,
             "vote": log.voted_for,
-            "promise_noted": log.lease_noted,
+            "promise_noted": log.lease_may_be_active,
             "snapshot": {
                 "index": log.snapshot.index,
                 "term": log.snapshot.term,
@@ -224,7 +224,7 @@
                     "kind": entry.kind,
                     "data": decoded(entry.data),
                     "bytes": entry.data,
-                    "repeated": entry.repeated,
+                    "repeated": entry.is_duplicate,
                 }
                 for entry in log.entries
             ],
--- a/tests/platform/test_platform_configuration.py
+++ b/tests/platform/test_platform_configuration.py
@@ -427,7 +427,9 @@
             deployment.operator_node.scheduler.create_task(send(), name="operator")
             deployment.world.run(0.01 * (seed - 50))
             leader = next(
-                name for name in deployment.cores if deployment.node(name).core.consensus.settled
+                name
+                for name in deployment.cores
+                if deployment.node(name).core.consensus.leader_ready
             )
             deployment.kill(leader)
             deployment.world.run(1)
--- a/tests/platform/test_platform_shapes.py
+++ b/tests/platform/test_platform_shapes.py
@@ -61,7 +61,7 @@
     def test_five_zones_with_three_edges_each_make_one_core(self) -> None:
         deployment = Deployment(7, FIVE, edges=3, servers=1).set_up()
         leaders = [
-            name for name in deployment.cores if deployment.node(name).core.consensus.settled
+            name for name in deployment.cores if deployment.node(name).core.consensus.leader_ready
         ]
         self.assertEqual(1, len(leaders))
         deployment.world.run(10)
--- a/tests/project/test_rules.py
+++ b/tests/project/test_rules.py
@@ -131,10 +131,10 @@
 
 
 def alone_is_a_majority() -> list[Patch]:
-    def count_commit(replicator: Replicator) -> None:
+    def advance_commit_index(replicator: Replicator) -> None:
         replicator.applier.advance(replicator.state.last_index)
 
-    return [mock.patch.object(Replicator, "count_commit", count_commit)]
+    return [mock.patch.object(Replicator, "advance_commit_index", advance_commit_index)]
 
 
 def declined_takes_effect() -> list[Patch]:
--- a/tests/support/consensus_takeouts.py
+++ b/tests/support/consensus_takeouts.py
@@ -65,10 +65,10 @@
 def older_terms_counted() -> Iterator[None]:
     """An entry of an older term counts as committed once it stands on a majority."""
     counting = [False]
-    count, advance = Replicator.count_commit, CommittedApplier.advance
+    count, advance = Replicator.advance_commit_index, CommittedApplier.advance
     term_at = MemberState.term_at
 
-    def count_commit(replicator: Replicator) -> None:
+    def advance_commit_index(replicator: Replicator) -> None:
         counting[0] = True
         try:
             count(replicator)
@@ -83,7 +83,7 @@
         return state.term if counting[0] else term_at(state, index)
 
     with (
-        mock.patch.object(Replicator, "count_commit", count_commit),
+        mock.patch.object(Replicator, "advance_commit_index", advance_commit_index),
         mock.patch.object(CommittedApplier, "advance", advancing),
         mock.patch.object(MemberState, "term_at", pretended),
     ):
@@ -180,7 +180,7 @@
         return next_index_after(replicator, follower, reply, last_index)
 
     def install(log: ReplicatedLog, snapshot: Snapshot) -> bool:
-        return log.replace_start(snapshot, [])
+        return log.replace_prefix(snapshot, [])
 
     with (
         mock.patch.object(ReplicatedLog, "install", install),
@@ -191,7 +191,9 @@
 
 def unchecked_voters() -> AbstractContextManager[object]:
     """A change of voters is not checked where it is appended."""
-    return mock.patch.object(Proposals, "reason_against", lambda _proposals, _voters, _entries: "")
+    return mock.patch.object(
+        Proposals, "voter_change_rejection", lambda _proposals, _voters, _entries: ""
+    )
 
 
 def base_unchecked() -> AbstractContextManager[object]:
--- a/tests/support/simulated_client.py
+++ b/tests/support/simulated_client.py
@@ -53,7 +53,7 @@
 
 def leads(node: SimNode) -> bool:
     """Return whether a control node leads and has settled."""
-    return node.core.consensus.settled
+    return node.core.consensus.leader_ready
 
 
 def takes_traffic(node: SimNode) -> bool:
