--- a/packages/consensus/ryelock/consensus/__init__.py
+++ b/packages/consensus/ryelock/consensus/__init__.py
@@ -1,7 +1,7 @@
-"""Raft consensus among the control nodes: one leader a term, one replicated log.
+"""Raft consensus among the control nodes: one leader per term, one replicated log.
 
-An entry is committed once a majority of the voters' disks has synced it. `Consensus` (node.py) is
-one member; see docs/parts/consensus.md for its use and its parts.
+An entry is committed once a majority of the voters has synced it to disk. `Consensus` (node.py) is
+a member of the group; docs/parts/consensus.md describes its use and its components.
 """
 
 from ryelock.consensus.entries import Entry, EntryKind, Snapshot, Voters, majority_of
--- a/packages/consensus/ryelock/consensus/election.py
+++ b/packages/consensus/ryelock/consensus/election.py
@@ -1,7 +1,7 @@
-"""Elections: pre-vote, campaign and votes (Raft, section 5.2; dissertation, section 9.6).
+"""Leader election: pre-vote, campaign and voting (Raft, section 5.2; dissertation, section 9.6).
 
-The leader of a term is elected by a majority that persisted its vote; a pre-vote comes first and
-disturbs nobody.
+A candidate becomes leader of a term once a majority has persisted votes for it. A pre-vote runs
+first, so that a candidate that cannot win does not raise the term and depose a healthy leader.
 """
 
 from dataclasses import dataclass
@@ -27,32 +27,38 @@
 from ryelock.runtime import Queue
 
 DISK_RETRY_SECONDS = 2.0
-"""A member whose disk refused a write does not campaign for so long."""
+"""How long a member does not campaign after a failed disk write."""
 VOTE_TIMEOUTS = 0.8
-"""Election timeouts that a candidate waits for votes."""
+"""How long a candidate waits for votes, in election timeouts."""
 PROBE_REPLY_TIMEOUTS = 0.3
-"""Election timeouts that a probe waits for one reply."""
+"""RPC timeout of a reachability probe, in election timeouts."""
 PROBE_WAIT_TIMEOUTS = 0.4
-"""Election timeouts that a probe waits for the next of its replies."""
+"""How long a reachability probe waits for each next response, in election timeouts."""
 PROBE_SILENCE_TIMEOUTS = 0.5
-"""Election timeouts without a leader after which the voters are probed."""
+"""How long without leader contact before the voters are probed, in election timeouts."""
 PROBE_INTERVAL_TIMEOUTS = 0.6
+"""Minimum interval between probes, in election timeouts."""
 
 
 @dataclass(frozen=True, slots=True)
 class VoterResponse:
-    """What one voter replied."""
+    """A voter's response to a vote request or a reachability probe.
+
+    Attributes:
+        granted: True if the voter granted its vote.
+        reached: True if the addressed voter itself replied.
+    """
 
     granted: bool
     reached: bool
 
 
 class Election:
-    """Campaigns when the timer expires, and votes.
+    """Runs campaigns when the election timer expires, and votes for other candidates.
 
     Attributes:
-        campaign_number: The number of the newest campaign; an older one ends when it sees that.
-        probed_at: When the voters were last asked whether they can be reached.
+        campaign_number: The number of the newest campaign; older campaigns abort.
+        probed_at: When the voters were last probed for reachability.
     """
 
     __slots__ = (
@@ -75,7 +81,7 @@
         lease: QuorumLease,
         leadership: Leadership,
     ) -> None:
-        """Create the election part of a member."""
+        """Create the election component of a member."""
         self.state = state
         self.rpc = rpc
         self.events = events
@@ -88,7 +94,7 @@
     # Voting.
 
     def on_vote(self, request: VoteRequest) -> VoteReply:
-        """Vote for a candidate, or tell how a vote would go."""
+        """Handle a vote request; a pre-vote gets the answer without recording a vote."""
         if request.recipient != self.state.disk:
             return self.vote_reply(other_disk=True)
         if not self.may_vote_for(request):
@@ -98,17 +104,17 @@
         return self.vote_reply(granted=self.vote_for(request.term, request.candidate))
 
     def vote_reply(self, granted: bool = False, other_disk: bool = False) -> VoteReply:
-        """Return a reply of this member as it is now."""
+        """Return a vote reply with this member's current term."""
         term = Natural(self.state.term)
         return VoteReply(sender=self.state.disk, term=term, granted=granted, other_disk=other_disk)
 
     def may_vote_for(self, request: VoteRequest) -> bool:
-        """Whether a candidate may have this member's vote, now and with that log.
+        """Return True if this member's state and the candidate's log allow granting the vote.
 
-        A member that hears a leader votes for nobody (dissertation, section 4.2.3): a server that
-        was removed or cut off would depose a healthy leader. The leader's own successor is the
-        exception (section 3.10). The log must be at least as up-to-date as this one, so that a
-        leader has all committed entries (Raft, section 5.4.1).
+        A member in contact with a leader grants no vote (dissertation, section 4.2.3): otherwise a
+        removed or partitioned server would depose a healthy leader. The exception is a leadership
+        transfer (section 3.10). The candidate's log must be at least as up-to-date as this one, so
+        that every leader has all committed entries (Raft, section 5.4.1).
         """
         if self.lease.active:
             return False
@@ -118,11 +124,11 @@
         return up_to_date and request.term >= self.state.term
 
     def vote_for(self, term: int, candidate: str) -> bool:
-        """Give the one vote of a term; False where it is given or the disk refused."""
+        """Cast the vote of a term; return False if it was cast for another or the write failed."""
         if term == self.state.term and self.state.replicated_log.voted_for not in ("", candidate):
             return False
         self.leadership.step_down("another election")
-        # The vote must be on disk before the reply: a restarted member must not vote twice.
+        # Persist the vote before replying, so that a restarted member cannot vote twice in a term.
         if not self.state.save_vote(term, candidate):
             return False
         self.timer.reset()
@@ -131,14 +137,14 @@
     # Campaigning.
 
     def on_timeout_now(self, request: TimeoutNowRequest) -> TimeoutNowReply:
-        """Campaign at once, without a pre-vote: the leader names this member its successor."""
+        """Campaign immediately without a pre-vote, as the leader transfers leadership to us."""
         if request.term != self.state.term or not self.state.may_campaign:
             return TimeoutNowReply(ok=False)
         self.start_campaign(pre_vote=False)
         return TimeoutNowReply(ok=True)
 
     def check_timers(self) -> None:
-        """Probe the voters or campaign, if it is time; the owner's task, while not leading."""
+        """Start a reachability probe or a campaign if due; called by the owner of a non-leader."""
         if not self.state.may_campaign:
             return
         self.probe_if_due()
@@ -150,7 +156,7 @@
         self.start_campaign(pre_vote=True)
 
     def probe_if_due(self) -> None:
-        """Start a probe of the voters once the leader has been silent for a while."""
+        """Start a reachability probe if there has been no leader contact for a while."""
         now = self.state.now()
         timeout = self.state.settings.election_timeout
         silence = seconds_since(now, self.state.last_leader_contact_at)
@@ -162,10 +168,10 @@
             self.state.scheduler.create_task(self.probe_voters(), name="consensus reach")
 
     async def probe_voters(self) -> None:
-        """Find out early whether a majority of voters can be reached at all.
+        """Check whether a majority of the voters is reachable, without waiting for an election.
 
-        An election takes longer to fail than an edge's lease lasts, and a quota share that lapsed
-        cannot be taken up again; voters grant leases as soon as this probe fails.
+        An election takes longer to fail than an edge's lease lasts, and an expired quota share
+        cannot be resumed, so voters may grant leases to edges as soon as this probe fails.
         """
         timeout = self.state.settings.election_timeout
         voters = dict(self.state.voters)
@@ -183,14 +189,14 @@
         self.lease.record_reachability(reached >= majority_of(len(voters)))
 
     def start_campaign(self, pre_vote: bool) -> None:
-        """Start a campaign, which replaces one that is under way."""
+        """Start a campaign, replacing any campaign in progress."""
         self.campaign_number += 1
         self.state.scheduler.create_task(
             self.campaign(self.campaign_number, pre_vote), name="consensus election"
         )
 
     async def campaign(self, number: int, pre_vote: bool) -> None:
-        """Ask for votes, after a pre-vote unless the leader asked for this campaign."""
+        """Request votes for the next term; a leadership transfer skips the pre-vote."""
         if pre_vote and not await self.win_pre_vote(number):
             return
         if self.state.is_leader:
@@ -209,11 +215,11 @@
             self.state.role = Role.FOLLOWER
 
     def is_candidate_of(self, term: int) -> bool:
-        """Whether this member is a candidate of a term still."""
+        """Return True if this member is still a candidate in a term."""
         return self.state.term == term and self.state.role is Role.CANDIDATE
 
     async def win_pre_vote(self, number: int) -> bool:
-        """Whether a majority would vote for this member, and it may still campaign then."""
+        """Return True if a majority granted a pre-vote and the campaign is still valid."""
         won, reached = await self.gather_votes(self.state.term + 1, pre_vote=True, transfer=False)
         if number != self.campaign_number or self.state.is_leader:
             return False
@@ -221,7 +227,7 @@
         return won and not self.lease.active and not self.state.knows_leader()
 
     async def gather_votes(self, term: int, pre_vote: bool, transfer: bool) -> tuple[bool, bool]:
-        """Return whether a majority granted its vote, and whether a majority replied at all."""
+        """Request votes; return (a majority granted its vote, a majority was reached)."""
         voters = dict(self.state.voters)
         if not self.state.may_campaign:
             return False, False
@@ -238,7 +244,7 @@
     async def count_responses(
         self, voters: dict[str, str], responses: Queue[VoterResponse], timeout: float
     ) -> tuple[bool, bool]:
-        """Count votes and replies until a majority has granted, all replied, or time is up."""
+        """Count responses until a majority grants, all voters respond, or the timeout passes."""
         own = int(self.state.disk in voters)
         granted, reached, counted = own, own, own
         needed = majority_of(len(voters))
@@ -253,7 +259,7 @@
         return granted >= needed, reached >= needed
 
     def vote_request(self, disk: str, term: int, pre_vote: bool, transfer: bool) -> VoteRequest:
-        """Return the request for one voter's vote."""
+        """Build the vote request to one voter."""
         last_term, last_index = self.state.last_position()
         return VoteRequest(
             recipient=disk,
@@ -268,7 +274,7 @@
     async def query_voter(
         self, address: str, request: Request, timeout: float, responses: Queue[VoterResponse]
     ) -> None:
-        """Ask one voter, and put what it replies into a queue."""
+        """Send a request to one voter and queue its response."""
         result = await self.rpc.call(address, request_to_wire(request), timeout)
         if result.is_error():
             responses.put(VoterResponse(granted=False, reached=False))
--- a/packages/consensus/ryelock/consensus/joining.py
+++ b/packages/consensus/ryelock/consensus/joining.py
@@ -1,4 +1,4 @@
-"""How a disk becomes a member: bootstrapped with the other empty seeds, or as a learner."""
+"""Joining the group: bootstrap with the other empty seeds, or join the leader as a learner."""
 
 from collections import Counter
 
@@ -24,13 +24,13 @@
 from ryelock.runtime import Queue
 
 STATUS_SECONDS = 0.5
-"""Seconds that other members get to answer who they are."""
+"""RPC timeout of status and join requests."""
 JOIN_INTERVAL_SECONDS = 0.5
 JOIN_JITTER_SECONDS = 0.2
 
 
 class Joining:
-    """Finds the leader and joins it; bootstraps the cluster where all seeds are empty."""
+    """Finds the leader and joins it, or bootstraps the cluster if all seeds are empty."""
 
     __slots__ = ("events", "followers", "replicator", "rpc", "seeds", "state", "timer")
 
@@ -44,7 +44,7 @@
         replicator: Replicator,
         seeds: tuple[str, ...],
     ) -> None:
-        """Create the joining part of a member; `seeds` are addresses."""
+        """Create the joining component of a member; `seeds` are addresses."""
         self.state = state
         self.rpc = rpc
         self.events = events
@@ -53,10 +53,10 @@
         self.replicator = replicator
         self.seeds = seeds
 
-    # Requests of others.
+    # Requests from other members.
 
     def on_status(self, _: StatusRequest) -> StatusReply:
-        """Tell who this member is and whom it follows."""
+        """Handle a status request."""
         state = self.state
         known = state.knows_leader()
         return StatusReply(
@@ -71,7 +71,7 @@
         )
 
     def on_join(self, request: JoinRequest) -> StatusReply:
-        """Replicate to another disk as a learner, where this member leads."""
+        """Handle a join request: a leader starts to replicate to the sender as a learner."""
         state = self.state
         if state.is_leader and request.sender != state.disk:
             self.followers.learners[request.sender] = (request.address, state.now())
@@ -82,10 +82,10 @@
     # The joining task.
 
     async def run(self) -> None:
-        """Bootstrap or ask to join, whenever this disk is no voter or hears no leader.
+        """Bootstrap or request to join, whenever this disk is not a voter or has no leader.
 
-        A voter that was away may have been removed meanwhile, and nobody sends it heartbeats any
-        more; so the task goes on for the life of the process.
+        The task runs for the lifetime of the process, because a voter may be removed while it is
+        unreachable, and then no longer receives heartbeats.
         """
         while True:
             if self.state.disk not in self.state.voters or not self.state.knows_leader():
@@ -98,7 +98,7 @@
             await self.state.scheduler.sleep(JOIN_INTERVAL_SECONDS + jitter)
 
     async def query_members(self) -> dict[str, SeedReply]:
-        """Return what the seeds and the known voters answer in time, by address."""
+        """Query the seeds, known voters and leader; return the timely replies by address."""
         state = self.state
         known = {*self.seeds, *state.voters.values(), state.leader_address}
         addresses = known - {"", state.address}
@@ -119,19 +119,19 @@
         return replies
 
     def own_reply(self) -> SeedReply:
-        """Return what this member would answer itself."""
+        """Return this member's own reply to a status request."""
         own = self.on_status(StatusRequest())
         return SeedReply(sender=own.sender, empty=own.empty, leader_address=own.leader_address)
 
     async def query_member(self, address: str, found: Queue[tuple[str, SeedReply | None]]) -> None:
-        """Ask one address who is there, and put the reply (None: no use) into a queue."""
+        """Send a status request to an address and queue the reply, or None if it failed."""
         result = await self.rpc.call(address, request_to_wire(StatusRequest()), STATUS_SECONDS)
         found.put((address, decode_seed_reply(result.ok) if result.is_ok() else None))
 
     def may_bootstrap_with(self, replies: dict[str, SeedReply]) -> bool:
-        """Whether this and every other seed answered, and all that have a disk are empty.
+        """Return True if every seed replied and all seeds with a disk are empty and distinct.
 
-        A seed that did not answer may hold the log of a cluster that exists.
+        A seed that did not reply may have the log of an existing cluster.
         """
         seed_replies = [replies.get(seed, SeedReply()) for seed in self.seeds]
         with_disk = [reply for reply in seed_replies if not reply.diskless]
@@ -145,11 +145,11 @@
         )
 
     def initial_voters(self, replies: dict[str, SeedReply]) -> Voters:
-        """Return all seeds that have a disk."""
+        """Return the seeds that have a disk."""
         return {replies[seed].sender: seed for seed in self.seeds if replies[seed].sender}
 
     async def join_leader(self, replies: dict[str, SeedReply]) -> None:
-        """Ask the leader that most of the others name to replicate to this disk."""
+        """Send a join request to the leader that most replies name."""
         named = [reply.leader_address for reply in replies.values()]
         counts = Counter(address for address in named if address not in ("", self.state.address))
         if not counts:
@@ -159,7 +159,7 @@
         await self.rpc.call(leader, request_to_wire(request), STATUS_SECONDS)
 
     def bootstrap(self, voters: Voters) -> None:
-        """Write the first entry; it is the same on all seeds, whoever is first."""
+        """Write the first log entry, which is identical on all seeds."""
         log = self.state.replicated_log
         if not log.empty:
             return
@@ -171,7 +171,7 @@
 
 
 def decode_seed_reply(message: object) -> SeedReply | None:
-    """Return a member's reply, or None where it is no member's or malformed."""
+    """Decode a status reply; return None if it is malformed or not from a member."""
     try:
         reply = decode(SeedReply, message)
     except MalformedMessageError:
--- a/packages/consensus/ryelock/consensus/log.py
+++ b/packages/consensus/ryelock/consensus/log.py
@@ -1,9 +1,8 @@
-"""The durable replicated log of one member: term, vote, snapshot and the entries behind it.
+"""The durable replicated log of a member: term, vote, snapshot and the entries after it.
 
-`ReplicatedLog` holds what Raft calls persistent state (figure 2) and nothing else: it knows no
-network, no clock and no role, so that it can be tested alone. Each method that changes the log
-writes it to the journal first; where the journal fails, the log in memory stays as it was and the
-method returns False.
+`ReplicatedLog` holds Raft's persistent state (figure 2) and does not depend on network, clock or
+role, so that it can be tested in isolation. Every method that changes the log writes to the journal
+first; if that fails, it leaves the log in memory unchanged and returns False.
 """
 
 from bisect import bisect_left, bisect_right
@@ -22,20 +21,20 @@
 from ryelock.journal import Journal
 
 MAX_RETAINED_BYTES = 1_048_576
-"""The most bytes of entries remaining in memory behind the snapshot that replaced them."""
+"""Maximum size of the compacted entries that are kept in memory."""
 VOTERS, COMMAND = EntryKind.VOTERS, EntryKind.COMMAND
-"""Looked up once: the loops over all entries below are on the replication path."""
+"""Module globals, since loops over all entries on the replication path compare with them."""
 ENTRY_OVERHEAD_BYTES = 32
-"""What an entry counts excluding its data."""
+"""Bytes counted per entry in addition to its data."""
 
 
 def term_of(entry: Entry) -> int:
-    """Return the key by which a log's entries are in order."""
+    """Return the bisection key of an entry; terms never decrease along a log."""
     return entry.term
 
 
 def newest_entries(entries: list[Entry], max_bytes: int) -> list[Entry]:
-    """Return the last entries that come to so many bytes at most."""
+    """Return the longest tail of the entries that fits into `max_bytes`."""
     size = 0
     for position in range(len(entries) - 1, -1, -1):
         size += len(entries[position].data) + ENTRY_OVERHEAD_BYTES
@@ -45,17 +44,17 @@
 
 
 class ReplicatedLog:
-    """Entries with indexes from `snapshot.index + 1` up to `last_index`, without a gap.
+    """The log of a member: entries from `snapshot.index + 1` to `last_index`, without gaps.
 
     Attributes:
         term: The current term.
-        voted_for: The disk that got this member's vote in it; empty where none did.
-        lease_may_be_active: Whether a lease that this voter granted may be in force.
-        snapshot: What replaced the entries up to its index.
-        entries: The entries behind the snapshot.
-        retained: The last entries that the snapshot replaced, remaining in memory for replicas that
-            are only a little behind; they end at the snapshot's index and go with a restart.
-        restored: Whether the disk held anything when it was opened.
+        voted_for: The disk ID of the candidate voted for in this term; empty if none.
+        lease_may_be_active: True if a lease granted by this voter may still be active.
+        snapshot: The snapshot that replaced all entries up to its index.
+        entries: The entries after the snapshot.
+        retained: The newest compacted entries, up to the snapshot's index. They stay in memory for
+            replicas that lag only a little, and are lost on restart.
+        restored: True if the disk had content when it was opened.
     """
 
     __slots__ = (
@@ -71,7 +70,7 @@
     )
 
     def __init__(self, journal: Journal, max_retained_bytes: int = MAX_RETAINED_BYTES) -> None:
-        """Take over what an opened journal gave back; raises ValueError on what is no record."""
+        """Restore the log from an open journal; raises ValueError on an invalid record."""
         stored = RecoveredState(journal.snapshot, journal.records)
         self.journal = journal
         self.restored = journal.snapshot is not None or bool(journal.records)
@@ -85,73 +84,73 @@
         self.voted_for = stored.voted_for
         self.lease_may_be_active = stored.lease_may_be_active
 
-    # Reading.
+    # Read access.
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry; the snapshot's where there is none behind it."""
+        """The index of the last entry, or of the snapshot if no entry follows it."""
         return self.snapshot.index + len(self.entries)
 
     @property
     def empty(self) -> bool:
-        """Whether nothing was ever written to this disk."""
+        """True if nothing was ever written to this disk."""
         return not self.restored and not self.entries and self.term == 0
 
     def term_at(self, index: int) -> int:
-        """Return the term at an index that is retained, the snapshot's or behind it."""
+        """Return the term at an index; the index must satisfy `has_term_at`."""
         if index == self.snapshot.index:
             return self.snapshot.term
         return self.entry_at(index).term
 
     def entry_at(self, index: int) -> Entry:
-        """Return the entry at an index that is retained or behind the snapshot."""
+        """Return the entry at an index that is retained or after the snapshot."""
         position = index - self.snapshot.index - 1
         return self.entries[position] if position >= 0 else self.retained[position]
 
     @property
     def first_retained_index(self) -> int:
-        """The first index that is retained; the one behind the snapshot where none is."""
+        """The first retained index, or the index after the snapshot if nothing is retained."""
         return self.snapshot.index + 1 - len(self.retained)
 
     def has_term_at(self, index: int) -> bool:
-        """Whether the entry at an index is known, or is the last that the snapshot replaced."""
+        """Return True if the term at an index is still available despite compaction."""
         return index >= min(self.first_retained_index, self.snapshot.index)
 
     def entries_from(self, index: int) -> list[Entry]:
-        """Return all entries from an index on; the index lies behind the snapshot."""
+        """Return all entries from an index onwards; the index must be after the snapshot."""
         return self.entries[index - self.snapshot.index - 1 :]
 
     def contains(self, index: int, term: int) -> bool:
-        """Whether the log has an entry of that term at that index, or its snapshot ends there."""
+        """Return True if the log or the end of its snapshot has that term at that index."""
         return self.snapshot.index <= index <= self.last_index and self.term_at(index) == term
 
     def first_index_of_term_at(self, index: int) -> int:
-        """Return the first index behind the snapshot that has the same term as an index."""
+        """Return the first index after the snapshot with the same term as the entry at `index`."""
         term = self.term_at(index)
         return self.snapshot.index + 1 + bisect_left(self.entries, term, key=term_of)
 
     def last_index_of_terms_until(self, term: int) -> int:
-        """Return the last index whose entry's term is not above one; else the snapshot's."""
+        """Return the last index with a term of at most `term`, or else the snapshot's index."""
         return self.snapshot.index + bisect_right(self.entries, term, key=term_of)
 
     def voters_at(self, index: int) -> Voters:
-        """Return the voters as the entries up to an index name them, committed or not."""
+        """Return the voters set by the newest voter entry up to an index, committed or not."""
         for entry in reversed(self.entries[: index - self.snapshot.index]):
             if entry.kind is VOTERS:
                 return decode_voters(entry.data)
         return self.snapshot.voters
 
     def configuration_position(self) -> tuple[int, int]:
-        """Return term and index up to which this log certainly names the newest voters it knows."""
+        """Return (term, index) of the newest voter entry, or of the snapshot if there is none."""
         for entry in reversed(self.entries):
             if entry.kind is VOTERS:
                 return entry.term, entry.index
         return self.snapshot.term, self.snapshot.index
 
     def commands_between(self, index: int, last: int) -> list[tuple[int, bytes]]:
-        """Return the commands behind an index, up to the last, that a replica has to apply.
+        """Return the commands that a replica must apply after `index`, up to and including `last`.
 
-        Both indexes lie within the log, and all up to the last were applied here.
+        Both indexes must be in the log, and all entries up to `last` must be applied here.
         """
         between = self.entries[max(0, index - self.snapshot.index) : last - self.snapshot.index]
         if index < self.snapshot.index:
@@ -169,25 +168,25 @@
                 return entry.index
         return self.snapshot.command_index
 
-    # Changing.
+    # Changes.
 
     def save_vote(self, term: int, voted_for: str) -> bool:
-        """Enter a term, with the vote given in it (Raft, section 5.2)."""
+        """Persist a term and the vote cast in it (Raft, section 5.2)."""
         if self.journal.write([vote_record(term, voted_for)]).is_error():
             return False
         self.term = term
         self.voted_for = voted_for
         return True
 
-    def save_lease_flag(self, noted: bool) -> bool:
-        """Note on disk that a lease may be in force, or that none is."""
-        if self.journal.write([promise_record(noted)]).is_error():
+    def save_lease_flag(self, may_be_active: bool) -> bool:
+        """Persist whether a lease granted by this voter may be active."""
+        if self.journal.write([promise_record(may_be_active)]).is_error():
             return False
-        self.lease_may_be_active = noted
+        self.lease_may_be_active = may_be_active
         return True
 
     def bootstrap(self, term: int, entry: Entry) -> bool:
-        """Write the first term and entry of an empty log in one."""
+        """Write the first term and the first entry of an empty log in one batch."""
         if self.journal.write([vote_record(term, ""), entry_record(entry)]).is_error():
             return False
         self.term = term
@@ -195,10 +194,10 @@
         return True
 
     def append(self, entries: list[Entry]) -> bool:
-        """Write the entries that are missing; the first one of another term cuts the tail off.
+        """Append the missing entries; an entry of a conflicting term truncates the log first.
 
-        Entries that the log has already stay, whatever is behind them: a request that was delayed
-        must not cut off what a later one appended (Raft, section 5.3 and figure 2, AppendEntries).
+        Entries that the log already has are skipped and do not truncate it: a delayed request must
+        not remove what a later request appended (Raft, section 5.3 and figure 2, AppendEntries).
         """
         missing = list(entries)
         while missing and missing[0].index <= self.last_index:
@@ -215,7 +214,7 @@
         return True
 
     def compact(self, snapshot: Snapshot) -> bool:
-        """Replace this log's own entries by a snapshot; the last of them are retained."""
+        """Replace applied entries by a snapshot; the newest of them are retained in memory."""
         replaced = self.retained + self.entries[: snapshot.index - self.snapshot.index]
         if not self.replace_prefix(snapshot, self.entries_from(snapshot.index + 1)):
             return False
@@ -223,10 +222,11 @@
         return True
 
     def install(self, snapshot: Snapshot) -> bool:
-        """Take a leader's snapshot, which reaches farther than what this member has applied.
+        """Install a leader's snapshot that ends after the entries this member has applied.
 
-        Where the entry at its end has its term the logs agree up to there, and the entries behind
-        it stay: they were acknowledged, and a leader may count on them (Raft, section 7).
+        If the log has the snapshot's term at its index, the logs agree up to there and the entries
+        after it are kept: they were acknowledged, and a leader may have counted them towards a
+        commit (Raft, section 7).
         """
         agrees = self.contains(snapshot.index, snapshot.term)
         if not self.replace_prefix(
@@ -237,7 +237,7 @@
         return True
 
     def replace_prefix(self, snapshot: Snapshot, remaining: list[Entry]) -> bool:
-        """Write a snapshot with the entries behind it; False where the disk refused."""
+        """Write a snapshot and the entries after it; return False if the write failed."""
         records = [
             vote_record(self.term, self.voted_for),
             promise_record(self.lease_may_be_active),
--- a/packages/consensus/ryelock/consensus/log_receiver.py
+++ b/packages/consensus/ryelock/consensus/log_receiver.py
@@ -1,4 +1,4 @@
-"""A follower's part of replication: heartbeats, entries and snapshots from the leader."""
+"""The follower side of replication: heartbeats, entries and snapshots from the leader."""
 
 from dataclasses import replace
 
@@ -23,10 +23,10 @@
 
 
 class LogReceiver:
-    """Follows a leader of this term or a later one, and takes its log.
+    """Handles AppendEntries and InstallSnapshot requests of a leader.
 
     Attributes:
-        incoming: The snapshot that is arriving, if any; kept in memory only.
+        incoming: The snapshot being received, if any; kept in memory only.
     """
 
     __slots__ = ("applier", "incoming", "leadership", "lease", "payloads", "state", "timer")
@@ -40,7 +40,7 @@
         applier: CommittedApplier,
         payloads: Payloads,
     ) -> None:
-        """Create the receiver of a member that follows nobody yet."""
+        """Create the receiver of a member that has no leader yet."""
         self.state = state
         self.timer = timer
         self.lease = lease
@@ -50,7 +50,7 @@
         self.incoming: IncomingSnapshot | None = None
 
     def rejection(self) -> AppendReply:
-        """Return a rejection by this member, as it is now; callers add the reason."""
+        """Return a rejection with this member's current state; callers add the reason."""
         return AppendReply(
             sender=self.state.disk,
             term=Natural(self.state.term),
@@ -60,10 +60,10 @@
     def leader_rejection(
         self, request: AppendEntriesRequest | InstallSnapshotRequest | LeaderHeader
     ) -> AppendReply | None:
-        """Return the rejection of a leader that must not be followed; None where it may be.
+        """Return a rejection if the sending leader must not be followed; otherwise None.
 
-        A request for another disk must change nothing: this disk may be an empty one at the
-        address of a lost voter, and has none of what that one acknowledged.
+        A request for another disk must have no effect: this disk may be an empty replacement at the
+        address of a lost voter, without the entries which that voter acknowledged.
         """
         if request.recipient != self.state.disk:
             return replace(self.rejection(), other_disk=True)
@@ -74,10 +74,10 @@
         return None
 
     def rejection_of_malformed(self, message: Message) -> AppendReply | None:
-        """Return the rejection of a malformed request that must not be followed anyway.
+        """Return the rejection of a malformed request, if its header alone requires one.
 
-        A leader of another version learns so that the disk is another one, or the term higher,
-        though this member can't read the rest. None where the request is to be called malformed.
+        A leader of another version so learns of a replaced disk or a higher term, although this
+        member cannot decode the rest. None if the request should be reported as malformed.
         """
         try:
             return self.leader_rejection(decode(LeaderHeader, message))
@@ -85,7 +85,7 @@
             return None
 
     def follow(self, term: int, leader: str, address: str) -> bool:
-        """Follow the leader of a term (Raft, section 5.2); False where the disk refused."""
+        """Follow the leader of a term (Raft, section 5.2); return False if the write failed."""
         state = self.state
         if term > state.term and not state.save_vote(term, ""):
             return False
@@ -101,7 +101,7 @@
         return True
 
     def on_heartbeat(self, request: AppendEntriesRequest) -> AppendReply:
-        """Take a heartbeat with its entries (Raft, section 5.3, AppendEntries)."""
+        """Handle a heartbeat and its entries (AppendEntries; Raft, section 5.3)."""
         reason = self.leader_rejection(request)
         if reason is not None:
             return reason
@@ -122,7 +122,7 @@
         return self.acceptance(reached, self.payloads.heartbeat_payload())
 
     def acceptance(self, last_index: int, payload: dict[str, object] | None = None) -> AppendReply:
-        """Return that the logs agree up to an index."""
+        """Return an acceptance: the logs agree up to an index."""
         return AppendReply(
             sender=self.state.disk,
             term=Natural(self.state.term),
@@ -132,10 +132,10 @@
         )
 
     def log_mismatch(self, previous_index: int, previous_term: int) -> AppendReply | None:
-        """Return the rejection of entries whose predecessor this log lacks; None where it has it.
+        """Return a rejection unless this log contains the entry before the new entries.
 
-        This check keeps the log matching property (Raft, section 5.3). The reply tells how far
-        the logs may agree, so that the leader passes by a whole term at once.
+        The check preserves the log matching property (Raft, section 5.3). The rejection names the
+        last index where the logs may agree, so that the leader skips a conflicting term at once.
         """
         state = self.state
         log = state.replicated_log
@@ -154,7 +154,7 @@
         )
 
     def on_snapshot(self, request: InstallSnapshotRequest) -> AppendReply:
-        """Take a chunk of a snapshot (Raft, section 7, InstallSnapshot)."""
+        """Handle a snapshot chunk (InstallSnapshot; Raft, section 7)."""
         reason = self.leader_rejection(request)
         if reason is not None:
             return reason
@@ -162,13 +162,13 @@
         if not self.follow(request.term, request.leader, request.address):
             return self.rejection()
         if chunk.index <= self.state.commit_index:
-            # It would take back what this member has applied, and it has all of it.
+            # Installing it would roll back applied entries; this log already covers the snapshot.
             self.incoming = None
             return self.acceptance(self.state.commit_index)
         return self.receive_chunk(request.leader, chunk)
 
     def receive_chunk(self, leader: str, chunk: SnapshotChunk) -> AppendReply:
-        """Add a chunk to the snapshot that is arriving; install it once it is complete."""
+        """Add a chunk to the snapshot being received; install the snapshot once complete."""
         if self.incoming is None or not self.incoming.matches(leader, chunk):
             self.incoming = IncomingSnapshot(leader, chunk)
         self.incoming.add_chunk(chunk)
--- a/packages/consensus/ryelock/consensus/membership.py
+++ b/packages/consensus/ryelock/consensus/membership.py
@@ -1,13 +1,13 @@
-"""Which voter to add or remove next: a pure decision, one voter at a time (Raft, section 6).
+"""Choice of the next voter to add or remove, one voter at a time (Raft, section 6).
 
-A set of n voters with m of them alive tolerates the loss of m - majority(n) more. The decision
-raises that number where it can and never lowers it, also not between two steps:
+A set of n voters of which m are running tolerates the loss of m - majority(n) more. The choice
+increases that number where possible and never lowers it, not even between two steps:
 
-- A lost voter is removed before its replacement is added, since adding one first would make
-  progress depend on a standby that may be about to fail; but of two voters neither is removed, as
-  all that was committed would then stand on a single disk.
-- A voter that is leaving in order is alive, so its replacement is added before it is removed.
-- Without a standby a lost voter is removed where that lowers the majority that is needed.
+- A lost voter is removed before its replacement is added, because adding first would make progress
+  depend on a standby that may be about to fail. A set of two voters is not reduced, because all
+  committed entries would then be on a single disk.
+- A leaving voter is still running, so its replacement is added before it is removed.
+- Without a standby, a lost voter is removed if that reduces the majority.
 """
 
 from collections.abc import Mapping
@@ -16,13 +16,14 @@
 from ryelock.consensus.entries import Voters, majority_of
 
 MAX_VOTERS = 5
+"""Target number of voters if there are enough disks."""
 DEFAULT_VOTERS = 3
-"""The number of voters with enough disks for five, and otherwise."""
+"""Target number of voters otherwise."""
 
 
 @dataclass(frozen=True, slots=True)
 class Standby:
-    """A disk that holds the log and is no voter."""
+    """A disk that has the log but is not a voter."""
 
     disk: str
     address: str
@@ -30,15 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterSet:
-    """What the leader knows of voters and standbys.
+    """The voters and standbys as seen by the leader.
 
     Attributes:
-        voters: The present voters.
-        own_disk: The leader's disk.
-        lost: Disks that stored nothing for too long.
-        leaving: Disks whose process asked to leave.
-        standbys: Disks that hold the log and are no voters, best first.
-        voters_in_zone: The number of other voters in the zone of each voter.
+        voters: The current voters.
+        own_disk: The leader's disk ID.
+        lost: Disk IDs of members that stored no entry for too long.
+        leaving: Disk IDs of members that asked to leave.
+        standbys: The standbys, best first.
+        voters_in_zone: The number of other voters in the zone of each voter, by disk ID.
     """
 
     voters: Voters
@@ -50,12 +51,12 @@
 
     @property
     def lost_voters(self) -> list[str]:
-        """The voters that are lost, but for the leader itself."""
+        """The lost voters, except the leader itself."""
         return sorted(disk for disk in self.voters if disk in self.lost and disk != self.own_disk)
 
     @property
     def leaving_voters(self) -> list[str]:
-        """The voters that leave and are not lost, but for the leader itself."""
+        """The leaving voters that are not lost, except the leader itself."""
         return sorted(
             disk
             for disk in self.voters
@@ -64,19 +65,19 @@
 
     @property
     def target_size(self) -> int:
-        """The number of voters target_size with the disks that stay."""
+        """The target number of voters, given the disks that remain."""
         away = {*self.lost_voters, *self.leaving_voters}
         staying = len(self.voters) - len(away) + len(self.standbys)
         return MAX_VOTERS if staying >= MAX_VOTERS else DEFAULT_VOTERS
 
     @property
     def is_even(self) -> bool:
-        """Whether the number of voters is even."""
+        """True if the number of voters is even."""
         return len(self.voters) % 2 == 0
 
 
 def next_voters(membership: VoterSet) -> Voters | None:
-    """Return the voters after the next step, one more or fewer; None where none is needed."""
+    """Return the voter set with the next voter added or removed; None if no change is needed."""
     if membership.lost_voters:
         return replace_lost(membership)
     if membership.leaving_voters:
@@ -90,7 +91,7 @@
 
 
 def replace_lost(membership: VoterSet) -> Voters | None:
-    """Remove a lost voter, or add a standby first where only two voters are left."""
+    """Remove a lost voter, or first add a standby if only two voters are left."""
     count = len(membership.voters)
     lost = membership.lost_voters
     if count <= 2:
@@ -103,10 +104,10 @@
 
 
 def replace_leaving(membership: VoterSet) -> Voters | None:
-    """Add a standby for a voter that is leaving, then remove that voter.
+    """Add a standby for a leaving voter, then remove that voter.
 
-    An odd number of voters tolerates one loss more than the even number below it, so a voter is
-    removed from an even number only.
+    Removing a voter from an odd set would reduce the number of tolerated losses, so a voter is
+    removed only from an even set.
     """
     count = len(membership.voters)
     if membership.is_even and count > 2:
@@ -117,17 +118,17 @@
 
 
 def with_standby(membership: VoterSet) -> Voters:
-    """Return the voters and the best standby."""
+    """Return the voter set with the best standby added."""
     standby = membership.standbys[0]
     return {**membership.voters, standby.disk: standby.address}
 
 
 def without(membership: VoterSet, disk: str) -> Voters:
-    """Return the voters but for one."""
+    """Return the voter set with one voter removed."""
     return {other: address for other, address in membership.voters.items() if other != disk}
 
 
 def voter_in_fullest_zone(membership: VoterSet) -> str:
-    """Return the voter in the zone with the most other voters, but never the leader itself."""
-    others = [disk for disk in membership.voters if disk != membership.own_disk]
-    return max(others, key=lambda disk: (membership.voters_in_zone.get(disk, 0), disk))
+    """Return the voter whose zone has the most other voters, excluding the leader."""
+    candidates = [disk for disk in membership.voters if disk != membership.own_disk]
+    return max(candidates, key=lambda disk: (membership.voters_in_zone.get(disk, 0), disk))
--- a/packages/consensus/ryelock/consensus/messages.py
+++ b/packages/consensus/ryelock/consensus/messages.py
@@ -1,10 +1,9 @@
-"""The messages of the consensus group, as typed values.
+"""RPC messages between members of the consensus group.
 
-The attributes have Raft's terms; the names on the wire are older and stay: `epoch` is the term,
-`disk` the sender, `said` a payload of the process around the group, `image` a snapshot. The order
-of the fields is the order on the wire. Entries, snapshot chunks and payloads are carried as they
-are and read by `entries.entry_from_wire` and `transfer.chunk_from_wire`: they are on the
-replication path.
+Attributes use Raft's terms, while the wire format keeps older names: `epoch` is the term, `disk`
+the sender, `said` the process's payload, `image` a snapshot. Fields are declared in wire order.
+Entries, snapshot chunks and payloads stay undecoded here, because they are on the replication path;
+`entries.entry_from_wire` and `transfer.chunk_from_wire` decode them.
 """
 
 from dataclasses import dataclass
@@ -16,25 +15,25 @@
 Term = Annotated[Natural, WireName("epoch")]
 Sender = Annotated[str, WireName("disk")]
 Recipient = Annotated[str, WireName("to")]
-"""The disk that a message is for: an address may have been taken over by another disk."""
+"""The disk ID that a message is for; its address may now belong to another disk."""
 Payload = Annotated[dict[str, object] | None, WireName("said"), AsIs(dict), OmitDefault()]
-"""What the process tells its peers excluding the log."""
+"""Data that the process exchanges with its peers in replication messages."""
 
 
 class Request(Protocol):
-    """A message with a kind on the wire."""
+    """A request message; `KIND` identifies it on the wire."""
 
     KIND: ClassVar[str]
 
 
 def request_to_wire(request: Request) -> Message:
-    """Return the map of a request, its kind first."""
+    """Encode a request as a message, with its kind as the first field."""
     return {"kind": request.KIND, **encode(request)}
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaderHeader:
-    """What decides whether a leader may be followed; of both kinds of a leader's requests."""
+    """The fields of a leader's request that determine whether to follow the leader."""
 
     recipient: Recipient
     term: Term
@@ -42,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AppendEntriesRequest:
-    """A heartbeat, with the entries that the follower lacks (Raft, section 5.3)."""
+    """A heartbeat with the entries that the follower is missing (Raft, section 5.3)."""
 
     KIND: ClassVar[str] = "council.beat"
     recipient: Recipient
@@ -58,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstallSnapshotRequest:
-    """One chunk of a snapshot (Raft, section 7)."""
+    """A chunk of a snapshot (Raft, section 7)."""
 
     KIND: ClassVar[str] = "council.image"
     recipient: Recipient
@@ -70,17 +69,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AppendReply:
-    """A follower's answer to entries or to a snapshot chunk.
+    """A follower's reply to AppendEntries or to a snapshot chunk.
 
     Attributes:
-        ok: Whether the follower's log agrees with the leader's up to last_index.
-        last_index: Up to where the logs agree, or at most may agree where `ok` is False.
-        other_disk: The address is that of another disk than the recipient's.
-        lease_granted: The follower granted a lease to an edge and follows no leader for now.
-        snapshot_agrees: The follower's snapshot ends at last_index, so all before it is committed.
-        conflict_term: The term of the follower's entries behind last_index.
-        disk_failed: The follower's disk refused the entries; the logs may well agree.
-        received: Bytes of the snapshot that have arrived so far.
+        ok: True if the follower's log matches the leader's up to last_index.
+        last_index: The index up to which the logs match; an upper bound for it if `ok` is False.
+        other_disk: True if the address belongs to a disk other than the recipient.
+        lease_granted: True if the follower granted a lease to an edge, and so follows no leader.
+        snapshot_agrees: True if the follower's snapshot ends at last_index, so that all entries up
+            to there are committed.
+        conflict_term: The term of the follower's conflicting entries after last_index.
+        disk_failed: True if the follower failed to store the entries; the logs may match.
+        received: Bytes of the snapshot received so far.
     """
 
     sender: Sender = ""
@@ -98,11 +98,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VoteRequest:
-    """A candidate's request (Raft, section 5.2).
+    """A candidate's request for a vote (RequestVote; Raft, section 5.2).
 
     Attributes:
-        pre_vote: Whether it only asks how a vote would go (dissertation, section 9.6).
-        transfer: Whether the leader named this candidate its successor (section 3.10).
+        pre_vote: True if the voter must not record a vote (dissertation, section 9.6).
+        transfer: True if the leader transfers leadership to this candidate (section 3.10).
     """
 
     KIND: ClassVar[str] = "council.vote"
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VoteReply:
-    """A voter's answer; `other_disk` as in AppendReply."""
+    """A voter's reply; `other_disk` as in AppendReply."""
 
     sender: Sender = ""
     term: Annotated[Natural | None, WireName("epoch")] = None
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseRequest:
-    """An edge without a leader asks a voter to follow none for so many seconds."""
+    """An edge's request that a voter follow no leader for `seconds`."""
 
     KIND: ClassVar[str] = "council.promise"
     seconds: object
@@ -135,12 +135,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseReply:
-    """A voter's answer to an edge.
+    """A voter's reply to an edge's lease request.
 
     Attributes:
-        voters: The disks of the voters that this voter knows.
-        last_command_index: The last command in its log, committed or not.
-        configuration: Term and index up to which it certainly knows the newest voters.
+        voters: The disk IDs of the voters in this voter's newest configuration.
+        last_command_index: The index of the last command in its log, committed or not.
+        configuration: Term and index of that configuration, for comparing voters' replies.
     """
 
     granted: bool
@@ -152,18 +152,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatusRequest:
-    """Asks a member who it is and whom it follows."""
+    """A request for a member's identity and leader."""
 
     KIND: ClassVar[str] = "council.who"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatusReply:
-    """Who a member is, and whom it follows; leader and its address are empty where it knows none.
+    """A member's identity, leader and log position.
 
     Attributes:
-        empty: Whether nothing was ever written to its disk.
-        applied_index: The last index that it has applied.
+        empty: True if nothing was ever written to its disk.
+        leader: The disk ID of its leader; empty, as leader_address, if it has none.
+        applied_index: The highest index that it has applied.
     """
 
     sender: Sender
@@ -178,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SeedReply:
-    """What joining needs of a StatusReply, or of the answer of a process without a disk."""
+    """The fields that joining needs of a StatusReply, or of the reply of a diskless process."""
 
     sender: Sender = ""
     empty: bool = False
@@ -188,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JoinRequest:
-    """Asks the leader to replicate its log to the sender."""
+    """A request to the leader to replicate its log to the sender."""
 
     KIND: ClassVar[str] = "council.join"
     sender: Sender
@@ -197,7 +198,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TimeoutNowRequest:
-    """The leader asks its successor to campaign at once (dissertation, section 3.10)."""
+    """The leader's request that its successor campaign immediately (dissertation, section 3.10)."""
 
     KIND: ClassVar[str] = "council.takeover"
     term: Term
@@ -205,6 +206,6 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TimeoutNowReply:
-    """Whether the successor campaigns."""
+    """The successor's reply; `ok` is True if it campaigns."""
 
     ok: bool = False
--- a/packages/consensus/ryelock/consensus/node.py
+++ b/packages/consensus/ryelock/consensus/node.py
@@ -1,4 +1,4 @@
-"""One member of the consensus group: its parts, its owner task, and its public face."""
+"""A Raft member: composes its components, runs the owner task and exposes the public API."""
 
 import math
 from collections.abc import Callable, Collection
@@ -40,14 +40,14 @@
 from ryelock.runtime import Queue, Scheduler, Task
 
 APPLY_PAUSE_SECONDS = 0.0005
-"""Seconds that the other tasks of the process get between two batches of applied entries."""
+"""Pause between two batches of applied entries, so that other tasks of the process can run."""
 
 
 class Consensus:
-    """The composition root of a member, and the owner of its state.
+    """A member of the consensus group.
 
-    All parts share one `MemberState`. Everything that changes it comes through one queue of
-    commands that one task, the owner, works through; so no two changes interleave.
+    All components share one `MemberState`. Every state change is an event in one queue that a
+    single task, the owner, processes, so changes never interleave.
     """
 
     __slots__ = (
@@ -84,20 +84,20 @@
         settings: ConsensusSettings,
         random: Random,
     ) -> None:
-        """Create a member on an open journal; nothing runs before `start`.
+        """Create a member on an open journal; no task runs until `start` is called.
 
         Args:
-            scheduler: Runs the member's tasks, and has its steady clock.
+            scheduler: Runs the member's tasks and provides its monotonic clock.
             rpc_clients: Connections to other processes.
-            log: Where events are written.
-            journal: The opened journal of this member's disk; used by nobody else.
-            state_machine: What committed commands are applied to.
-            name: The node's name, for operators.
-            disk: The identity of the disk, new whenever the journal is.
-            address: Where other members reach this one.
+            log: The event log.
+            journal: The open journal of this member's disk; the member is its only user.
+            state_machine: The state machine that committed commands are applied to.
+            name: The node's name, shown to operators.
+            disk: The disk ID, which changes whenever the journal is recreated.
+            address: The RPC address of this member.
             seeds: Addresses of the members that may bootstrap a cluster.
             settings: Intervals and sizes.
-            random: Source of the random election timeouts.
+            random: Source of the randomised election timeouts.
         """
         replicated_log = ReplicatedLog(journal, settings.max_retained_bytes)
         state = MemberState(scheduler, log, replicated_log, settings, name, disk, address)
@@ -164,7 +164,7 @@
             task.cancel()
 
     async def run(self) -> None:
-        """Work through the queue, apply what is committed, and look at the timers; the owner."""
+        """Process queued events, apply committed entries and check timers: the owner task."""
         state = self.state
         while True:
             behind = state.applied_index < state.commit_index
@@ -178,9 +178,9 @@
                 await state.scheduler.sleep(APPLY_PAUSE_SECONDS)
 
     def process_queued(self, first: MemberEvent | Proposal) -> None:
-        """Execute a event and all that are queued behind it.
+        """Process an event and all events queued after it.
 
-        Proposals that come one after the other are appended in one write.
+        Consecutive proposals are appended to the log in one write.
         """
         proposals: list[Proposal] = []
         event: MemberEvent | Proposal | None = first
@@ -197,7 +197,7 @@
             self.proposals.append_batch(proposals)
 
     def process_event(self, event: MemberEvent) -> None:
-        """Execute one event."""
+        """Process one event."""
         match event:
             case FollowerReplied(follower, term, sent_at, result):
                 self.replicator.on_reply(follower, term, sent_at, result)
@@ -211,7 +211,7 @@
                 self.joining.bootstrap(voters)
 
     def check_timers(self) -> None:
-        """Step down or campaign where it is time."""
+        """Step down as leader, or run the election and isolation checks as a non-leader."""
         state = self.state
         if not state.is_leader:
             self.isolation.check()
@@ -224,30 +224,31 @@
         elif (
             state.leader_ready and not state.voter_change_pending and state.disk not in state.voters
         ):
-            # Its removal is committed (dissertation, section 4.2.2).
+            # This leader is no longer a voter and its removal is committed (dissertation, section
+            # 4.2.2).
             self.transfer.step_down_to_successor("no voter any more")
 
     # Requests of other processes.
 
     def answer(self, message: Message, reply: Reply) -> bool:
-        """Queue a request of another process; False where its kind is not of consensus."""
+        """Queue a request from another process; return False if it is not a consensus message."""
         if not self.dispatcher.handles(message):
             return False
         self.events.put(PeerRequest(message, reply))
         return True
 
     def handle(self, message: Message, reply: Reply) -> None:
-        """Answer a request at once; for the owner's task and for tests without one."""
+        """Handle a request immediately; call only from the owner task or from tests without one."""
         self.dispatcher.handle(message, reply)
 
-    # What the process asks of the group.
+    # Proposals, membership and leadership.
 
     async def propose(self, data: bytes) -> Outcome:
-        """Commit a command, and return what applying it returned or a ConsensusError."""
+        """Commit a command and return its result, or a ConsensusError."""
         return await self.proposals.submit(EntryKind.COMMAND, data)
 
     async def propose_internal(self, data: bytes) -> Outcome:
-        """Commit a command that only the control nodes apply; `commands_since` leaves it out."""
+        """Commit a command that only control nodes apply; `commands_since` omits it."""
         return await self.proposals.submit(EntryKind.INTERNAL, data)
 
     async def change_voters(self, voters: Voters) -> Outcome:
@@ -255,48 +256,48 @@
         return await self.proposals.change_voters(voters)
 
     async def confirm_leadership(self, seconds: float) -> bool:
-        """Return whether this member led at a moment after the call (ReadIndex)."""
+        """Confirm leadership with a majority after the call, within `seconds` (ReadIndex)."""
         return await self.proposals.confirm_leadership(seconds)
 
     async def transfer_leadership(self, successor: str) -> bool:
-        """Have another voter elected; True once this member leads no more."""
+        """Transfer leadership to a voter; return True once this member is no longer the leader."""
         return await self.transfer.transfer_to(successor)
 
     def best_successor(self, excluding: Collection[str] = ()) -> str:
-        """Return the disk of the voter to transfer leadership to; empty where there is none."""
+        """Return the disk ID of the best voter to transfer leadership to; empty if none."""
         return self.followers.most_up_to_date(excluding)
 
     def drop_learner(self, disk: str) -> None:
-        """Forget a learner that does not ask to join any more."""
+        """Remove a learner that stopped sending join requests."""
         self.followers.drop_learner(disk)
 
     def release(self, disk: str) -> None:
-        """Count nothing that a disk stored for a while: its process may end."""
+        """Exclude a disk from commit quorums for a while, since its process may stop any time."""
         self.followers.release(disk)
 
     def add_applied_listener(self, listener: Callable[[], None]) -> None:
-        """Call a function whenever entries were applied."""
+        """Register a function to call after entries are applied."""
         self.applier.applied_listeners.append(listener)
 
     def commands_since(self, index: int) -> list[tuple[int, bytes]] | None:
-        """Return the applied commands behind an index; None where only a snapshot has them."""
+        """Return the applied commands after an index; None if only a snapshot covers them."""
         log = self.state.replicated_log
         if index + 1 < log.first_retained_index or index > self.state.applied_index:
             return None
         return log.commands_between(index, self.state.applied_index)
 
-    # What the process reads.
+    # State and components, read by the process.
 
     def majority_contact_at(self) -> float:
-        """Return when the newest request was sent that a majority has answered."""
+        """Return the send time of the newest request that a majority has answered."""
         return self.leadership.majority_contact_at()
 
     def match_index_of(self, disk: str) -> int:
-        """Return the last index that a disk is known to hold, as its leader knows it."""
+        """Return the last index that a disk is known to store, as seen by the leader."""
         return self.followers.match_index_of(disk)
 
     def knows_leader(self) -> bool:
-        """Whether it leads, or heard its leader within the shortest election timeout."""
+        """Return True if this member leads or had leader contact within the election timeout."""
         return self.state.knows_leader()
 
     @property
@@ -306,12 +307,12 @@
 
     @property
     def disk(self) -> str:
-        """The identity of the disk."""
+        """The disk ID."""
         return self.state.disk
 
     @property
     def address(self) -> str:
-        """Where other members reach this one."""
+        """The RPC address of this member."""
         return self.state.address
 
     @property
@@ -330,52 +331,52 @@
 
     @property
     def scheduler(self) -> Scheduler:
-        """Runs the member's tasks."""
+        """The scheduler of the member's tasks."""
         return self.state.scheduler
 
     @property
     def log(self) -> Log:
-        """Where events are written."""
+        """The event log."""
         return self.state.log
 
     @property
     def state_machine(self) -> StateMachine:
-        """What committed commands are applied to."""
+        """The state machine that committed commands are applied to."""
         return self.applier.state_machine
 
     @property
     def replicated_log(self) -> ReplicatedLog:
-        """The persistent state."""
+        """The persistent Raft state: term, vote, snapshot and entries."""
         return self.state.replicated_log
 
     @property
     def snapshot(self) -> Snapshot:
-        """The snapshot that the log's entries follow."""
+        """The snapshot that precedes the first log entry."""
         return self.state.snapshot
 
     @property
     def role(self) -> Role:
-        """Leader, candidate or follower."""
+        """The member's Raft role: leader, candidate or follower."""
         return self.state.role
 
     @property
     def leader_ready(self) -> bool:
-        """Whether it leads and has applied an entry of its own term."""
+        """True if this member leads and has applied an entry of its own term."""
         return self.state.leader_ready
 
     @property
     def elected_at(self) -> float:
-        """When this member last became leader; minus infinity where it never did."""
+        """When this member last became leader; minus infinity if never."""
         return -math.inf if self.state.elected_at is None else self.state.elected_at
 
     @property
     def leader_ready_at(self) -> float:
-        """When it had applied an entry of the term it last led; minus infinity if it never did."""
+        """When this member last became a ready leader (`leader_ready`); minus infinity if never."""
         return -math.inf if self.state.leader_ready_at is None else self.state.leader_ready_at
 
     @property
     def leader_address(self) -> str:
-        """The address of the leader that it last followed; empty where it knows none."""
+        """The address of the current or last known leader; empty if unknown."""
         return self.state.leader_address
 
     @property
@@ -385,47 +386,47 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the log's last entry."""
+        """The index of the last log entry."""
         return self.state.last_index
 
     @property
     def commit_index(self) -> int:
-        """The last index known to be committed."""
+        """The highest index known to be committed."""
         return self.state.commit_index
 
     @property
     def applied_index(self) -> int:
-        """The last index applied."""
+        """The highest index applied to the state machine."""
         return self.state.applied_index
 
     @property
     def applied_command_index(self) -> int:
-        """The last applied index whose entry was a command for all replicas."""
+        """The index of the last applied command for all replicas (`EntryKind.COMMAND`)."""
         return self.state.applied_command_index
 
     @property
     def voters(self) -> Voters:
-        """Addresses of the voters by disk."""
+        """Addresses of the voters by disk ID."""
         return self.state.voters
 
     @property
     def voter_change_pending(self) -> bool:
-        """Whether a change of voters is not committed yet."""
+        """True while a change of voters is in the log but not committed."""
         return self.state.voter_change_pending
 
     @property
     def peers(self) -> dict[str, Follower]:
-        """The followers by disk, while it leads."""
+        """The followers by disk ID; empty unless this member leads."""
         return self.followers.by_disk
 
     @property
     def learners(self) -> dict[str, tuple[str, float]]:
-        """Address and moment of the last request of each disk that asked to join, by disk."""
+        """Address and time of the last join request of each learner, by disk ID."""
         return self.followers.learners
 
     @property
     def leaving(self) -> bool:
-        """Whether a planned stop is under way."""
+        """True during a planned stop."""
         return self.state.leaving
 
     @leaving.setter
--- a/packages/consensus/ryelock/consensus/proposals.py
+++ b/packages/consensus/ryelock/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""What the process asks of the leader: commands, changes of voters, confirmed reads."""
+"""Proposals to the leader: commands, voter changes and confirmed reads."""
 
 import cbor2
 from expression import Error
@@ -23,12 +23,12 @@
 from ryelock.runtime import Queue
 
 PROPOSAL_SECONDS = 10.0
-"""Seconds after which a proposal is given up, with an uncertain outcome."""
+"""Timeout of a proposal, after which its outcome is uncertain."""
 CONFIRM_POLL_SECONDS = 0.005
 
 
 class Proposals:
-    """Takes proposals, and confirms that this member leads."""
+    """Appends proposals to the log, and confirms leadership for reads."""
 
     __slots__ = (
         "applier",
@@ -52,7 +52,7 @@
         applier: CommittedApplier,
         replicator: Replicator,
     ) -> None:
-        """Create the proposal part of a member."""
+        """Create the proposal component of a member."""
         self.state = state
         self.events = events
         self.pending = pending
@@ -63,14 +63,14 @@
         self.replicator = replicator
 
     async def submit(self, kind: EntryKind, data: bytes) -> Outcome:
-        """Propose an entry and return what applying it returned, or why that is not known."""
+        """Propose an entry; return the result of applying it, or why it was not acknowledged."""
         outcomes: Queue[Outcome] = Queue(self.state.scheduler)
         self.events.put(Proposal(kind, data, outcomes))
         outcome = await outcomes.get(PROPOSAL_SECONDS)
         return Error(ProposalTimeoutError()) if outcome is None else outcome
 
     def append_batch(self, proposals: list[Proposal]) -> None:
-        """Append a batch of proposals in one write and replicate them; the owner's task only."""
+        """Append proposals in one write and replicate them; call only from the owner task."""
         if not self.state.is_leader:
             for proposal in proposals:
                 proposal.reject(NotLeaderError())
@@ -86,7 +86,7 @@
         self.replicator.advance_commit_index()
 
     def admit(self, proposals: list[Proposal]) -> tuple[list[Entry], list[Proposal]]:
-        """Return the entries to append and their proposals; changes of voters may be rejected."""
+        """Create entries for the valid proposals, rejecting invalid voter changes."""
         entries: list[Entry] = []
         accepted: list[Proposal] = []
         for proposal in proposals:
@@ -101,18 +101,18 @@
         return entries, accepted
 
     def reject_after_disk_failure(self, proposals: list[Proposal]) -> None:
-        """Fail proposals that the disk refused, and let another lead."""
+        """Reject proposals that could not be stored, and hand leadership to another voter."""
         for proposal in proposals:
             proposal.reject(LeaderDiskError())
         self.state.record_disk_failure()
         self.transfer.step_down_to_successor("its disk failed")
 
     def voter_change_rejection(self, voters: Voters, appended: list[Entry]) -> str:
-        """Return why a change of voters must not be appended now; empty where it may be.
+        """Return why a voter change must not be appended now; empty if it may be.
 
-        One voter at a time, the last change committed, and an entry of this term committed:
-        majorities before and after a change then always meet (dissertation, section 4.1, and the
-        correction of 2015 for the last condition).
+        A change must add or remove one voter, the previous change must be committed, and so must
+        an entry of this term. Majorities before and after the change then overlap (dissertation,
+        section 4.1; the last condition is from its correction of 2015).
         """
         if not self.state.leader_ready or self.state.voter_change_pending:
             return "not settled"
@@ -126,7 +126,7 @@
         return ""
 
     async def change_voters(self, voters: Voters) -> Outcome:
-        """Add or remove one voter; rejected at the append where it is not one at a time."""
+        """Add or remove one voter; the change is validated when it is appended."""
         outcome = await self.submit(EntryKind.VOTERS, cbor2.dumps(voters))
         if outcome.is_ok():
             self.state.log.write(VOTERS_CHANGED, voters=sorted(voters.values()))
@@ -134,10 +134,10 @@
         return outcome
 
     async def confirm_leadership(self, seconds: float) -> bool:
-        """Return whether this member led at a moment after the call, by a majority's answers.
+        """Return True if a majority confirmed this leader by requests sent after the call.
 
-        Its state then has every entry that was committed when it was called, so that a read of it
-        is linearizable (ReadIndex; dissertation, section 6.4).
+        Its state machine has then applied every entry that was committed at the time of the call,
+        so that a read from it is linearizable (ReadIndex; dissertation, section 6.4).
         """
         asked_at = self.state.now()
         read_index = self.state.commit_index
--- a/packages/consensus/ryelock/consensus/replicator.py
+++ b/packages/consensus/ryelock/consensus/replicator.py
@@ -1,7 +1,7 @@
-"""The leader's part of replication: send the log to every follower, and commit.
+"""The leader side of replication: sends the log to every follower and commits entries.
 
-A follower's task (`replicate_to`) sends one request at a time and hands what comes back to the
-owner, which calls `on_reply`.
+One task per follower (`replicate_to`) sends one request at a time and passes each reply to the
+owner task, which calls `on_reply`.
 """
 
 from expression import Result
@@ -27,11 +27,11 @@
 from ryelock.rpc.errors import MalformedMessageError
 
 SNAPSHOT_CHUNK_SECONDS = 2.0
-"""Seconds that a leader waits for the reply to one chunk of a snapshot."""
+"""RPC timeout of a snapshot chunk."""
 
 
 class Replicator:
-    """Leads a term: appends its first entry, replicates, and counts what is committed."""
+    """Leads a term: appends its first entry, replicates the log and advances the commit index."""
 
     __slots__ = ("applier", "events", "followers", "leadership", "payloads", "rpc", "state")
 
@@ -55,10 +55,10 @@
         self.payloads = payloads
 
     def become_leader(self, term: int) -> None:
-        """Lead a term that this candidate was elected in, unless it went on meanwhile.
+        """Become leader of a term that this member won, if it is still a candidate in it.
 
-        The leader appends an entry of its own term at once: older ones are committed only with
-        one of these (Raft, section 5.4.2), and reads wait for it (section 8).
+        The leader appends a no-op entry immediately: entries of earlier terms are committed only
+        together with one of its own term (Raft, section 5.4.2), and reads wait for it (section 8).
         """
         state = self.state
         if state.term != term or state.role is not Role.CANDIDATE:
@@ -77,13 +77,13 @@
         self.advance_commit_index()
 
     def replicate_to_voters(self) -> None:
-        """Replicate to every voter, also to one that was added just now."""
+        """Start replication to every voter that is not a follower yet."""
         for disk, address in self.state.voters.items():
             if disk != self.state.disk and disk not in self.followers.by_disk:
                 self.add_follower(disk, address)
 
     def add_follower(self, disk: str, address: str) -> None:
-        """Replicate to a disk from now on."""
+        """Start replication to a disk."""
         follower = Follower(disk, address, self.state.last_index + 1, self.state.scheduler)
         self.followers.by_disk[disk] = follower
         follower.task = self.state.scheduler.create_task(
@@ -91,7 +91,7 @@
         )
 
     async def replicate_to(self, follower: Follower, term: int) -> None:
-        """Send to one follower for the length of a term, at least one request an interval."""
+        """Send requests to a follower during a term, at least one per heartbeat interval."""
         while self.state.is_leader and self.state.term == term:
             sent_at = self.state.now()
             message = self.next_message(follower)
@@ -108,10 +108,10 @@
     # Requests.
 
     def next_message(self, follower: Follower) -> Message:
-        """Return what a follower needs next: entries, or a snapshot chunk where they are gone.
+        """Return the next request to a follower: entries, or a snapshot chunk if compacted.
 
-        A snapshot that has begun to cross is finished, also when a newer one was written since:
-        else a follower that is slower than the leader's snapshots never has one.
+        A snapshot transfer in progress is completed even if a newer snapshot exists; otherwise a
+        slow follower would restart on each new snapshot and never finish.
         """
         log = self.state.replicated_log
         if follower.outgoing is None and not log.has_term_at(follower.next_index - 1):
@@ -130,7 +130,7 @@
         )
 
     def append_request(self, follower: Follower) -> AppendEntriesRequest:
-        """Return a heartbeat with as many entries as the follower takes in time."""
+        """Build a heartbeat with a batch of entries of the follower's current batch size."""
         previous_index = follower.next_index - 1
         return AppendEntriesRequest(
             recipient=follower.disk,
@@ -145,24 +145,24 @@
         )
 
     def batch(self, start: int, max_bytes: int) -> list[object]:
-        """Return entries from an index on, at least one if there is any, of about so many bytes."""
+        """Return entries from `start` on, up to `max_bytes` but at least one if there is any."""
         log = self.state.replicated_log
-        found: list[object] = []
+        entries: list[object] = []
         size = 0
         for index in range(start, log.last_index + 1):
             entry = log.entry_at(index)
             size += len(entry.data) + ENTRY_OVERHEAD_BYTES
-            if found and size > max_bytes:
+            if entries and size > max_bytes:
                 break
-            found.append(entry.to_wire())
-        return found
+            entries.append(entry.to_wire())
+        return entries
 
     # Replies.
 
     def on_reply(
         self, follower: Follower, term: int, sent_at: float, result: Result[Message, RpcError]
     ) -> None:
-        """Take in what came back for a request; one of an earlier term counts for nothing."""
+        """Process the result of a request; a result of an earlier term is ignored."""
         if not self.state.is_leader or self.state.term != term:
             return
         if result.is_error():
@@ -188,7 +188,7 @@
     def on_accepted(
         self, follower: Follower, reply: AppendReply, last_index: int, sent_at: float
     ) -> None:
-        """The follower's log agrees with this one up to an index."""
+        """Process an acceptance: the follower's log matches up to `last_index`."""
         follower.record_contact(sent_at)
         follower.outgoing = None
         follower.record_stored(sent_at)
@@ -203,7 +203,7 @@
     def on_rejected(
         self, follower: Follower, reply: AppendReply, last_index: int, sent_at: float
     ) -> None:
-        """The follower needs other entries, or more of a snapshot."""
+        """Process a rejection, which is also the reply to all but the last snapshot chunk."""
         if reply.term == self.state.term:
             follower.record_contact(sent_at)
         if follower.outgoing is not None:
@@ -217,11 +217,11 @@
             follower.notify()
 
     def next_index_after(self, follower: Follower, reply: AppendReply, last_index: int) -> int:
-        """Return the index to go on from after a rejection (Raft, end of section 5.3).
+        """Return the next index to send after a rejection (Raft, end of section 5.3).
 
-        `last_index` is up to where the follower's log may agree. Where this log has a term above
-        the conflicting one at the index in question, the two agree at most up to this log's last
-        entry that is not of a later term; so each term costs one round trip, not each entry.
+        `last_index` is an upper bound for where the logs match. If this log has a term above the
+        conflicting one there, the logs match at most up to this log's last entry of no later term.
+        So finding the match takes one round trip per conflicting term, not one per entry.
         """
         if reply.disk_failed:
             return follower.next_index
@@ -234,14 +234,14 @@
         return max(1, min(follower.next_index - 1, last_index + 1))
 
     def advance_commit_index(self) -> None:
-        """Commit what a majority holds, if its last entry is of the current term.
+        """Commit entries up to the majority match index, if its entry is of the current term.
 
-        An older entry on a majority may still be replaced; it is committed by one of this term
-        behind it (Raft, section 5.4.2 and figure 8).
+        An entry of an earlier term may still be overwritten even if a majority has it. It is
+        committed by a later entry of the current term (Raft, section 5.4.2 and figure 8).
         """
-        reached = self.followers.majority_match_index()
-        if reached is None or reached <= self.state.commit_index:
+        match_index = self.followers.majority_match_index()
+        if match_index is None or match_index <= self.state.commit_index:
             return
-        if self.state.term_at(reached) == self.state.term:
-            self.applier.advance(reached)
+        if self.state.term_at(match_index) == self.state.term:
+            self.applier.advance(match_index)
             self.followers.notify_all()
--- a/packages/consensus/ryelock/consensus/state.py
+++ b/packages/consensus/ryelock/consensus/state.py
@@ -1,9 +1,9 @@
-"""The state of one member: Raft's figure 2, "persistent state" and "volatile state".
+"""The state of a member: "persistent state" and "volatile state" in figure 2 of the Raft paper.
 
-The persistent part (term, vote, log) is `ReplicatedLog`; the volatile part is here. The parts of a
-member (election, replicator, applier, ...) share one `MemberState`. It is changed by the owner's
-task of `Consensus` only, but for `Election.campaign`, whose steps check again after each wait
-whether they still apply.
+`ReplicatedLog` holds the persistent state (term, vote, log); this module holds the volatile state.
+The components of a member (election, replicator, applier, ...) share one `MemberState`. Only the
+owner task of `Consensus` changes it, except for `Election.campaign`, which checks after each await
+that its campaign is still current.
 """
 
 import math
@@ -17,7 +17,7 @@
 
 
 class Role(StrEnum):
-    """What a member is in its current term (Raft, section 5.1)."""
+    """The role of a member in its current term (Raft, section 5.1)."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -25,26 +25,26 @@
 
 
 def seconds_since(now: float, moment: float | None) -> float:
-    """Return seconds from a moment to now; infinity where the moment never came."""
+    """Return the seconds from `moment` to `now`; infinity if `moment` is None."""
     return math.inf if moment is None else now - moment
 
 
 class MemberState:
-    """Who this member is, and its volatile state.
+    """A member's identity and volatile state.
 
     Attributes:
         replicated_log: The persistent state.
-        voters: Addresses of the voters by disk: those of the newest entry that names any, whether
+        voters: Addresses of the voters by disk ID, from the newest voter entry in the log, whether
             committed or not (dissertation, section 4.1).
-        commit_index: The last index known to be committed.
-        applied_index: The last index applied to the state machine; never above commit_index.
-        applied_command_index: The last applied index whose entry was a command for all replicas.
-        leader: The disk of the leader that this member follows; empty where it knows none.
-        last_leader_contact_at: When a message of a leader of the current term last came.
+        commit_index: The highest index known to be committed.
+        applied_index: The highest index applied to the state machine; at most commit_index.
+        applied_command_index: The index of the last applied command for all replicas.
+        leader: The disk ID of the leader that this member follows; empty if unknown.
+        last_leader_contact_at: When this member last received a message from a current leader.
         elected_at: When this member last became leader.
-        leader_ready_at: When it had applied an entry of the term that it last led.
-        disk_failed_at: When the disk last refused a write that an election rests on.
-        leaving: Whether a planned stop is under way; such a member does not campaign.
+        leader_ready_at: When it first had `leader_ready` in the term that it last led.
+        disk_failed_at: When the disk last failed to persist a vote or a leader's entries.
+        leaving: True during a planned stop; a leaving member does not campaign.
     """
 
     __slots__ = (
@@ -79,7 +79,7 @@
         disk: str,
         address: str,
     ) -> None:
-        """Create the state of a member that has just started: a follower without a leader."""
+        """Create the state of a newly started member: a follower without a leader."""
         self.scheduler = scheduler
         self.log = log
         self.replicated_log = replicated_log
@@ -102,14 +102,14 @@
         self.refresh_voters()
 
     def now(self) -> float:
-        """Return the moment by the member's steady clock, in seconds."""
+        """Return the time of the member's monotonic clock, in seconds."""
         return self.scheduler.now()
 
-    # The persistent state.
+    # Persistent state.
 
     @property
     def snapshot(self) -> Snapshot:
-        """The snapshot that the entries follow."""
+        """The snapshot that precedes the first log entry."""
         return self.replicated_log.snapshot
 
     @property
@@ -119,7 +119,7 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the log's last entry."""
+        """The index of the last log entry."""
         return self.replicated_log.last_index
 
     def term_at(self, index: int) -> int:
@@ -131,37 +131,38 @@
         return self.replicated_log.entry_at(index)
 
     def last_position(self) -> tuple[int, int]:
-        """Return term and index of the last entry: how up-to-date the log is (section 5.4.1)."""
+        """Return (term, index) of the last entry, which orders logs by recency (section 5.4.1)."""
         return self.term_at(self.last_index), self.last_index
 
     def save_vote(self, term: int, voted_for: str) -> bool:
-        """Persist a term and the vote in it; False where the disk refused."""
+        """Persist a term and the vote cast in it; return False if the write failed."""
         saved = self.replicated_log.save_vote(term, voted_for)
         if not saved:
             self.record_disk_failure()
         return saved
 
     def record_disk_failure(self) -> None:
-        """Remember that the disk refused a write just now."""
+        """Record the time of a failed write."""
         self.disk_failed_at = self.now()
 
     # Voters.
 
     def refresh_voters(self) -> None:
-        """Take the voters from the log: a change counts from its append on (section 6)."""
+        """Read the voters from the log; a change takes effect when appended (section 6)."""
         self.voters = self.replicated_log.voters_at(self.last_index)
 
     @property
     def majority(self) -> int:
-        """The number of voters that make a majority."""
+        """The number of voters in a majority."""
         return majority_of(len(self.voters))
 
     @property
     def may_campaign(self) -> bool:
-        """Whether this member may be elected: a voter, or one whose removal is not committed yet.
+        """True if this member is a voter, or its removal as a voter is not committed yet.
 
-        The latter may be the only one whose log is up-to-date enough. It does not count itself,
-        and steps down once its removal is committed (dissertation, section 4.2.2).
+        A member being removed may be the only one whose log is up-to-date enough to win. It does
+        not count its own vote, and steps down once its removal is committed (dissertation, section
+        4.2.2).
         """
         if self.disk in self.voters:
             return True
@@ -169,27 +170,27 @@
 
     @property
     def voter_change_pending(self) -> bool:
-        """Whether a change of voters is in the log and not committed yet."""
+        """True while a change of voters is in the log but not committed."""
         uncommitted = self.replicated_log.entries[self.commit_index - self.snapshot.index :]
         return any(entry.kind is EntryKind.VOTERS for entry in uncommitted)
 
-    # The leader.
+    # Leadership.
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member is the leader of its term."""
+        """True if this member is the leader of its current term."""
         return self.role is Role.LEADER
 
     def knows_leader(self) -> bool:
-        """Whether it leads, or heard its leader within the shortest election timeout."""
+        """Return True if this member leads or had leader contact within the election timeout."""
         silence = seconds_since(self.now(), self.last_leader_contact_at)
         return self.is_leader or silence < self.settings.election_timeout
 
     @property
     def leader_ready(self) -> bool:
-        """Whether it leads and has applied an entry of its own term.
+        """True if this member leads and has applied an entry of its own term.
 
-        By leader completeness (section 5.4.3) it has then applied all that was committed before
-        its election, which linearizable reads need (dissertation, section 6.4, step 1).
+        By leader completeness (section 5.4.3) such a leader has applied every entry committed
+        before its election, as linearizable reads require (dissertation, section 6.4, step 1).
         """
         return self.is_leader and self.term_at(self.applied_index) == self.term
--- a/packages/consensus/ryelock/consensus/transfer.py
+++ b/packages/consensus/ryelock/consensus/transfer.py
@@ -1,9 +1,8 @@
-"""A snapshot on its way from a leader to a follower, in chunks (Raft, section 7).
+"""Chunked snapshot transfer from a leader to a follower (Raft, section 7).
 
-The leader sends one chunk a request and waits for how much has arrived; a chunk whose reply was
-lost is sent again from there. Both sides hold one snapshot at most: the leader slices the one it
-sends, the follower fills one buffer. What arrived is kept in memory only: a follower that
-restarts, or another leader, begins anew.
+The leader sends one chunk per request, and the follower replies with the number of bytes received,
+from which the leader continues even if a reply was lost. The follower buffers one snapshot in
+memory, so the transfer starts over when the follower restarts or the leader changes.
 """
 
 from dataclasses import dataclass
@@ -12,18 +11,18 @@
 from ryelock.rpc.errors import MalformedMessageError
 
 SNAPSHOT_CHUNK_BYTES = 262_144
-"""The most bytes of a snapshot in one message."""
+"""Maximum bytes of a snapshot in one message."""
 MAX_SNAPSHOT_BYTES = 134_217_728
-"""A follower takes no snapshot that is larger."""
+"""Maximum size of a snapshot that a follower accepts."""
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk:
-    """A part of a snapshot's state, with the snapshot's other fields.
+    """A chunk of a snapshot's state, with the metadata of the snapshot.
 
     Attributes:
-        size: Bytes of the whole state.
-        offset: Where in it `data` begins.
+        size: Total size of the state, in bytes.
+        offset: Offset of `data` in the state, in bytes.
     """
 
     index: int
@@ -35,7 +34,7 @@
     data: bytes
 
     def to_wire(self) -> list[object]:
-        """Return the chunk as a message carries it."""
+        """Encode the chunk for a message."""
         return [
             self.index,
             self.term,
@@ -48,7 +47,7 @@
 
 
 def chunk_from_wire(data: object) -> SnapshotChunk:
-    """Read a chunk from a message; raises MalformedMessageError."""
+    """Decode a chunk from a message; raises MalformedMessageError."""
     match data:
         case [
             int(index),
@@ -67,21 +66,21 @@
 
 
 class OutgoingSnapshot:
-    """What a leader sends to one follower; it stays the same snapshot until it has arrived.
+    """The leader's side of a snapshot transfer to one follower.
 
     Attributes:
-        received: Bytes that the follower is known to have.
+        received: Bytes that the follower has acknowledged.
     """
 
     __slots__ = ("received", "snapshot")
 
     def __init__(self, snapshot: Snapshot) -> None:
-        """Create a transfer of which nothing has arrived."""
+        """Create a transfer that starts at the first byte."""
         self.snapshot = snapshot
         self.received = 0
 
     def next_chunk(self, max_bytes: int) -> SnapshotChunk:
-        """Return the chunk behind what the follower has, of so many bytes at most."""
+        """Return the chunk after the acknowledged bytes, with at most `max_bytes` of data."""
         snapshot = self.snapshot
         return SnapshotChunk(
             snapshot.index,
@@ -94,19 +93,19 @@
         )
 
     def acknowledge(self, received: int) -> bool:
-        """Take the number of bytes that the follower has; True where it has more than before."""
+        """Record the number of bytes received; return True if it has increased."""
         advanced = received > self.received
         self.received = max(0, min(received, len(self.snapshot.state)))
         return advanced
 
 
 class IncomingSnapshot:
-    """What a follower has of one leader's snapshot."""
+    """The follower's side of a snapshot transfer."""
 
     __slots__ = ("buffer", "command_index", "index", "leader", "size", "term", "voters")
 
     def __init__(self, leader: str, chunk: SnapshotChunk) -> None:
-        """Create an empty buffer for the snapshot that a chunk is of."""
+        """Create an empty buffer for the snapshot that a chunk belongs to."""
         self.leader = leader
         self.index = chunk.index
         self.term = chunk.term
@@ -116,20 +115,20 @@
         self.buffer = bytearray()
 
     def matches(self, leader: str, chunk: SnapshotChunk) -> bool:
-        """Whether a chunk is of this very snapshot of this leader."""
-        mine = (self.leader, self.index, self.term, self.size)
-        return mine == (leader, chunk.index, chunk.term, chunk.size)
+        """Return True if a chunk belongs to this snapshot from the same leader."""
+        expected = (self.leader, self.index, self.term, self.size)
+        return expected == (leader, chunk.index, chunk.term, chunk.size)
 
     def add_chunk(self, chunk: SnapshotChunk) -> None:
-        """Add a chunk that goes on where the buffer ends; any other changes nothing."""
+        """Append a chunk that continues the buffer; ignore any other."""
         if chunk.offset == len(self.buffer):
             self.buffer += chunk.data
 
     @property
     def complete(self) -> bool:
-        """Whether all of it has arrived."""
+        """True once all bytes have been received."""
         return len(self.buffer) == self.size
 
     def snapshot(self) -> Snapshot:
-        """Return the snapshot, once it is complete."""
+        """Return the received snapshot; call only once complete."""
         return Snapshot(self.index, self.term, self.voters, bytes(self.buffer), self.command_index)
