--- a/packages/consensus/ryelock/consensus/applier.py
+++ b/packages/consensus/ryelock/consensus/applier.py
@@ -1,4 +1,4 @@
-"""Appending to the log, committing, applying to the state machine, and writing snapshots."""
+"""Stores log entries, applies committed entries to the state machine, and writes snapshots."""
 
 from collections.abc import Callable
 
@@ -9,14 +9,14 @@
 from ryelock.consensus.state_machine import StateMachine
 from ryelock.events import SNAPSHOT_INSTALLED, SNAPSHOT_WRITTEN, VOTERS_CHANGED
 
-APPLY_ENTRIES = 64
-"""The most entries applied before the owner looks at its queue again."""
-APPLY_SECONDS = 0.02
-"""Seconds after which a batch ends with the entry that is being applied."""
+MAX_APPLY_BATCH_ENTRIES = 64
+"""Maximum entries applied before the owner task processes its queue again."""
+MAX_APPLY_BATCH_SECONDS = 0.02
+"""A batch ends after the entry at which this time has passed."""
 
 
 class CommittedApplier:
-    """Stores entries, applies those that are committed, and writes snapshots."""
+    """Stores entries, applies committed entries in order, and writes snapshots."""
 
     __slots__ = ("applied_listeners", "compaction", "pending", "state", "state_machine")
 
@@ -27,7 +27,7 @@
         pending: PendingProposals,
         compaction: Compaction,
     ) -> None:
-        """Create the applier; restores the state machine from the log's snapshot, if any."""
+        """Create the applier and restore the state machine from the log's snapshot, if any."""
         self.state = state
         self.state_machine = state_machine
         self.pending = pending
@@ -37,9 +37,9 @@
             state_machine.restore(state.snapshot.state)
 
     def store(self, entries: list[Entry]) -> bool:
-        """Persist the entries that this log lacks; False where the disk refused.
+        """Persist the entries that this log is missing; return False if the write failed.
 
-        An entry of another term at an index replaces the tail from there (Raft, section 5.3).
+        An entry of a conflicting term replaces the log from its index on (Raft, section 5.3).
         """
         if not entries:
             return True
@@ -53,30 +53,30 @@
         return True
 
     def append_after_compaction(self, entries: list[Entry]) -> bool:
-        """Append again once a snapshot has made room on a full disk."""
+        """Retry an append after a snapshot that may free space on a full disk."""
         if not self.compaction.due(self.state.replicated_log.journal):
             return False
         self.write_snapshot()
         return self.state.replicated_log.append(entries)
 
     def advance(self, commit_index: int) -> None:
-        """Take a new commit index and apply a batch; the owner applies the rest later."""
+        """Advance the commit index and apply a batch; the owner applies the rest later."""
         if commit_index <= self.state.commit_index:
             return
         self.state.commit_index = commit_index
         self.apply_committed()
 
     def apply_committed(self) -> None:
-        """Apply committed entries in order, at least one if there is any, for a bounded time.
+        """Apply a bounded batch of committed entries, at least one if there is any.
 
-        The owner goes on after it has served its queue: a long catch-up that was applied in one
-        go would hold up heartbeats and so depose a healthy leader.
+        The owner applies the next batch after processing its queue: applying a long catch-up at
+        once would delay heartbeats and depose a healthy leader.
         """
         state = self.state
         if state.applied_index == state.commit_index:
             return
-        deadline = state.now() + APPLY_SECONDS
-        last = min(state.commit_index, state.applied_index + APPLY_ENTRIES)
+        deadline = state.now() + MAX_APPLY_BATCH_SECONDS
+        last = min(state.commit_index, state.applied_index + MAX_APPLY_BATCH_ENTRIES)
         while state.applied_index < last:
             self.apply_entry(state.entry_at(state.applied_index + 1))
             if state.now() >= deadline:
@@ -87,7 +87,7 @@
             self.write_snapshot()
 
     def apply_entry(self, entry: Entry) -> None:
-        """Apply the next entry and answer its proposer."""
+        """Apply the next entry and resolve its proposal."""
         result: object = None
         if entry.kind in (EntryKind.COMMAND, EntryKind.INTERNAL):
             result = self.state_machine.apply(entry.index, entry.data)
@@ -98,21 +98,21 @@
         self.pending.resolve(entry, result)
 
     def record_leader_ready(self) -> None:
-        """Note the moment at which a new leader has applied an entry of its own term."""
+        """Record the time at which a new leader first has `leader_ready`."""
         state = self.state
         if not state.is_leader or state.elected_at is None:
             return
-        noted = state.leader_ready_at is not None and state.leader_ready_at >= state.elected_at
-        if not noted and state.leader_ready:
+        recorded = state.leader_ready_at is not None and state.leader_ready_at >= state.elected_at
+        if not recorded and state.leader_ready:
             state.leader_ready_at = state.now()
 
     def notify_applied(self) -> None:
-        """Call all who wait for applied entries."""
+        """Call the listeners for applied entries."""
         for listener in self.applied_listeners:
             listener()
 
     def write_snapshot(self) -> None:
-        """Replace the applied entries by a snapshot (Raft, section 7)."""
+        """Write a snapshot that replaces the applied entries (Raft, section 7)."""
         state = self.state
         snapshot = Snapshot(
             state.applied_index,
@@ -122,15 +122,16 @@
             state.applied_command_index,
         )
         if not state.replicated_log.compact(snapshot):
-            self.compaction.failed(state.replicated_log.journal)
+            self.compaction.record_failure(state.replicated_log.journal)
             return
-        self.compaction.done()
+        self.compaction.record_success()
         state.log.write(SNAPSHOT_WRITTEN, index=snapshot.index)
 
     def install(self, snapshot: Snapshot, source: str) -> bool:
-        """Take a leader's complete snapshot that ends behind the commit index.
+        """Install a complete snapshot that ends after the commit index.
 
-        Returns False where the disk refused.
+        Returns:
+            False if the write failed.
         """
         state = self.state
         if not state.replicated_log.install(snapshot):
--- a/packages/consensus/ryelock/consensus/compaction.py
+++ b/packages/consensus/ryelock/consensus/compaction.py
@@ -1,26 +1,26 @@
-"""When a member writes a snapshot: by the records and bytes of its journal, and by its disk.
+"""Decides when a member writes a snapshot, by journal records, journal size and disk size.
 
-All sizes are bytes of files as the journal counts them (`Journal.snapshot_bytes`, `replay_bytes`).
-While a snapshot is written the one before it and the journal still stand, so that the disk needs
-space for two snapshots and the journal at once.
+Sizes are in bytes of files, as counted by the journal (`Journal.snapshot_bytes`, `replay_bytes`).
+While a snapshot is written, the previous snapshot and the journal still exist, so the disk needs
+space for two snapshots and the journal.
 """
 
 from ryelock.journal import Journal
 
 DEFAULT_JOURNAL_LIMIT_BYTES = 4_194_304
-"""A journal up to this size is not compacted for its bytes, where the disk has space."""
+"""Default size limit of the journal, if the disk has space."""
 MIN_JOURNAL_LIMIT_BYTES = 65_536
-"""A journal is never compacted for its bytes below this size, however small the disk."""
+"""Lower bound of the size limit, however small the disk is."""
 JOURNAL_TO_SNAPSHOT_RATIO = 2
-"""The journal grows to so many times its snapshot: writing these costs half of appending."""
+"""Size limit as a multiple of a large snapshot, which bounds write amplification."""
 MAX_DISK_FRACTION = 0.5
-"""The part of the disk that snapshot and journal may fill; the rest may hold a damaged journal."""
+"""Fraction of the disk for snapshots and journal; the rest may store a damaged journal."""
 BACKOFF_FRACTION = 0.125
-"""After a failure the journal grows by this part of its limit before the next snapshot."""
+"""Journal growth required after a failed snapshot, as a fraction of the limit."""
 
 
 def journal_limit_bytes(snapshot_bytes: int, disk_bytes: int) -> int:
-    """Return how large the journal behind a snapshot may grow; `disk_bytes` 0 means: not known."""
+    """Return the size limit of the journal after a snapshot; `disk_bytes` is 0 if unknown."""
     wanted = max(DEFAULT_JOURNAL_LIMIT_BYTES, JOURNAL_TO_SNAPSHOT_RATIO * snapshot_bytes)
     if not disk_bytes:
         return wanted
@@ -29,41 +29,41 @@
 
 
 class Compaction:
-    """Tells when a snapshot is due; after one that failed it waits for the journal to grow."""
+    """Decides when a snapshot is due; after a failed one, waits until the journal has grown."""
 
     __slots__ = ("disk_bytes", "max_records", "not_before_bytes", "not_before_records")
 
     def __init__(self, max_records: int, disk_bytes: int) -> None:
-        """Create the limits: records of the journal, and bytes of the disk (0: not known)."""
+        """Create limits from the maximum journal records and the disk size (0: unknown)."""
         self.max_records = max_records
         self.disk_bytes = disk_bytes
         self.not_before_bytes = 0
         self.not_before_records = 0
 
     def due(self, journal: Journal) -> bool:
-        """Whether a snapshot should be written now.
+        """Return True if a snapshot should be written now.
 
-        On a disk that took no more a snapshot is due as soon as it makes the journal smaller.
+        If the disk is full, a snapshot is due as soon as it would free space.
         """
-        most = journal_limit_bytes(journal.snapshot_bytes, self.disk_bytes)
-        wanted = (
+        limit = journal_limit_bytes(journal.snapshot_bytes, self.disk_bytes)
+        limit_reached = (
             journal.written > self.max_records
-            or journal.replay_bytes > most
+            or journal.replay_bytes > limit
             or (journal.full and journal.replay_bytes > journal.snapshot_bytes)
         )
-        waited = (
+        backoff_over = (
             journal.replay_bytes >= self.not_before_bytes
             or journal.written >= self.not_before_records
         )
-        return wanted and waited
+        return limit_reached and backoff_over
 
-    def failed(self, journal: Journal) -> None:
-        """Wait after a snapshot that could not be written."""
-        most = journal_limit_bytes(journal.snapshot_bytes, self.disk_bytes)
-        self.not_before_bytes = journal.replay_bytes + int(most * BACKOFF_FRACTION)
+    def record_failure(self, journal: Journal) -> None:
+        """Delay the next snapshot after a failed one."""
+        limit = journal_limit_bytes(journal.snapshot_bytes, self.disk_bytes)
+        self.not_before_bytes = journal.replay_bytes + int(limit * BACKOFF_FRACTION)
         self.not_before_records = journal.written + max(1, int(self.max_records * BACKOFF_FRACTION))
 
-    def done(self) -> None:
-        """Wait for nothing after a snapshot that was written."""
+    def record_success(self) -> None:
+        """Clear the delay after a successful snapshot."""
         self.not_before_bytes = 0
         self.not_before_records = 0
--- a/packages/consensus/ryelock/consensus/dispatcher.py
+++ b/packages/consensus/ryelock/consensus/dispatcher.py
@@ -1,4 +1,4 @@
-"""Requests of other processes: decoding, the part that handles each, and the reply."""
+"""Dispatch of requests from other processes: decodes, handles and replies."""
 
 from collections.abc import Callable
 from typing import Any
@@ -22,14 +22,14 @@
 from ryelock.rpc.errors import MalformedMessageError
 
 Handler = Callable[[Any], object]
-"""Takes a request of its type and returns the reply, a message of `messages`."""
+"""A function of a decoded request that returns the reply, a type of `messages`."""
 
 
 class RequestDispatcher:
-    """Hands each request to the part that handles it; in the owner's task only.
+    """Dispatches requests to their handlers; `handle` runs only in the owner task.
 
     Attributes:
-        handlers: The type of each request, and who handles it, by kind on the wire.
+        handlers: The request type and handler, by kind on the wire.
     """
 
     __slots__ = ("handlers", "receiver")
@@ -50,11 +50,11 @@
         }
 
     def handles(self, message: Message) -> bool:
-        """Whether a message is of a kind that consensus handles."""
+        """Return True if a message is a consensus request."""
         return str(message.get("kind")) in self.handlers
 
     def handle(self, message: Message, reply: Reply) -> None:
-        """Answer a request that `handles` took; one that is malformed gets the reason."""
+        """Handle a request that `handles` accepts; reply to a malformed one with the fault."""
         request_type, handler = self.handlers[str(message.get("kind"))]
         try:
             reply(encode(handler(decode(request_type, message))))
@@ -64,7 +64,7 @@
     def malformed_reply(
         self, request_type: type[Request], message: Message, error: MalformedMessageError
     ) -> Message:
-        """Return what a malformed request is answered."""
+        """Build the reply to a malformed request."""
         if request_type in (AppendEntriesRequest, InstallSnapshotRequest):
             rejection = self.receiver.rejection_of_malformed(message)
             if rejection is not None:
--- a/packages/consensus/ryelock/consensus/election_timer.py
+++ b/packages/consensus/ryelock/consensus/election_timer.py
@@ -6,22 +6,22 @@
 
 
 class ElectionTimer:
-    """When this member campaigns unless it hears a leader or grants a vote before."""
+    """Timer until this member campaigns, reset on leader contact and on a granted vote."""
 
     __slots__ = ("deadline", "random", "state")
 
     def __init__(self, state: MemberState, random: Random) -> None:
-        """Create a timer that runs from now on."""
+        """Create and start the timer."""
         self.state = state
         self.random = random
         self.deadline = 0.0
         self.reset()
 
     def reset(self) -> None:
-        """Start a new timeout of random length.
+        """Start a new randomised timeout.
 
-        It is shorter in a process that has heard no leader yet: after a restart of all members
-        nobody leads, and a pre-vote disturbs nobody who does.
+        The timeout is shorter in a process that has had no leader contact: after a restart of all
+        members there is no leader, and if there is one, the pre-vote does not disturb it.
         """
         timeout = self.state.settings.election_timeout
         if self.state.last_leader_contact_at is None:
@@ -32,5 +32,5 @@
 
     @property
     def expired(self) -> bool:
-        """Whether the timeout is over."""
+        """True once the timeout has passed."""
         return self.state.now() >= self.deadline
--- a/packages/consensus/ryelock/consensus/errors.py
+++ b/packages/consensus/ryelock/consensus/errors.py
@@ -1,24 +1,24 @@
-"""Errors of proposals: why the consensus group did not acknowledge one."""
+"""Errors of proposals that were not acknowledged."""
 
 
 class ConsensusError(Exception):
     """A proposal was not acknowledged.
 
     Attributes:
-        reason: What went wrong, in text for operators.
-        certain: True where the proposal is certainly not and never will be in the log; False
-            where it may still be committed, as after a lost leadership.
+        reason: A description for operators, who receive it in replies.
+        certain: True if the proposal is not in the log and never will be; False if it may still be
+            committed, as after a loss of leadership.
     """
 
     def __init__(self, reason: str, certain: bool) -> None:
-        """Create the error with its reason, and whether the outcome is beyond doubt."""
+        """Create the error with its reason and whether the rejection is certain."""
         super().__init__(reason)
         self.reason = reason
         self.certain = certain
 
 
 class NotLeaderError(ConsensusError):
-    """This member does not lead; nothing was appended."""
+    """This member is not the leader; nothing was appended."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -26,15 +26,15 @@
 
 
 class VotersRejectedError(ConsensusError):
-    """A change of voters that must not be appended now."""
+    """The change of voters must not be appended now."""
 
     def __init__(self, reason: str) -> None:
-        """Create the error with the rule that the change breaks."""
+        """Create the error with the rule that the change violates."""
         super().__init__(reason, True)
 
 
 class ProposalTimeoutError(ConsensusError):
-    """No majority answered in time; the entry may be committed later."""
+    """No majority replied in time; the entry may still be committed."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -42,9 +42,9 @@
 
 
 class LeaderDiskError(ConsensusError):
-    """The leader's disk refused the entry.
+    """The leader failed to store the entry.
 
-    A record that was written in part may be found whole after a restart, so this is not certain.
+    The outcome is uncertain, because a restart may find that the record was written completely.
     """
 
     def __init__(self) -> None:
@@ -53,10 +53,10 @@
 
 
 class LeadershipLostError(ConsensusError):
-    """The leader stepped down before the entry was applied; the next leader decides on it."""
+    """The leader stepped down before the entry was applied; a later leader may commit it."""
 
     def __init__(self, reason: str) -> None:
-        """Create the error with the reason of stepping down."""
+        """Create the error with the reason for stepping down."""
         super().__init__(f"leadership was lost midway: {reason}", False)
 
 
--- a/packages/consensus/ryelock/consensus/joining.py
+++ b/packages/consensus/ryelock/consensus/joining.py
@@ -58,13 +58,13 @@
     def on_status(self, _: StatusRequest) -> StatusReply:
         """Handle a status request."""
         state = self.state
-        known = state.knows_leader()
+        has_leader = state.knows_leader()
         return StatusReply(
             sender=state.disk,
             empty=state.replicated_log.empty,
             term=Natural(state.term),
-            leader=state.leader if known else "",
-            leader_address=state.leader_address if known else "",
+            leader=state.leader if has_leader else "",
+            leader_address=state.leader_address if has_leader else "",
             voters=state.voters,
             name=state.name,
             applied_index=Natural(state.applied_index),
@@ -100,20 +100,20 @@
     async def query_members(self) -> dict[str, SeedReply]:
         """Query the seeds, known voters and leader; return the timely replies by address."""
         state = self.state
-        known = {*self.seeds, *state.voters.values(), state.leader_address}
-        addresses = known - {"", state.address}
-        found: Queue[tuple[str, SeedReply | None]] = Queue(state.scheduler)
+        candidates = {*self.seeds, *state.voters.values(), state.leader_address}
+        addresses = candidates - {"", state.address}
+        received: Queue[tuple[str, SeedReply | None]] = Queue(state.scheduler)
         for address in sorted(addresses):
-            state.scheduler.create_task(self.query_member(address, found), name="consensus who")
+            state.scheduler.create_task(self.query_member(address, received), name="consensus who")
         replies: dict[str, SeedReply] = {}
         if state.address in self.seeds:
             replies[state.address] = self.own_reply()
         deadline = state.now() + STATUS_SECONDS
         for _ in addresses:
-            answered = await found.get(max(0.0, deadline - state.now()))
-            if answered is None:
+            response = await received.get(max(0.0, deadline - state.now()))
+            if response is None:
                 break
-            address, reply = answered
+            address, reply = response
             if reply is not None:
                 replies[address] = reply
         return replies
@@ -123,10 +123,12 @@
         own = self.on_status(StatusRequest())
         return SeedReply(sender=own.sender, empty=own.empty, leader_address=own.leader_address)
 
-    async def query_member(self, address: str, found: Queue[tuple[str, SeedReply | None]]) -> None:
+    async def query_member(
+        self, address: str, received: Queue[tuple[str, SeedReply | None]]
+    ) -> None:
         """Send a status request to an address and queue the reply, or None if it failed."""
         result = await self.rpc.call(address, request_to_wire(StatusRequest()), STATUS_SECONDS)
-        found.put((address, decode_seed_reply(result.ok) if result.is_ok() else None))
+        received.put((address, decode_seed_reply(result.ok) if result.is_ok() else None))
 
     def may_bootstrap_with(self, replies: dict[str, SeedReply]) -> bool:
         """Return True if every seed replied and all seeds with a disk are empty and distinct.
--- a/packages/consensus/ryelock/consensus/leadership.py
+++ b/packages/consensus/ryelock/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""Being leader: contact with a majority, and stepping down."""
+"""Leadership: contact with a majority, and stepping down."""
 
 from ryelock.consensus.election_timer import ElectionTimer
 from ryelock.consensus.errors import LeadershipLostError
@@ -7,16 +7,16 @@
 from ryelock.consensus.state import MemberState, Role
 
 NEVER_CONTACTED = -1e9
-"""The moment of a contact that never was, in seconds of the steady clock.
+"""Stands for the time of a contact that never happened.
 
-It stays a number: leases carry the age of the contact on the wire.
+It is finite, because leases send the age of the last contact on the wire.
 """
 STEP_DOWN_TIMEOUTS = 1.5
-"""A leader that no majority answered for so many election timeouts steps down."""
+"""How long without majority contact before a leader steps down, in election timeouts."""
 
 
 class Leadership:
-    """Ends this member's leadership, and knows what it rests on while it lasts."""
+    """Tracks a leader's contact with a majority, and makes it step down."""
 
     __slots__ = ("followers", "pending", "state", "timer")
 
@@ -27,14 +27,14 @@
         followers: Followers,
         pending: PendingProposals,
     ) -> None:
-        """Create the leadership of a member that does not lead."""
+        """Create the leadership component of a member that is not the leader."""
         self.state = state
         self.timer = timer
         self.followers = followers
         self.pending = pending
 
     def step_down(self, reason: str) -> None:
-        """Become a follower without a leader; proposals that wait fail, as uncertain."""
+        """Become a follower without a leader; pending proposals fail with uncertain outcome."""
         if not self.state.is_leader:
             return
         self.state.role = Role.FOLLOWER
@@ -45,24 +45,25 @@
         self.timer.reset()
 
     def observe_term(self, term: int) -> None:
-        """Enter a higher term that was seen, as a follower (Raft, section 5.1)."""
+        """Become a follower in a higher term that was observed (Raft, section 5.1)."""
         if term <= self.state.term:
             return
-        self.step_down("a higher epoch")  # Operators are answered this text.
+        self.step_down("a higher epoch")  # This text is sent to operators.
         self.state.role = Role.FOLLOWER
         self.state.save_vote(term, "")
 
     def majority_contact_at(self) -> float:
-        """Return when the newest request was sent that a majority has answered.
+        """Return the send time of the newest request that a majority has answered.
 
-        Answers prove that the voters still followed when it was sent. Leases and confirmed reads
-        rest on this (dissertation, sections 6.4.1 and 6.4). `NEVER_CONTACTED` where there is none.
+        Replies prove that the voters still followed this leader at the send time. Leases and
+        confirmed reads depend on it (dissertation, sections 6.4.1 and 6.4). `NEVER_CONTACTED` if no
+        majority has replied.
         """
         moments = sorted(self.contact_at(disk) for disk in self.state.voters)
         return moments[len(moments) - self.state.majority] if moments else NEVER_CONTACTED
 
     def contact_at(self, disk: str) -> float:
-        """Return when the newest request was sent that one voter has answered."""
+        """Return the send time of the newest request that a voter has answered."""
         if disk == self.state.disk:
             return self.state.now()
         follower = self.followers.by_disk.get(disk)
@@ -71,7 +72,7 @@
         return follower.last_contact_at
 
     def lost_majority(self) -> bool:
-        """Whether no majority has answered for too long (dissertation, section 6.2)."""
+        """Return True if no majority has replied for too long (dissertation, section 6.2)."""
         elected_at = NEVER_CONTACTED if self.state.elected_at is None else self.state.elected_at
         silence = self.state.now() - max(self.majority_contact_at(), elected_at)
         return silence > self.state.settings.election_timeout * STEP_DOWN_TIMEOUTS
--- a/packages/consensus/ryelock/consensus/leadership_transfer.py
+++ b/packages/consensus/ryelock/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Transfer of leadership to a successor (dissertation, section 3.10)."""
+"""Leadership transfer to a chosen successor (dissertation, section 3.10)."""
 
 from ryelock.consensus.followers import Followers
 from ryelock.consensus.leadership import Leadership
@@ -9,15 +9,15 @@
 from ryelock.rpc.errors import MalformedMessageError
 
 CATCH_UP_SECONDS = 1.0
-"""Seconds that a transfer waits for the successor to hold the whole log."""
+"""How long a transfer waits until the successor has the complete log."""
 ELECTION_SECONDS = 1.0
-"""Seconds that it then waits for the successor's election."""
+"""How long it then waits for the election of the successor."""
 REPLY_SECONDS = 0.5
 POLL_SECONDS = 0.01
 
 
 class LeadershipTransfer:
-    """Hands this leader's term over, in a planned stop or when the leader cannot go on."""
+    """Transfers leadership in a planned stop, or when the leader cannot continue."""
 
     __slots__ = ("followers", "leadership", "rpc", "state")
 
@@ -28,18 +28,18 @@
         followers: Followers,
         leadership: Leadership,
     ) -> None:
-        """Create the transfer part of a member."""
+        """Create the transfer component of a member."""
         self.state = state
         self.rpc = rpc
         self.followers = followers
         self.leadership = leadership
 
     def timeout_now(self) -> Message:
-        """Return the request to campaign at once, of the current term."""
+        """Build the TimeoutNow request of the current term."""
         return request_to_wire(TimeoutNowRequest(term=Natural(self.state.term)))
 
     def step_down_to_successor(self, reason: str) -> None:
-        """Step down, and ask the voter with the longest log to campaign at once."""
+        """Step down, and ask the voter with the longest log to campaign immediately."""
         successor = self.followers.by_disk.get(self.followers.most_up_to_date())
         message = self.timeout_now()
         self.leadership.step_down(reason)
@@ -49,11 +49,11 @@
             )
 
     async def notify(self, address: str, message: Message) -> None:
-        """Send a request whose reply is of no interest."""
+        """Send a request and ignore the reply."""
         await self.rpc.call(address, message, REPLY_SECONDS)
 
     async def transfer_to(self, successor: str) -> bool:
-        """Have a voter elected that holds the whole log; True once this member leads no more."""
+        """Transfer leadership to a voter with a complete log; return True on success."""
         follower = self.followers.by_disk.get(successor)
         if not self.state.is_leader or follower is None or successor not in self.state.voters:
             return False
@@ -68,7 +68,7 @@
         return not self.state.is_leader
 
     async def accepts(self, address: str) -> bool:
-        """Ask the successor to campaign, and return whether it does."""
+        """Ask the successor to campaign; return True if it accepts."""
         result = await self.rpc.call(address, self.timeout_now(), REPLY_SECONDS)
         if result.is_error():
             return False
--- a/packages/consensus/ryelock/consensus/log_receiver.py
+++ b/packages/consensus/ryelock/consensus/log_receiver.py
@@ -74,10 +74,10 @@
         return None
 
     def rejection_of_malformed(self, message: Message) -> AppendReply | None:
-        """Return the rejection of a malformed request, if its header alone requires one.
+        """Return the rejection of a malformed request, if its header requires one.
 
-        A leader of another version so learns of a replaced disk or a higher term, although this
-        member cannot decode the rest. None if the request should be reported as malformed.
+        This reports a replaced disk or a higher term to a leader of another version, although the
+        other fields cannot be decoded. None if the request should be reported as malformed.
         """
         try:
             return self.leader_rejection(decode(LeaderHeader, message))
@@ -111,15 +111,15 @@
         if mismatch is not None:
             return mismatch
         entries = [entry_from_wire(entry) for entry in request.entries]
-        before = self.state.last_index
+        last_index = self.state.last_index
         if not self.applier.store(entries):
-            return replace(self.rejection(), last_index=Natural(before), disk_failed=True)
+            return replace(self.rejection(), last_index=Natural(last_index), disk_failed=True)
         self.incoming = None
-        reached = request.previous_index + len(entries)
-        self.applier.advance(min(request.commit_index, reached))
+        match_index = request.previous_index + len(entries)
+        self.applier.advance(min(request.commit_index, match_index))
         if request.payload is not None:
             self.payloads.on_payload(request.leader, request.payload, None)
-        return self.acceptance(reached, self.payloads.heartbeat_payload())
+        return self.acceptance(match_index, self.payloads.heartbeat_payload())
 
     def acceptance(self, last_index: int, payload: dict[str, object] | None = None) -> AppendReply:
         """Return an acceptance: the logs agree up to an index."""
--- a/packages/consensus/ryelock/consensus/member_events.py
+++ b/packages/consensus/ryelock/consensus/member_events.py
@@ -1,4 +1,4 @@
-"""The entries of the owner's queue: everything that changes a member's state."""
+"""Events of the owner's queue: everything that changes a member's state."""
 
 from dataclasses import dataclass
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerRequest:
-    """A request of another process, of a kind that consensus handles."""
+    """A consensus request from another process."""
 
     message: Message
     reply: Reply
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerReplied:
-    """What came back from a follower for a request sent at a moment of a term."""
+    """The result of a request to a follower, with its send time and term."""
 
     follower: Follower
     term: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HigherTermSeen:
-    """A reply named a term above this member's."""
+    """A reply contained a term above this member's."""
 
     term: int
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BootstrapCluster:
-    """All seeds are there and empty: found the cluster with these voters."""
+    """All seeds replied and are empty: bootstrap the cluster with these voters."""
 
     voters: Voters
 
--- a/packages/consensus/ryelock/consensus/pending.py
+++ b/packages/consensus/ryelock/consensus/pending.py
@@ -1,4 +1,4 @@
-"""Proposals that a leader appended and that wait until their entry is applied."""
+"""Proposals that a leader has appended and that wait until their entry is applied."""
 
 from expression import Error, Ok, Result
 
@@ -7,11 +7,11 @@
 from ryelock.runtime import Queue
 
 Outcome = Result[object, ConsensusError]
-"""What applying a proposal returned, or why it was not acknowledged."""
+"""The result of applying a proposal, or why it was not acknowledged."""
 
 
 class Proposal:
-    """Data to append, and the queue that its outcome is put into."""
+    """Data to append to the log, with a queue for the outcome."""
 
     __slots__ = ("data", "kind", "outcome")
 
@@ -22,12 +22,12 @@
         self.outcome = outcome
 
     def reject(self, error: ConsensusError) -> None:
-        """Tell the proposer that there will be no outcome."""
+        """Complete the proposal with an error."""
         self.outcome.put(Error(error))
 
 
 class PendingProposals:
-    """The appended proposals by index, with the term that they were appended in."""
+    """The appended proposals by index, with the term in which each was appended."""
 
     __slots__ = ("by_index",)
 
@@ -36,26 +36,26 @@
         self.by_index: dict[int, tuple[int, Proposal]] = {}
 
     def add(self, entry: Entry, proposal: Proposal) -> None:
-        """Remember who waits for an entry."""
+        """Register the proposal that waits for an entry."""
         self.by_index[entry.index] = (entry.term, proposal)
 
     def resolve(self, entry: Entry, result: object) -> None:
-        """Answer the proposal whose entry was applied.
+        """Complete the proposal at the index of an applied entry.
 
-        Where the committed entry is of another term, another leader's entry has replaced the one
-        proposed, which then can never be committed (log matching, Raft section 5.3).
+        If the applied entry is of another term, another leader's entry has replaced the proposed
+        one, which can then never be committed (log matching; Raft, section 5.3).
         """
-        found = self.by_index.pop(entry.index, None)
-        if found is None:
+        pending = self.by_index.pop(entry.index, None)
+        if pending is None:
             return
-        term, proposal = found
+        term, proposal = pending
         if term == entry.term:
             proposal.outcome.put(Ok(result))
         else:
             proposal.reject(EntryReplacedError())
 
     def fail_all(self, error: ConsensusError) -> None:
-        """Answer all proposals with an error."""
+        """Complete all proposals with an error."""
         for _, proposal in self.by_index.values():
             proposal.reject(error)
         self.by_index = {}
--- a/packages/consensus/ryelock/consensus/settings.py
+++ b/packages/consensus/ryelock/consensus/settings.py
@@ -1,4 +1,4 @@
-"""Intervals and sizes that a member of the consensus group works with."""
+"""Settings of a member of the consensus group."""
 
 from dataclasses import dataclass
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsensusSettings:
-    """Intervals of heartbeats, elections and replacement, and when snapshots are written.
+    """Intervals, limits and sizes.
 
     Attributes:
-        heartbeat_seconds: Interval between heartbeats to a follower with nothing else to send.
-        election_timeout: Seconds without a heartbeat after which a follower may campaign; the
-            shortest of the randomised timeouts (Raft, section 5.2).
+        heartbeat_seconds: Interval between heartbeats to a follower.
+        election_timeout: Seconds without leader contact after which a follower may campaign; the
+            minimum of the randomised timeouts (Raft, section 5.2).
         lease_seconds: The longest lease that a voter grants to an edge while there is no leader.
-        replace_seconds: Seconds without a stored entry after which a voter counts as lost.
+        replace_seconds: Seconds without a stored entry after which a voter is lost.
         snapshot_records: Journal records after which a snapshot is due.
-        may_bootstrap: Whether this member may bootstrap a new cluster.
-        disk_bytes: Size of the disk; 0 where it is not known.
-        max_retained_bytes: Bytes of entries kept in memory behind the snapshot that replaced them.
+        may_bootstrap: True if this member may bootstrap a new cluster.
+        disk_bytes: Size of the disk; 0 if unknown.
+        max_retained_bytes: Maximum size of the compacted entries that are kept in memory.
     """
 
     heartbeat_seconds: float = 0.15
--- a/packages/consensus/ryelock/consensus/state_machine.py
+++ b/packages/consensus/ryelock/consensus/state_machine.py
@@ -1,23 +1,23 @@
-"""The interface of the replicated state machine that a member applies committed commands to."""
+"""The interface of the replicated state machine."""
 
 from typing import Protocol
 
 
 class StateMachine(Protocol):
-    """State changed by commands only; the same commands must give the same state on every node."""
+    """A deterministic state machine: the same commands give the same state on every node."""
 
     def apply(self, index: int, data: bytes) -> object:
-        """Apply the command of a log entry and return its outcome; never raises.
+        """Apply the command of a log entry and return its outcome; must not raise.
 
-        An outcome that is a map in which `again` is True says that the command was applied before
-        and that nothing was changed by it.
+        An outcome that is a dict with `again` True means that the command was already applied, and
+        had no effect this time.
         """
         ...
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Serialise the complete state."""
         ...
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by that of a snapshot."""
+        """Replace the complete state by that of a snapshot."""
         ...
--- a/packages/consensus/ryelock/consensus/status.py
+++ b/packages/consensus/ryelock/consensus/status.py
@@ -1,4 +1,4 @@
-"""The status of a member, and of every disk as the leader sees it, for operators."""
+"""Status of a member, and of all replicas as seen by the leader, for operators."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,7 +8,7 @@
 
 
 class MemberRole(StrEnum):
-    """What a member does at the moment."""
+    """The role of a member as shown to operators."""
 
     LEADER = "leader"
     FOLLOWER = "follower"
@@ -18,7 +18,7 @@
 
 
 class ReplicaState(StrEnum):
-    """How the leader sees one disk."""
+    """The state of a replica as seen by the leader."""
 
     LEADER = "leader"
     UP_TO_DATE = "level"
@@ -29,48 +29,58 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """One member: its state, seconds since it heard its leader (None: never), entries to apply."""
+    """The status of a member.
+
+    Attributes:
+        leader_contact_seconds: Seconds since the last leader contact; None if there was none.
+        unapplied_entries: The number of committed entries that it has not applied.
+    """
 
     state: MemberRole
-    leader_heard_seconds: float | None
-    behind: int
+    leader_contact_seconds: float | None
+    unapplied_entries: int
 
     def to_wire(self) -> dict[str, object]:
-        """The form in which it is shown."""
+        """Encode the status for the control API."""
         return {
             "state": str(self.state),
-            "leader_heard_seconds": self.leader_heard_seconds,
-            "behind": self.behind,
+            "leader_heard_seconds": self.leader_contact_seconds,
+            "behind": self.unapplied_entries,
         }
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """One disk as its leader sees it; `behind` counts entries, `heard_seconds` None: never."""
+    """The status of a replica as seen by the leader.
+
+    Attributes:
+        missing_entries: The number of committed entries that it is not known to store.
+        last_contact_seconds: Seconds since its last contact; None if there was none.
+    """
 
     disk: str
     address: str
     voter: bool
     state: ReplicaState
-    behind: int
-    heard_seconds: float | None
+    missing_entries: int
+    last_contact_seconds: float | None
 
     def to_wire(self) -> dict[str, object]:
-        """The form in which it is shown."""
+        """Encode the status for the control API."""
         return {
             "disk": self.disk,
             "address": self.address,
             "voter": self.voter,
             "state": str(self.state),
-            "behind": self.behind,
-            "heard_seconds": self.heard_seconds,
+            "behind": self.missing_entries,
+            "heard_seconds": self.last_contact_seconds,
         }
 
 
 def member_status(consensus: Consensus) -> MemberStatus:
-    """Return the state of this member."""
-    behind = consensus.commit_index - consensus.applied_index
-    heard = rounded_seconds_since(consensus, consensus.state.last_leader_contact_at)
+    """Return the status of this member."""
+    unapplied = consensus.commit_index - consensus.applied_index
+    leader_contact = rounded_seconds_since(consensus, consensus.state.last_leader_contact_at)
     if consensus.leaving:
         state = MemberRole.LEAVING
     elif consensus.role is Role.LEADER:
@@ -81,13 +91,13 @@
         state = MemberRole.FOLLOWER
     else:
         state = MemberRole.LEARNER
-    return MemberStatus(state, heard, behind)
+    return MemberStatus(state, leader_contact, unapplied)
 
 
 def replica_statuses(
     consensus: Consensus, lost: frozenset[str], leaving: frozenset[str]
 ) -> list[ReplicaStatus]:
-    """Return every disk that a leader replicates to, and its own, in the order of names."""
+    """Return the status of the leader and of all its voters and learners, ordered by disk ID."""
     addresses = {
         consensus.disk: consensus.address,
         **{disk: follower.address for disk, follower in consensus.peers.items()},
@@ -102,25 +112,25 @@
 def replica_status(
     consensus: Consensus, disk: str, address: str, lost: frozenset[str], leaving: frozenset[str]
 ) -> ReplicaStatus:
-    """Return one disk as its leader sees it."""
-    behind = max(0, consensus.commit_index - consensus.match_index_of(disk))
+    """Return the status of a replica as seen by the leader."""
+    missing = max(0, consensus.commit_index - consensus.match_index_of(disk))
     follower = consensus.peers.get(disk)
-    heard = 0.0 if disk == consensus.disk else None
+    last_contact = 0.0 if disk == consensus.disk else None
     if follower is not None:
-        heard = rounded_seconds_since(consensus, follower.last_contact_at)
+        last_contact = rounded_seconds_since(consensus, follower.last_contact_at)
     if disk == consensus.disk:
         state = ReplicaState.LEADER
     elif disk in leaving:
         state = ReplicaState.LEAVING
     elif disk in lost:
         state = ReplicaState.LOST
-    elif behind:
+    elif missing:
         state = ReplicaState.CATCHING_UP
     else:
         state = ReplicaState.UP_TO_DATE
-    return ReplicaStatus(disk, address, disk in consensus.voters, state, behind, heard)
+    return ReplicaStatus(disk, address, disk in consensus.voters, state, missing, last_contact)
 
 
 def rounded_seconds_since(consensus: Consensus, moment: float | None) -> float | None:
-    """Return seconds since a moment of the member's clock; None where it never came."""
+    """Return the seconds since `moment`, in milliseconds precision; None if it is None."""
     return None if moment is None else round(consensus.scheduler.now() - moment, 3)
