--- a/packages/cli/ryelock/cli/daemon.py
+++ b/packages/cli/ryelock/cli/daemon.py
@@ -12,7 +12,7 @@
 from ryelock.control_plane.process import ControlNode
 from ryelock.edge.process import TrafficNode
 from ryelock.events import TASK_FAULT, Log
-from ryelock.journal import FolderError, MachineFolder
+from ryelock.journal import FolderError, LocalFolder
 from ryelock.runtime import NetworkError
 from ryelock.runtime.reactor import Reactor
 from ryelock.settings import NodeRole, Settings
@@ -50,7 +50,7 @@
         FolderError: the data folder cannot be used.
         NetworkError: an address cannot be listened on.
     """
-    folder = MachineFolder(settings.data_folder)
+    folder = LocalFolder(settings.data_folder)
     found = open_disk(folder, log, settings.segment_bytes, random)
     if found.is_error():
         raise FolderError(f"data folder {settings.data_folder}: {found.error.reason}")
--- a/packages/consensus/ryelock/consensus/compaction.py
+++ b/packages/consensus/ryelock/consensus/compaction.py
@@ -47,13 +47,13 @@
         """
         limit = journal_limit_bytes(journal.snapshot_bytes, self.disk_bytes)
         limit_reached = (
-            journal.written > self.max_records
+            journal.replay_records > self.max_records
             or journal.replay_bytes > limit
-            or (journal.full and journal.replay_bytes > journal.snapshot_bytes)
+            or (journal.disk_full and journal.replay_bytes > journal.snapshot_bytes)
         )
         backoff_over = (
             journal.replay_bytes >= self.not_before_bytes
-            or journal.written >= self.not_before_records
+            or journal.replay_records >= self.not_before_records
         )
         return limit_reached and backoff_over
 
@@ -61,7 +61,8 @@
         """Delay the next snapshot after a failed one."""
         limit = journal_limit_bytes(journal.snapshot_bytes, self.disk_bytes)
         self.not_before_bytes = journal.replay_bytes + int(limit * BACKOFF_FRACTION)
-        self.not_before_records = journal.written + max(1, int(self.max_records * BACKOFF_FRACTION))
+        backoff_records = max(1, int(self.max_records * BACKOFF_FRACTION))
+        self.not_before_records = journal.replay_records + backoff_records
 
     def record_success(self) -> None:
         """Clear the delay after a successful snapshot."""
--- a/packages/control_plane/ryelock/control_plane/identity.py
+++ b/packages/control_plane/ryelock/control_plane/identity.py
@@ -42,7 +42,7 @@
     """
     try:
         # A killed process may have renamed files whose directory entries are not synced yet.
-        folder.sync_names()
+        folder.sync_directory()
         disk = read_identity(folder)
         if disk and not has_journal(folder):
             log.write(JOURNAL_DAMAGED, fault="the journal is gone", disk=disk)
@@ -58,7 +58,7 @@
         found = open_journal(folder, log, segment_bytes)
         if found.is_error():
             return Error(found.error)
-        folder.write_whole(IDENTITY_FILE, json.dumps({"disk": disk}).encode())
+        folder.write_atomically(IDENTITY_FILE, json.dumps({"disk": disk}).encode())
         return Ok((disk, found.ok))
     except FolderError as error:
         return Error(JournalUnavailableError(str(error)))
@@ -87,7 +87,7 @@
     still has a vote.
     """
     if IDENTITY_FILE in folder.names():
-        folder.write_whole(IDENTITY_FILE, b"")
+        folder.write_atomically(IDENTITY_FILE, b"")
     for name in folder.names():
         if name.startswith(DAMAGED_PREFIX):
             folder.delete(name)
--- a/packages/journal/ryelock/journal/__init__.py
+++ b/packages/journal/ryelock/journal/__init__.py
@@ -20,7 +20,7 @@
 """
 
 from ryelock.journal.errors import DamagedJournalError, JournalError, JournalUnavailableError
-from ryelock.journal.folder import Folder, FolderError, MachineFolder
+from ryelock.journal.folder import Folder, FolderError, LocalFolder
 from ryelock.journal.journal import Journal
 from ryelock.journal.opening import open_journal
 
@@ -31,6 +31,6 @@
     "Journal",
     "JournalError",
     "JournalUnavailableError",
-    "MachineFolder",
+    "LocalFolder",
     "open_journal",
 ]
--- a/packages/journal/ryelock/journal/folder.py
+++ b/packages/journal/ryelock/journal/folder.py
@@ -39,11 +39,11 @@
         """Cut a file to so many bytes; it is not synced."""
         ...
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         """Write a file at once: after a loss of power it is there complete or not at all."""
         ...
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Make durable which names there are, also those that an earlier process gave."""
         ...
 
@@ -56,7 +56,7 @@
         ...
 
 
-class MachineFolder:
+class LocalFolder:
     """A real folder; the file appended to last stays open."""
 
     __slots__ = ("open_file", "open_name", "path")
@@ -70,22 +70,22 @@
         self.path = Path(path)
         self.open_name = ""
         self.open_file = -1
-        with faults_named(f"data folder {path}"):
+        with wrap_os_errors(f"data folder {path}"):
             self.path.mkdir(parents=True, exist_ok=True)
-            self.write_whole(WRITE_TEST_NAME, b"")
+            self.write_atomically(WRITE_TEST_NAME, b"")
             self.delete(WRITE_TEST_NAME)
 
     def names(self) -> list[str]:
         """Return the names of all files, in order."""
-        with faults_named(str(self.path)):
+        with wrap_os_errors(str(self.path)):
             return sorted(os.listdir(self.path))
 
     def read(self, name: str) -> bytes:
         """Return a file's bytes."""
-        with faults_named(name):
+        with wrap_os_errors(name):
             return (self.path / name).read_bytes()
 
-    def file_for(self, name: str) -> int:
+    def descriptor_for(self, name: str) -> int:
         """Return the descriptor of a file that is open for appending; raises OSError."""
         if self.open_name != name:
             if self.open_file >= 0:
@@ -102,31 +102,31 @@
 
     def append(self, name: str, data: bytes) -> None:
         """Append to a file, which is created where there is none; it is not synced."""
-        with faults_named(name):
-            file = self.file_for(name)
+        with wrap_os_errors(name):
+            file = self.descriptor_for(name)
             view = memoryview(data)
             while view:
                 view = view[os.write(file, view) :]
 
     def sync(self, name: str) -> None:
         """Make durable what a file has."""
-        with faults_named(name):
-            os.fsync(self.file_for(name))
+        with wrap_os_errors(name):
+            os.fsync(self.descriptor_for(name))
 
     def truncate(self, name: str, size: int) -> None:
         """Cut a file to so many bytes; it is not synced."""
-        with faults_named(name):
-            os.ftruncate(self.file_for(name), size)
+        with wrap_os_errors(name):
+            os.ftruncate(self.descriptor_for(name), size)
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         """Write a file at once: after a loss of power it is there complete or not at all."""
         partial = self.path / f"{name}{PARTIAL_SUFFIX}"
-        with faults_named(name):
+        with wrap_os_errors(name):
             try:
                 self.close_file(name)
                 self.write_synced(partial, data)
                 os.replace(partial, self.path / name)
-                self.sync_names()
+                self.sync_directory()
             except OSError:
                 with suppress(OSError):
                     partial.unlink(missing_ok=True)
@@ -139,9 +139,9 @@
             file.flush()
             os.fsync(file.fileno())
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Make durable which names there are, also those that an earlier process gave."""
-        with faults_named(str(self.path)):
+        with wrap_os_errors(str(self.path)):
             folder = os.open(self.path, os.O_RDONLY)
             try:
                 os.fsync(folder)
@@ -150,19 +150,19 @@
 
     def rename(self, name: str, other: str) -> None:
         """Give a file another name, in place of one that has it, and make that durable."""
-        with faults_named(name):
+        with wrap_os_errors(name):
             os.replace(self.path / name, self.path / other)
-            self.sync_names()
+            self.sync_directory()
 
     def delete(self, name: str) -> None:
         """Delete a file; the name may come back after a loss of power."""
-        with faults_named(name):
+        with wrap_os_errors(name):
             self.close_file(name)
             os.unlink(self.path / name)
 
 
 @contextmanager
-def faults_named(subject: str) -> Iterator[None]:
+def wrap_os_errors(subject: str) -> Iterator[None]:
     """Raise a fault of the operating system as FolderError, with what it happened to."""
     try:
         yield
--- a/packages/journal/ryelock/journal/journal.py
+++ b/packages/journal/ryelock/journal/journal.py
@@ -35,19 +35,19 @@
     """
 
     __slots__ = (
+        "disk_full",
         "folder",
-        "full",
         "log",
         "needs_repair",
         "records",
         "replay_bytes",
+        "replay_records",
         "rotation_due",
-        "segment",
         "segment_bytes",
-        "size",
+        "segment_number",
+        "segment_size",
         "snapshot",
         "snapshot_bytes",
-        "written",
     )
 
     def __init__(self, folder: Folder, log: Log, segment_bytes: int) -> None:
@@ -57,13 +57,13 @@
         self.segment_bytes = segment_bytes
         self.snapshot: bytes | None = None
         self.records: list[bytes] = []
-        self.segment = 0
-        self.size = 0
+        self.segment_number = 0
+        self.segment_size = 0
         self.snapshot_bytes = 0
         self.replay_bytes = 0
-        self.written = 0
+        self.replay_records = 0
         self.needs_repair = False
-        self.full = False
+        self.disk_full = False
         self.rotation_due = False
 
     def write(self, records: list[bytes]) -> Result[None, JournalError]:
@@ -71,14 +71,14 @@
         data = pack_batch(records)
         try:
             self.repair()
-            if self.rotation_due or self.size >= self.segment_bytes:
+            if self.rotation_due or self.segment_size >= self.segment_bytes:
                 self.start_segment()
-            self.append_synced(segment_name(self.segment), data)
+            self.append_synced(segment_name(self.segment_number), data)
         except FolderError as error:
-            return self.failed(error)
-        self.size += len(data)
+            return self.report_failure(error)
+        self.segment_size += len(data)
         self.replay_bytes += len(data)
-        self.written += len(records)
+        self.replay_records += len(records)
         return Ok(None)
 
     def append_synced(self, name: str, data: bytes) -> None:
@@ -87,13 +87,13 @@
         The flags are set before each step, so that they stand when the step raises.
         """
         self.needs_repair = True
-        self.full = True
+        self.disk_full = True
         self.folder.append(name, data)
-        self.full = False
+        self.disk_full = False
         self.folder.sync(name)
         self.needs_repair = False
 
-    def failed(self, error: FolderError) -> Result[None, JournalError]:
+    def report_failure(self, error: FolderError) -> Result[None, JournalError]:
         """Log that the folder took a write not at all or in part, and return it as an error."""
         self.log.write(JOURNAL_FULL, fault=str(error))
         return Error(JournalUnavailableError(str(error)))
@@ -102,8 +102,8 @@
         """Cut what a failed write may have left behind the last good one; raises FolderError."""
         if not self.needs_repair:
             return
-        name = segment_name(self.segment)
-        self.folder.truncate(name, self.size)
+        name = segment_name(self.segment_number)
+        self.folder.truncate(name, self.segment_size)
         self.folder.sync(name)
         self.needs_repair = False
 
@@ -114,25 +114,25 @@
         a torn one in it would not be the last of the journal, and the next write tries again.
         """
         self.rotation_due = True
-        self.folder.write_whole(segment_name(self.segment + 1), b"")
+        self.folder.write_atomically(segment_name(self.segment_number + 1), b"")
         self.rotation_due = False
-        self.segment += 1
-        self.size = 0
+        self.segment_number += 1
+        self.segment_size = 0
 
     def write_snapshot(self, snapshot: bytes, records: list[bytes]) -> Result[None, JournalError]:
         """Put a snapshot and the records still needed in place of all that was written."""
         try:
             self.repair()
-            if self.rotation_due or self.size > 0:
+            if self.rotation_due or self.segment_size > 0:
                 self.start_segment()
             data = pack_batch([snapshot, *records])
-            self.folder.write_whole(snapshot_name(self.segment), data)
+            self.folder.write_atomically(snapshot_name(self.segment_number), data)
         except FolderError as error:
-            return self.failed(error)
+            return self.report_failure(error)
         self.snapshot_bytes = len(data)
         self.replay_bytes = 0
-        self.written = len(records)
-        self.delete_before(self.segment)
+        self.replay_records = len(records)
+        self.delete_before(self.segment_number)
         return Ok(None)
 
     def delete_before(self, number: int) -> None:
--- a/packages/journal/ryelock/journal/opening.py
+++ b/packages/journal/ryelock/journal/opening.py
@@ -32,7 +32,7 @@
     """
     journal = Journal(folder, log, segment_bytes)
     try:
-        read_back(journal)
+        replay_folder(journal)
     except FolderError as error:
         return Error(JournalUnavailableError(str(error)))
     except JournalError as error:
@@ -40,7 +40,7 @@
     return Ok(journal)
 
 
-def read_back(journal: Journal) -> None:
+def replay_folder(journal: Journal) -> None:
     """Read all files of the folder into a new journal; raises JournalError or FolderError."""
     folder = journal.folder
     names = folder.names()
@@ -59,8 +59,8 @@
     for number in segments:
         read_segment(journal, number, is_last=number == segments[-1])
     if not segments:
-        folder.write_whole(segment_name(0), b"")
-    journal.written = len(journal.records)
+        folder.write_atomically(segment_name(0), b"")
+    journal.replay_records = len(journal.records)
 
 
 def read_snapshot(journal: Journal, name: str) -> None:
@@ -88,6 +88,6 @@
     # so acknowledged by this process, it has to be on disk.
     journal.folder.sync(name)
     journal.records += decoded.records
-    journal.segment = number
-    journal.size = end
+    journal.segment_number = number
+    journal.segment_size = end
     journal.replay_bytes += end
--- a/packages/testing/ryelock/testing/model/disk.py
+++ b/packages/testing/ryelock/testing/model/disk.py
@@ -77,11 +77,11 @@
         """Cut a file; not synced."""
         self.files[name] = self.files[name][:size]
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         """Replace a file by synced data, then sync the folder."""
         self.files[name] = data
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Nothing to do either."""
 
     def rename(self, name: str, other: str) -> None:
@@ -203,7 +203,7 @@
         del self.files[name][size:]
         self.point()
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         """Replace a file by synced data, then sync the folder."""
         self.point()
         self.stall_once()
@@ -241,7 +241,7 @@
             self.deleted[name] = self.durable.pop(name)
         self.point()
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Sync the folder."""
         self.point()
         if self.fails(Fault.FOLDER, Fault.IO):
--- a/packages/testing/ryelock/testing/scale/catch_up.py
+++ b/packages/testing/ryelock/testing/scale/catch_up.py
@@ -22,7 +22,7 @@
 from ryelock.consensus.state import Role
 from ryelock.control_plane.configuration_updates import ConfigurationUpdates
 from ryelock.events import RecordingLog
-from ryelock.journal import Journal, MachineFolder, open_journal
+from ryelock.journal import Journal, LocalFolder, open_journal
 from ryelock.replicated_state import ReplicatedState, encode_command
 from ryelock.rpc import Message, RpcClients, encode_frame
 from ryelock.runtime import Network, Scheduler
@@ -60,7 +60,7 @@
 def make_consensus(disk: str, folder: str, reactor: Reactor) -> Consensus:
     """A consensus group that is never started: messages are carried by hand."""
     log = RecordingLog(disk)
-    journal = open_journal(MachineFolder(folder), log, SEGMENT_BYTES)
+    journal = open_journal(LocalFolder(folder), log, SEGMENT_BYTES)
     if journal.is_error():
         raise journal.error
     scheduler: Scheduler = reactor.scheduler
--- a/packages/testing/ryelock/testing/scale/pieces.py
+++ b/packages/testing/ryelock/testing/scale/pieces.py
@@ -18,7 +18,7 @@
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
 from ryelock.events import RecordingLog
-from ryelock.journal import MachineFolder
+from ryelock.journal import LocalFolder
 from ryelock.membership import Membership, Server, Session
 from ryelock.rate_limit import OutstandingShares
 from ryelock.replicated_state import Purge, PurgeKind, ReplicatedState, encode_command
@@ -83,7 +83,7 @@
         },
     )
     random = Random(1)
-    disk, journal = open_disk(MachineFolder(folder), log, settings.segment_bytes, random).ok
+    disk, journal = open_disk(LocalFolder(folder), log, settings.segment_bytes, random).ok
     return ControlNode(settings, reactor.scheduler, reactor, log, random, disk, journal)
 
 
--- a/packages/testing/ryelock/testing/simulated/world.py
+++ b/packages/testing/ryelock/testing/simulated/world.py
@@ -192,14 +192,14 @@
         del self.files[name][size:]
         self.synced[name] = min(self.synced.get(name, 0), size)
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         """Replace a file by bytes that survive a loss of power."""
         self.point("whole")
         self.files[name] = bytearray(data)
         self.synced[name] = len(data)
         self.point("wholed")
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         """Nothing to do: names last at once here; the models of the journal's tests tear them."""
 
     def rename(self, name: str, other: str) -> None:
--- a/tests/consensus/test_compaction.py
+++ b/tests/consensus/test_compaction.py
@@ -27,10 +27,10 @@
             raise FolderError("no space left on device")
         super().append(name, data)
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         if self.used() + len(data) > DISK_BYTES:
             raise FolderError("no space left on device")
-        super().write_whole(name, data)
+        super().write_atomically(name, data)
 
 
 class LastCommand:
@@ -74,7 +74,7 @@
 
     def test_by_records_alone_the_disk_is_full_after_a_hundred(self) -> None:
         def by_records(compaction: Compaction, journal: Journal) -> bool:
-            return journal.written > compaction.max_records
+            return journal.replay_records > compaction.max_records
 
         with mock.patch.object(Compaction, "due", by_records):
             self.assertLess(taken(DISK_BYTES, 900)[0], 101)
@@ -93,8 +93,8 @@
         tried: list[int] = []
 
         def write_snapshot(journal: Journal, _snapshot: bytes, _records: list[bytes]) -> object:
-            tried.append(journal.written)
-            return journal.failed(FolderError("no space left on device"))
+            tried.append(journal.replay_records)
+            return journal.report_failure(FolderError("no space left on device"))
 
         with mock.patch.object(Journal, "write_snapshot", write_snapshot):
             for index in range(1, 201):
--- a/tests/consensus/test_replicated_log.py
+++ b/tests/consensus/test_replicated_log.py
@@ -20,10 +20,10 @@
 class NoSnapshotFolder(SimFolder):
     """A disk that has room for small files only."""
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         if name.startswith("image-"):
             raise FolderError("no space left on device")
-        super().write_whole(name, data)
+        super().write_atomically(name, data)
 
 
 class ReplicatedLogTests(testtools.TestCase):
--- a/tests/control_plane/test_control_cases.py
+++ b/tests/control_plane/test_control_cases.py
@@ -20,7 +20,7 @@
 
 Patch = AbstractContextManager[Any]
 SEEDS = range(len(ISOLATIONS))
-DISK_WRITES = ("append", "sync", "truncate", "write_whole")
+DISK_WRITES = ("append", "sync", "truncate", "write_atomically")
 
 
 async def confirmed_at_once(_consensus: Consensus, _seconds: float) -> bool:
--- a/tests/golden/test_golden_stored.py
+++ b/tests/golden/test_golden_stored.py
@@ -24,7 +24,7 @@
 from ryelock.control_plane.identity import open_disk
 from ryelock.control_plane.process import ControlNode
 from ryelock.events import RecordingLog
-from ryelock.journal import Journal, MachineFolder
+from ryelock.journal import Journal, LocalFolder
 from ryelock.replicated_state import PurgeKind, ReplicatedState, encode_command
 from ryelock.settings import read_settings
 from ryelock.testing.simulated import World
@@ -111,7 +111,7 @@
     def __init__(self, path: Path) -> None:
         """Open the folder as the program does; an empty one gets an identity."""
         self.events = RecordingLog("core0")
-        found = open_disk(MachineFolder(str(path)), self.events, SEGMENT_BYTES, Random(7))
+        found = open_disk(LocalFolder(str(path)), self.events, SEGMENT_BYTES, Random(7))
         assert found.is_ok()
         self.disk: str = found.ok[0]
         self.journal: Journal = found.ok[1]
--- a/tests/journal/test_journal_faults.py
+++ b/tests/journal/test_journal_faults.py
@@ -112,7 +112,7 @@
         file = self.files.setdefault(name, File())
         self.step(lambda: file.truncate(size))
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         file = File()
         partial = f"{name}.new"
 
@@ -130,9 +130,9 @@
         self.step(create)
         self.step(sync)
         self.step(rename)
-        self.step(self.sync_names)
+        self.step(self.sync_directory)
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         self.durable = dict(self.files)
 
     def rename(self, name: str, other: str) -> None:
@@ -140,7 +140,7 @@
             self.files[other] = self.files.pop(name)
 
         self.step(act)
-        self.step(self.sync_names)
+        self.step(self.sync_directory)
 
     def delete(self, name: str) -> None:
         def act() -> None:
@@ -227,7 +227,7 @@
     for name, content in files.items():
         folder.files[name] = File()
         folder.files[name].content = folder.files[name].synced = content
-    folder.sync_names()
+    folder.sync_directory()
     return folder
 
 
@@ -295,12 +295,12 @@
     def check_killed(self, writer: Writer, told: object) -> int:
         """The process dies, another opens what it left, and then power is lost.
 
-        Opening the folder syncs its names, as `MachineFolder` does; what the second process read
+        Opening the folder syncs its names, as `LocalFolder` does; what the second process read
         it may have answered for, so none of it may be lost.
         """
         folder = writer.folder
         folder.faults = {}
-        folder.sync_names()
+        folder.sync_directory()
         journal = Writer(folder, []).open()
         assert journal is not None
         found = state_of(journal)
@@ -328,11 +328,11 @@
                 journal.rotation_due = False
 
         def goes_on_in_old(journal: Journal) -> None:
-            journal.folder.write_whole(f"segment-{journal.segment + 1:010d}", b"")
-            journal.size = 0
+            journal.folder.write_atomically(f"segment-{journal.segment_number + 1:010d}", b"")
+            journal.segment_size = 0
 
         def deletes_first(journal: Journal, snapshot: bytes, records: Records) -> object:
-            journal.delete_before(journal.segment + 1)
+            journal.delete_before(journal.segment_number + 1)
             return plain_snapshot(journal, snapshot, records)
 
         plain_start, plain_snapshot = Journal.start_segment, Journal.write_snapshot
--- a/tests/journal/test_records.py
+++ b/tests/journal/test_records.py
@@ -9,7 +9,7 @@
 import testtools
 
 from ryelock.events import JOURNAL_TAIL_TRUNCATED, RecordingLog
-from ryelock.journal import MachineFolder, open_journal
+from ryelock.journal import LocalFolder, open_journal
 from ryelock.journal.folder import FolderError
 from ryelock.testing.simulated import SimFolder
 
@@ -23,33 +23,33 @@
         self.log = RecordingLog("test")
 
     def opened(self) -> object:
-        return open_journal(MachineFolder(str(self.path)), self.log, 4096)
+        return open_journal(LocalFolder(str(self.path)), self.log, 4096)
 
     def test_every_tear_of_the_last_write_is_cut(self) -> None:
         """A write is there whole or not at all, however many records it has."""
-        journal = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
+        journal = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         self.assertTrue(journal.write([b"first"]).is_ok())
-        end_of_first = journal.size
+        end_of_first = journal.segment_size
         self.assertTrue(journal.write([b"second", b"third"]).is_ok())
         whole = (self.path / "segment-0000000000").read_bytes()
         for size in range(end_of_first + 1, len(whole)):
             (self.path / "segment-0000000000").write_bytes(whole[:size])
             self.log.records.clear()
-            again = open_journal(MachineFolder(str(self.path)), self.log, 4096)
+            again = open_journal(LocalFolder(str(self.path)), self.log, 4096)
             self.assertEqual([b"first"], again.ok.records)
             self.assertEqual(JOURNAL_TAIL_TRUNCATED.number, self.log.records[0][0])
 
     def test_a_write_with_a_hole_is_one_torn_write(self) -> None:
         """Of one unsynced write the first part is missing and later records stand."""
-        journal = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
+        journal = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         journal.write([b"sound"])
-        before = journal.size
+        before = journal.segment_size
         journal.write([b"x" * 40, b"y" * 40, b"z" * 40])
         file = self.path / "segment-0000000000"
         data = file.read_bytes()
         for hole in range(1, len(data) - before):
             file.write_bytes(data[:before] + bytes(hole) + data[before + hole :])
-            again = open_journal(MachineFolder(str(self.path)), self.log, 4096)
+            again = open_journal(LocalFolder(str(self.path)), self.log, 4096)
             self.assertTrue(again.is_ok(), f"hole of {hole}")
             self.assertEqual([b"sound"], again.ok.records)
 
@@ -61,39 +61,39 @@
 
         (self.path / "image-0000000003").write_bytes(frame(b"image"))
         (self.path / "segment-0000000003").write_bytes(frame(b"kept") + frame(b"second"))
-        journal = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
+        journal = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         self.assertEqual((b"image", [b"kept", b"second"]), (journal.snapshot, journal.records))
         self.assertTrue(journal.write([b"third", b"fourth"]).is_ok())
-        again = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
+        again = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         self.assertEqual([b"kept", b"second", b"third", b"fourth"], again.records)
 
     def test_damage_before_the_tail_is_told(self) -> None:
-        journal = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
+        journal = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         journal.write([b"first"])
         journal.write([b"second"])
         file = self.path / "segment-0000000000"
         data = bytearray(file.read_bytes())
         data[12] ^= 1
         file.write_bytes(bytes(data))
-        again = open_journal(MachineFolder(str(self.path)), self.log, 4096)
+        again = open_journal(LocalFolder(str(self.path)), self.log, 4096)
         self.assertTrue(again.is_error())
         self.assertTrue(again.error.damaged)
 
     def test_a_snapshot_replaces_what_it_stands_for(self) -> None:
-        journal = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
+        journal = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         for number in range(400):
             journal.write([b"record %d" % number + b"x" * 50])
-        self.assertTrue(journal.segment > 1)
+        self.assertTrue(journal.segment_number > 1)
         journal.write_snapshot(b"all of it", [b"kept"])
         journal.write([b"after"])
-        again = open_journal(MachineFolder(str(self.path)), self.log, 4096).ok
+        again = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         self.assertEqual(b"all of it", again.snapshot)
         self.assertEqual([b"kept", b"after"], again.records)
 
     def test_a_missing_folder_is_plain(self) -> None:
         file = self.path / "file"
         file.write_text("")
-        self.assertRaises(FolderError, MachineFolder, str(file / "below"))
+        self.assertRaises(FolderError, LocalFolder, str(file / "below"))
 
 
 class UnsyncedAtOpenTests(testtools.TestCase):
--- a/tests/support/observed.py
+++ b/tests/support/observed.py
@@ -20,7 +20,16 @@
 
 # What this file knows of the simulators' names: a rename inside changes this section only.
 
-FOLDER_WRITES = ("append", "sync", "truncate", "write_whole", "rename", "delete", "sync_names")
+FOLDER_WRITES = {
+    "append": "append",
+    "sync": "sync",
+    "truncate": "truncate",
+    "write_atomically": "write_whole",
+    "rename": "rename",
+    "delete": "delete",
+    "sync_directory": "sync_names",
+}
+"""The name of each writing method of a simulated disk in the digests, by its name in the code."""
 ACCEPTED_PORTS_FROM = 50_000
 """The simulated network gives the ends of accepted connections ports from here on."""
 
@@ -152,7 +161,7 @@
     def write(folder: Any, *arguments: object) -> Any:
         node = getattr(folder, "node", None)
         time, owner = (node.world.time, node.name) if node is not None else (0.0, "")
-        observer.stored(time, owner, name, arguments)
+        observer.stored(time, owner, FOLDER_WRITES[name], arguments)
         return original(folder, *arguments)
 
     return write
