--- a/packages/journal/ryelock/journal/__init__.py
+++ b/packages/journal/ryelock/journal/__init__.py
@@ -1,22 +1,24 @@
-"""A log in segments with a snapshot of its start; a record counts once it was synced.
+"""A write-ahead log in segments, compacted by snapshots; records are durable once synced.
 
-Files, by number: `segment-N` holds frames in the order of their writes; `image-N` is one frame
-that stands for everything before segment N: the snapshot itself and the records behind it that were
-still needed. Opening replays the newest snapshot and then all segments from its number on.
+Files: `segment-N` contains frames in write order. `image-N` is a single frame that replaces
+everything before segment N: the snapshot and the records after it that are still needed. Opening
+replays the newest snapshot and then all segments from its number on.
 
-Order of writing a snapshot, and why a replay is right after a failure or crash at any point:
+A snapshot is written in these steps, so that replay is correct after a failure or crash at any
+point:
 
-1. Cut what a failed write may have left in the current segment.
-2. Make the empty segment N durable and go on in it, whatever comes of the snapshot. No older
-   segment is appended to again, so that it does not matter from when on they are ignored.
-3. Write snapshot N complete under another name, sync it, rename it, sync the folder. Whether a
-   failed attempt left its name behind or not, snapshot N and all that it replaces say the same.
-4. Only then delete older files. A name that comes back after a loss of power is ignored.
+1. Truncate the remains of a failed write in the current segment.
+2. Make the empty segment N durable and append only to it from then on, even if the snapshot fails.
+   Older segments never change again, so it does not matter when replay starts to ignore them.
+3. Write the complete snapshot N under a temporary name, sync it, rename it and sync the directory.
+   Snapshot N is equivalent to the files it replaces, so it does not matter whether a failed attempt
+   leaves it in place.
+4. Then delete the older files. A file that reappears after a power loss is ignored.
 
-A bad frame at the very end of the last segment, with nothing sound behind it, is a write that
-lost power: it is cut. A bad frame anywhere else is damage, and the journal does not open. See
-`frames` for the format and docs/consensus-log.md for the argument. `journal` writes, `opening`
-reads, `folder` is the one data folder and `files` the names in it.
+An invalid frame at the end of the last segment, with no valid frame after it, is a torn write and
+is truncated. An invalid frame anywhere else is damage, and the journal does not open. `frames`
+describes the format, and docs/consensus-log.md the correctness argument. `journal` writes,
+`opening` reads, `folder` accesses the data folder and `files` defines the file names.
 """
 
 from ryelock.journal.errors import DamagedJournalError, JournalError, JournalUnavailableError
--- a/packages/journal/ryelock/journal/folder.py
+++ b/packages/journal/ryelock/journal/folder.py
@@ -1,4 +1,4 @@
-"""The one data folder, as the journal needs it; the simulator has another that loses things."""
+"""Access to the data folder; the simulator substitutes a folder that can lose unsynced data."""
 
 import os
 from collections.abc import Iterator
@@ -7,9 +7,9 @@
 from typing import Protocol
 
 PARTIAL_SUFFIX = ".new"
-"""Ends the name of a file that is not complete yet; it counts for nothing."""
+"""Suffix of an incomplete file, which is ignored and deleted on opening."""
 WRITE_TEST_NAME = "probe-of-writing"
-"""File that is written and deleted when the folder is opened."""
+"""File that is written and deleted on opening, to check that the folder is writable."""
 
 
 class FolderError(Exception):
@@ -17,55 +17,55 @@
 
 
 class Folder(Protocol):
-    """Files by name, and when they are durable; every method raises FolderError on a fault."""
+    """A folder of files with explicit durability; methods raise FolderError on I/O errors."""
 
     def names(self) -> list[str]:
-        """Return the names of all files, in order."""
+        """Return the names of all files, sorted."""
         ...
 
     def read(self, name: str) -> bytes:
-        """Return a file's bytes."""
+        """Return the content of a file."""
         ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file, which is created where there is none; it is not synced."""
+        """Append to a file without syncing; create it if it does not exist."""
         ...
 
     def sync(self, name: str) -> None:
-        """Make durable what a file has."""
+        """Make the content of a file durable."""
         ...
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to so many bytes; it is not synced."""
+        """Truncate a file to `size` bytes without syncing."""
         ...
 
     def write_atomically(self, name: str, data: bytes) -> None:
-        """Write a file at once: after a loss of power it is there complete or not at all."""
+        """Write and sync a file atomically: after a power loss it is complete or absent."""
         ...
 
     def sync_directory(self) -> None:
-        """Make durable which names there are, also those that an earlier process gave."""
+        """Make all creations, renames and deletions durable, also those of an earlier process."""
         ...
 
-    def rename(self, name: str, other: str) -> None:
-        """Give a file another name, in place of one that has it, and make that durable."""
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename a file durably, replacing any file of the new name."""
         ...
 
     def delete(self, name: str) -> None:
-        """Delete a file; the name may come back after a loss of power."""
+        """Delete a file; it may reappear after a power loss."""
         ...
 
 
 class LocalFolder:
-    """A real folder; the file appended to last stays open."""
+    """A folder of the file system; keeps the last appended file open."""
 
     __slots__ = ("open_file", "open_name", "path")
 
     def __init__(self, path: str) -> None:
-        """Open a folder, creating it where there is none.
+        """Open a folder, creating it if it does not exist.
 
         Raises:
-            FolderError: it cannot be created or written to.
+            FolderError: The folder cannot be created or written to.
         """
         self.path = Path(path)
         self.open_name = ""
@@ -76,17 +76,17 @@
             self.delete(WRITE_TEST_NAME)
 
     def names(self) -> list[str]:
-        """Return the names of all files, in order."""
+        """Return the names of all files, sorted."""
         with wrap_os_errors(str(self.path)):
             return sorted(os.listdir(self.path))
 
     def read(self, name: str) -> bytes:
-        """Return a file's bytes."""
+        """Return the content of a file."""
         with wrap_os_errors(name):
             return (self.path / name).read_bytes()
 
     def descriptor_for(self, name: str) -> int:
-        """Return the descriptor of a file that is open for appending; raises OSError."""
+        """Return the descriptor of a file opened for appending; raises OSError."""
         if self.open_name != name:
             if self.open_file >= 0:
                 os.close(self.open_file)
@@ -95,31 +95,31 @@
         return self.open_file
 
     def close_file(self, name: str) -> None:
-        """Close the file of a name that is about to be another file's or nobody's."""
+        """Close a file if open, before its name is replaced or deleted."""
         if self.open_name == name:
-            file, self.open_file, self.open_name = self.open_file, -1, ""
-            os.close(file)
+            descriptor, self.open_file, self.open_name = self.open_file, -1, ""
+            os.close(descriptor)
 
     def append(self, name: str, data: bytes) -> None:
-        """Append to a file, which is created where there is none; it is not synced."""
+        """Append to a file without syncing; create it if it does not exist."""
         with wrap_os_errors(name):
-            file = self.descriptor_for(name)
+            descriptor = self.descriptor_for(name)
             view = memoryview(data)
             while view:
-                view = view[os.write(file, view) :]
+                view = view[os.write(descriptor, view) :]
 
     def sync(self, name: str) -> None:
-        """Make durable what a file has."""
+        """Make the content of a file durable."""
         with wrap_os_errors(name):
             os.fsync(self.descriptor_for(name))
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to so many bytes; it is not synced."""
+        """Truncate a file to `size` bytes without syncing."""
         with wrap_os_errors(name):
             os.ftruncate(self.descriptor_for(name), size)
 
     def write_atomically(self, name: str, data: bytes) -> None:
-        """Write a file at once: after a loss of power it is there complete or not at all."""
+        """Write and sync a file atomically: after a power loss it is complete or absent."""
         partial = self.path / f"{name}{PARTIAL_SUFFIX}"
         with wrap_os_errors(name):
             try:
@@ -133,29 +133,29 @@
                 raise
 
     def write_synced(self, path: Path, data: bytes) -> None:
-        """Write a file and sync it; raises OSError."""
+        """Write and sync a file; raises OSError."""
         with open(path, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
 
     def sync_directory(self) -> None:
-        """Make durable which names there are, also those that an earlier process gave."""
+        """Make all creations, renames and deletions durable, also those of an earlier process."""
         with wrap_os_errors(str(self.path)):
-            folder = os.open(self.path, os.O_RDONLY)
+            directory = os.open(self.path, os.O_RDONLY)
             try:
-                os.fsync(folder)
+                os.fsync(directory)
             finally:
-                os.close(folder)
+                os.close(directory)
 
-    def rename(self, name: str, other: str) -> None:
-        """Give a file another name, in place of one that has it, and make that durable."""
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename a file durably, replacing any file of the new name."""
         with wrap_os_errors(name):
-            os.replace(self.path / name, self.path / other)
+            os.replace(self.path / name, self.path / new_name)
             self.sync_directory()
 
     def delete(self, name: str) -> None:
-        """Delete a file; the name may come back after a loss of power."""
+        """Delete a file; it may reappear after a power loss."""
         with wrap_os_errors(name):
             self.close_file(name)
             os.unlink(self.path / name)
@@ -163,7 +163,7 @@
 
 @contextmanager
 def wrap_os_errors(subject: str) -> Iterator[None]:
-    """Raise a fault of the operating system as FolderError, with what it happened to."""
+    """Convert an OSError to a FolderError that names the file or folder."""
     try:
         yield
     except OSError as error:
--- a/packages/journal/ryelock/journal/frames.py
+++ b/packages/journal/ryelock/journal/frames.py
@@ -1,12 +1,12 @@
-"""The frames of a segment: what one write appends, recognised as complete or not at all.
+"""The frame format of segments; each write appends one frame, which is valid completely or not.
 
-A frame is ten bytes of header - two magic bytes, size of the body, CRC-32 of the body, big-endian -
-and the body. Two versions are read:
+A frame is a 10-byte header (two magic bytes, body size and CRC-32 of the body, big-endian) and the
+body. Two versions are read:
 
-- version 1 (`SINGLE_MAGIC`): the body is one record;
-- version 2 (`BATCH_MAGIC`): the body is all records of one write, each behind four bytes of its
-  length. Only this version is written: a write of several records that was torn in the middle has
-  no later part that looks sound by itself.
+- Version 1 (`SINGLE_MAGIC`): the body is one record.
+- Version 2 (`BATCH_MAGIC`): the body is all records of one write, each preceded by its 4-byte
+  length. Only this version is written, because no later part of a torn write of several records can
+  then be a valid frame.
 """
 
 import struct
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodedRecords:
-    """The records of one sound frame, or of several in a row.
+    """The records of one or more consecutive valid frames.
 
     Attributes:
-        records: the records, in order.
-        end: offset of the first byte after the last frame.
+        records: The records, in order.
+        end: The offset after the last frame, in bytes.
     """
 
     records: list[bytes]
@@ -35,13 +35,13 @@
 
 
 def pack_batch(records: list[bytes]) -> bytes:
-    """Return one frame of version 2 with all records of one write."""
+    """Encode the records of a write as one version 2 frame."""
     body = b"".join(LENGTH.pack(len(record)) + record for record in records)
     return HEADER.pack(BATCH_MAGIC, len(body), zlib.crc32(body)) + body
 
 
 def split_batch(body: bytes) -> list[bytes] | None:
-    """Return the records of a body of version 2; None where the lengths do not fill it."""
+    """Decode a version 2 body; return None if the record lengths do not match its size."""
     records: list[bytes] = []
     offset = 0
     while offset < len(body):
@@ -57,7 +57,7 @@
 
 
 def frame_at(data: bytes, offset: int) -> DecodedRecords | None:
-    """Return the records of the sound frame that starts at an offset; None where none does."""
+    """Decode the frame at an offset; return None if there is no valid frame."""
     start = offset + HEADER.size
     if start > len(data):
         return None
@@ -73,7 +73,7 @@
 
 
 def read_frames(data: bytes) -> DecodedRecords:
-    """Return the records of all sound frames from the start on, up to the first that is not."""
+    """Decode consecutive frames from the start up to the first invalid one."""
     records: list[bytes] = []
     end = 0
     while (frame := frame_at(data, end)) is not None:
@@ -83,10 +83,10 @@
 
 
 def has_frame_after(data: bytes, offset: int) -> bool:
-    """Tell whether any sound frame starts after an offset: what is before it is no torn tail."""
-    found = data.find(MAGIC_START, offset + 1)
-    while found >= 0:
-        if frame_at(data, found) is not None:
+    """Return True if a valid frame starts after an offset, which rules out a torn tail."""
+    start = data.find(MAGIC_START, offset + 1)
+    while start >= 0:
+        if frame_at(data, start) is not None:
             return True
-        found = data.find(MAGIC_START, found + 1)
+        start = data.find(MAGIC_START, start + 1)
     return False
--- a/packages/journal/ryelock/journal/journal.py
+++ b/packages/journal/ryelock/journal/journal.py
@@ -1,4 +1,4 @@
-"""The journal that is written to; see the package for the files and their order of writes."""
+"""The open journal; the package docstring describes the files and the order of writes."""
 
 from expression import Error, Ok, Result
 
@@ -16,22 +16,22 @@
 
 
 class Journal:
-    """The open journal of one process; every write blocks until it is synced.
+    """The open journal of a process; every write blocks until it is synced.
 
     Attributes:
-        folder: where its files are.
-        log: the event log.
-        segment_bytes: size from which on a segment gets no more frames.
-        snapshot: the newest snapshot read at opening; the owner takes it and sets it to None.
-        records: the records read at opening; the owner takes them and empties the list.
-        segment: number of the current segment.
-        size: length of the current segment that is known to be good, in bytes.
-        snapshot_bytes: size of the snapshot's file.
-        replay_bytes: bytes of the frames that a replay would read beside the snapshot.
-        written: records that a replay would read beside the snapshot.
-        needs_repair: whether a failed write may have left something behind the good part.
-        full: whether the disk took not all of the last write; a sync that failed does not count.
-        rotation_due: whether the current segment must get no more frames.
+        folder: The folder of the journal's files.
+        log: The event log.
+        segment_bytes: Size at which a segment is rotated.
+        snapshot: The newest snapshot read on opening; the owner takes it and sets None.
+        records: The records read on opening; the owner takes them and sets an empty list.
+        segment_number: The number of the current segment.
+        segment_size: Size of the valid part of the current segment, in bytes.
+        snapshot_bytes: Size of the snapshot file.
+        replay_bytes: Size of the frames that a replay reads in addition to the snapshot.
+        replay_records: The number of records that a replay reads in addition to the snapshot.
+        needs_repair: True if a failed write may have left data after the valid part.
+        disk_full: True if the last append failed; a failed sync does not count.
+        rotation_due: True if no more frames may be appended to the current segment.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
     )
 
     def __init__(self, folder: Folder, log: Log, segment_bytes: int) -> None:
-        """Create a journal without content; `open_journal` reads what the folder has."""
+        """Create an empty journal; `open_journal` reads the files of the folder."""
         self.folder = folder
         self.log = log
         self.segment_bytes = segment_bytes
@@ -67,7 +67,7 @@
         self.rotation_due = False
 
     def write(self, records: list[bytes]) -> Result[None, JournalError]:
-        """Append records as one batch and sync them; on an error none of them counts."""
+        """Append records as one batch and sync it; on an error, none of them is acknowledged."""
         data = pack_batch(records)
         try:
             self.repair()
@@ -84,7 +84,7 @@
     def append_synced(self, name: str, data: bytes) -> None:
         """Append to a file and sync it; raises FolderError.
 
-        The flags are set before each step, so that they stand when the step raises.
+        The flags are set before each step, so that they are correct if the step raises.
         """
         self.needs_repair = True
         self.disk_full = True
@@ -94,12 +94,12 @@
         self.needs_repair = False
 
     def report_failure(self, error: FolderError) -> Result[None, JournalError]:
-        """Log that the folder took a write not at all or in part, and return it as an error."""
+        """Log a failed write, and return it as an error."""
         self.log.write(JOURNAL_FULL, fault=str(error))
         return Error(JournalUnavailableError(str(error)))
 
     def repair(self) -> None:
-        """Cut what a failed write may have left behind the last good one; raises FolderError."""
+        """Truncate the remains of a failed write, if any; raises FolderError."""
         if not self.needs_repair:
             return
         name = segment_name(self.segment_number)
@@ -108,10 +108,10 @@
         self.needs_repair = False
 
     def start_segment(self) -> None:
-        """Go on in a new, empty segment; the current one must be repaired. Raises FolderError.
+        """Rotate to a new segment; the current one must be repaired. Raises FolderError.
 
-        Where this fails the name may be there or not: the old segment gets no more frames, since
-        a torn one in it would not be the last of the journal, and the next write tries again.
+        After a failure the new file may or may not exist. The old segment then gets no more frames,
+        since a torn frame in it would not be at the end of the journal, and the next write retries.
         """
         self.rotation_due = True
         self.folder.write_atomically(segment_name(self.segment_number + 1), b"")
@@ -120,7 +120,7 @@
         self.segment_size = 0
 
     def write_snapshot(self, snapshot: bytes, records: list[bytes]) -> Result[None, JournalError]:
-        """Put a snapshot and the records still needed in place of all that was written."""
+        """Replace everything written so far by a snapshot and the records still needed."""
         try:
             self.repair()
             if self.rotation_due or self.segment_size > 0:
@@ -136,11 +136,11 @@
         return Ok(None)
 
     def delete_before(self, number: int) -> None:
-        """Delete the files that a snapshot replaced; what cannot be deleted is ignored."""
+        """Delete the files that a snapshot replaced; stop at the first failure."""
         for name in self.folder.names():
             for kind in (SEGMENT_KIND, SNAPSHOT_KIND):
-                found = file_number(name, kind)
-                if found is None or found >= number:
+                name_number = file_number(name, kind)
+                if name_number is None or name_number >= number:
                     continue
                 try:
                     self.folder.delete(name)
--- a/packages/journal/ryelock/journal/opening.py
+++ b/packages/journal/ryelock/journal/opening.py
@@ -1,4 +1,4 @@
-"""Opening a journal: the newest snapshot and all later segments are read back and checked."""
+"""Opening a journal: reads and validates the newest snapshot and all later segments."""
 
 from expression import Error, Ok, Result
 
@@ -19,16 +19,16 @@
 def open_journal(folder: Folder, log: Log, segment_bytes: int) -> Result[Journal, JournalError]:
     """Open the journal of a folder, which may be empty.
 
-    `snapshot` and `records` of the journal hold what was read until the owner has taken them.
+    The journal's `snapshot` and `records` contain the data read, until the owner takes it.
 
     Args:
-        folder: the folder of the journal alone.
-        log: the event log.
-        segment_bytes: size from which on a segment gets no more frames.
+        folder: The folder, which must contain no other journal.
+        log: The event log.
+        segment_bytes: Size at which a segment is rotated.
 
     Returns:
-        The journal; a DamagedJournalError where what is stored cannot be trusted; or a
-        JournalUnavailableError where the folder cannot be read or written for now.
+        The journal; a DamagedJournalError if the stored data is damaged; or a
+        JournalUnavailableError if the folder cannot be read or written.
     """
     journal = Journal(folder, log, segment_bytes)
     try:
@@ -53,9 +53,9 @@
         read_snapshot(journal, snapshot_name(first))
     segments = [number for number in file_numbers(names, SEGMENT_KIND) if number >= first]
     if snapshots and not segments:
-        raise DamagedJournalError("the first segment is missing")
+        raise DamagedJournalError(f"{segment_name(first)} is missing after {snapshot_name(first)}")
     if segments != list(range(first, first + len(segments))):
-        raise DamagedJournalError("a segment is missing")
+        raise DamagedJournalError(f"segments are not consecutive from {first}: found {segments}")
     for number in segments:
         read_segment(journal, number, is_last=number == segments[-1])
     if not segments:
@@ -64,7 +64,7 @@
 
 
 def read_snapshot(journal: Journal, name: str) -> None:
-    """Read a snapshot and the records behind it; raises DamagedJournalError or FolderError."""
+    """Read a snapshot and the records after it; raises DamagedJournalError or FolderError."""
     data = journal.folder.read(name)
     decoded = read_frames(data)
     if not decoded.records or decoded.end < len(data):
@@ -74,7 +74,12 @@
 
 
 def read_segment(journal: Journal, number: int, is_last: bool) -> None:
-    """Read a segment and cut a torn tail of the last; raises DamagedJournalError or FolderError."""
+    """Read a segment, truncating a torn tail of the last one.
+
+    Raises:
+        DamagedJournalError: A frame before the tail is invalid.
+        FolderError: The folder cannot be read or written.
+    """
     name = segment_name(number)
     data = journal.folder.read(name)
     decoded = read_frames(data)
@@ -84,8 +89,8 @@
             raise DamagedJournalError(f"{name} is damaged at byte {end}")
         journal.folder.truncate(name, end)
         journal.log.write(JOURNAL_TAIL_TRUNCATED, segment=name, at=end, lost=len(data) - end)
-    # A process that was killed may have written this without syncing it: before it is replayed, and
-    # so acknowledged by this process, it has to be on disk.
+    # A killed process may have written the segment without syncing it. It must be durable before
+    # this process replays it, since replayed records count as acknowledged.
     journal.folder.sync(name)
     journal.records += decoded.records
     journal.segment_number = number
