--- a/tests/consensus/test_compaction.py
+++ b/tests/consensus/test_compaction.py
@@ -1,4 +1,4 @@
-"""When snapshots are written: by records, by bytes, and on a disk that fills up."""
+"""Compaction by records, by bytes, and on a full disk."""
 
 from unittest import mock
 
@@ -17,7 +17,7 @@
 
 
 class SmallDisk(SimFolder):
-    """A disk of so many bytes; a file that is replaced stands beside the new one for a moment."""
+    """A disk of `DISK_BYTES`; a replaced file and the new one briefly exist side by side."""
 
     def used(self) -> int:
         return sum(len(data) for data in self.files.values())
@@ -34,7 +34,7 @@
 
 
 class LastCommand:
-    """A machine whose state is the start of its last command: large records, a small snapshot."""
+    """A state machine with large records and a small snapshot: the start of its last command."""
 
     def __init__(self) -> None:
         self.command = b""
@@ -50,8 +50,8 @@
         self.command = data
 
 
-def taken(disk_bytes: int, records: int) -> tuple[int, Consensus]:
-    """How many large commands one member takes before its disk declines one."""
+def stored_commands(disk_bytes: int, records: int) -> tuple[int, Consensus]:
+    """Store large commands until a write fails; return their number and the member."""
     lab = Lab(snapshot_records=1000, disk_bytes=disk_bytes)
     consensus = lab.consensus("follower", SmallDisk())
     consensus.applier.state_machine = LastCommand()
@@ -65,19 +65,19 @@
 
 class CompactionTests(testtools.TestCase):
     def test_large_records_do_not_fill_the_disk(self) -> None:
-        count, consensus = taken(DISK_BYTES, 900)
+        count, consensus = stored_commands(DISK_BYTES, 900)
         self.assertEqual(900, count)
         self.assertLess(consensus.replicated_log.journal.replay_bytes, DISK_BYTES // 2)
 
     def test_a_full_disk_is_compacted_also_where_its_size_is_not_known(self) -> None:
-        self.assertEqual(900, taken(0, 900)[0])
+        self.assertEqual(900, stored_commands(0, 900)[0])
 
-    def test_by_records_alone_the_disk_is_full_after_a_hundred(self) -> None:
+    def test_compaction_by_records_only_fills_the_disk(self) -> None:
         def by_records(compaction: Compaction, journal: Journal) -> bool:
             return journal.replay_records > compaction.max_records
 
         with mock.patch.object(Compaction, "due", by_records):
-            self.assertLess(taken(DISK_BYTES, 900)[0], 101)
+            self.assertLess(stored_commands(DISK_BYTES, 900)[0], 101)
 
     def test_the_journal_grows_with_the_snapshot_as_far_as_the_disk_allows(self) -> None:
         self.assertEqual(4_194_304, journal_limit_bytes(0, 0))
@@ -87,13 +87,13 @@
             most = journal_limit_bytes(snapshot, 64 * MEGABYTE)
             self.assertTrue(2 * snapshot + most <= 32 * MEGABYTE, snapshot)
 
-    def test_a_failed_snapshot_is_not_tried_again_at_once(self) -> None:
+    def test_a_failed_snapshot_is_not_retried_immediately(self) -> None:
         lab = Lab(snapshot_records=100)
         consensus = lab.follower
-        tried: list[int] = []
+        attempts: list[int] = []
 
         def write_snapshot(journal: Journal, _snapshot: bytes, _records: list[bytes]) -> object:
-            tried.append(journal.replay_records)
+            attempts.append(journal.replay_records)
             return journal.report_failure(FolderError("no space left on device"))
 
         with mock.patch.object(Journal, "write_snapshot", write_snapshot):
@@ -102,4 +102,4 @@
                     consensus.applier.store([Entry(index, 1, EntryKind.COMMAND, b"word")])
                 )
                 consensus.applier.advance(index)
-        self.assertTrue(1 < len(tried) < 12, tried)
+        self.assertTrue(1 < len(attempts) < 12, attempts)
--- a/tests/consensus/test_consensus.py
+++ b/tests/consensus/test_consensus.py
@@ -1,4 +1,4 @@
-"""Consensus must not give an empty machine an old vote, nor carry an edge that is behind."""
+"""Lost disks, lost voters, planned stops, and leases of edges without a leader."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -30,8 +30,8 @@
 
 
 class ConsensusTests(testtools.TestCase):
-    def lost_disk_and_leader(self, seed: int) -> tuple[Scenario, str]:
-        """One voter behind, one disk lost, the leader away: no majority knows the last command."""
+    def lose_disk_and_leader(self, seed: int) -> tuple[Scenario, str]:
+        """Leave one outdated voter and one empty disk, so no majority has the last command."""
         scenario = Scenario(seed, edges=1, probers=0)
         scenario.set_up()
         scenario.world.run(2)
@@ -47,9 +47,9 @@
         scenario.world.run(8)
         return scenario, leader
 
-    def test_an_empty_machine_has_no_vote_of_the_disk_before_it(self) -> None:
+    def test_an_empty_disk_does_not_vote_for_the_disk_it_replaces(self) -> None:
         for seed in (1, 2, 3):
-            scenario, leader = self.lost_disk_and_leader(seed)
+            scenario, leader = self.lose_disk_and_leader(seed)
             self.assertEqual("", scenario.leader())
             scenario.start(leader)
             self.assertTrue(
@@ -65,12 +65,12 @@
 
     def test_without_disk_names_the_last_command_is_lost(self) -> None:
         with disk_names_ignored():
-            scenario, _ = self.lost_disk_and_leader(1)
+            scenario, _ = self.lose_disk_and_leader(1)
             self.assertNotEqual("", scenario.leader())
             _, answer = scenario.ask_now("GET", "/configuration")
             self.assertEqual(1, answer["version"])
 
-    def test_a_voter_gone_for_good_is_replaced_by_a_spare(self) -> None:
+    def test_a_permanently_lost_voter_is_replaced_by_a_standby(self) -> None:
         for seed, cores in ((1, 4), (2, 6), (3, 4)):
             scenario = Scenario(seed, cores=cores, edges=1, probers=0)
             scenario.set_up()
@@ -105,18 +105,18 @@
             back = scenario.node(lost).core.consensus
             self.assertTrue(
                 scenario.world.run_until(lambda back=back: back.knows_leader(), 10),  # type: ignore[misc]
-                f"seed {seed}: the voter that was replaced is left alone",
+                f"seed {seed}: the replaced voter has no leader",
             )
             self.assertEqual([], scenario.findings().violations)
 
-    def test_a_planned_stop_hands_over_by_name(self) -> None:
+    def test_a_planned_stop_transfers_leadership_and_role_to_the_successor(self) -> None:
         for seed in (1, 2, 3):
             scenario = Scenario(seed)
             scenario.set_up()
             scenario.world.run(3)
             leader = scenario.leader()
-            duty = scenario.node(leader).core.replicated_state.singletons["aggregator"]
-            for name in dict.fromkeys([duty.owner, leader]):
+            role = scenario.node(leader).core.replicated_state.singletons["aggregator"]
+            for name in dict.fromkeys([role.owner, leader]):
                 node = scenario.node(name)
                 scenario.world.task(node, node.core.stop(), 20)
                 scenario.world.kill(name)
@@ -130,9 +130,9 @@
                     f"seed {seed}: no leader at once",
                 )
                 replicated_state = scenario.node(scenario.leader()).core.replicated_state
-                if name == duty.owner:
+                if name == role.owner:
                     self.assertEqual(
-                        (duty.successor, duty.fencing_token + 1),
+                        (role.successor, role.fencing_token + 1),
                         (
                             replicated_state.singletons["aggregator"].owner,
                             replicated_state.singletons["aggregator"].fencing_token,
@@ -142,7 +142,7 @@
                 scenario.world.run(4)
             self.assertEqual([], scenario.findings().violations)
 
-    def test_a_failing_server_is_set_aside_and_tried_again(self) -> None:
+    def test_a_failing_server_is_ejected_and_readmitted(self) -> None:
         scenario = Scenario(4)
         scenario.set_up()
         scenario.start_callers(12, 5.0, 0)
@@ -151,7 +151,7 @@
         scenario.world.run(8)
         peer = scenario.servers["pages2-1"]
 
-        def lately(address: str) -> int:
+        def recent_requests(address: str) -> int:
             return sum(
                 one.address == address and one.at > scenario.world.time - 4
                 for one in scenario.history
@@ -161,20 +161,20 @@
             SERVER_EJECTED.number,
             [number for name in scenario.edges for number, _ in scenario.node(name).log.records],
         )
-        self.assertLess(lately(server.address) * 3, lately(peer.address))
+        self.assertLess(recent_requests(server.address) * 3, recent_requests(peer.address))
         server.behavior = ServerBehavior.SOUND
         scenario.world.run(25)
-        self.assertGreater(lately(server.address), 0)
+        self.assertGreater(recent_requests(server.address), 0)
         self.assertEqual([], scenario.findings().violations)
 
     def test_edges_that_cannot_reach_the_leader_renew_through_others(self) -> None:
-        """Tenths of a second without a lease: each run below 2 s, all together 1.6 s a run."""
-        idle = {seed: self.idle_out_of_reach(seed) for seed in range(2, 10)}
+        """An edge is without a lease for less than 2 s per run, and less than 1.6 s on average."""
+        idle = {seed: self.tenths_without_lease(seed) for seed in range(2, 10)}
         self.assertLess(max(idle.values()), 20, idle)
         self.assertLess(sum(idle.values()) / len(idle), 16, idle)
 
-    def idle_out_of_reach(self, seed: int) -> int:
-        """Of 80 tenths of a second, those in which some edge that lost its leader had no lease."""
+    def tenths_without_lease(self, seed: int) -> int:
+        """Return during how many of 80 tenths of a second some edge had no lease."""
         scenario = Scenario(seed)
         scenario.set_up()
         scenario.world.run(3)
@@ -187,8 +187,8 @@
         self.assertEqual([], scenario.findings().violations)
         return idle
 
-    def behind_without_leader(self, seed: int) -> bool:
-        """Whether an edge that missed an acknowledged command serves on leases of voters."""
+    def outdated_edge_serves(self, seed: int) -> bool:
+        """Return True if an edge that missed an acknowledged command serves on voter leases."""
         scenario = Scenario(seed)
         scenario.set_up()
         scenario.world.run(2)
@@ -209,13 +209,13 @@
         scenario.world.run(3)
         return scenario.node(edge).traffic.member.serving
 
-    def test_leases_of_voters_do_not_carry_an_edge_that_is_behind(self) -> None:
+    def test_voter_leases_do_not_let_an_outdated_edge_serve(self) -> None:
         for seed in (1, 2):
-            self.assertFalse(self.behind_without_leader(seed))
+            self.assertFalse(self.outdated_edge_serves(seed))
         on_request = QuorumLease.on_request
 
-        def careless(lease: QuorumLease, request: LeaseRequest) -> LeaseReply:
+        def without_index(lease: QuorumLease, request: LeaseRequest) -> LeaseReply:
             return replace(on_request(lease, request), last_command_index=0)
 
-        with mock.patch.object(QuorumLease, "on_request", careless):
-            self.assertTrue(self.behind_without_leader(1))
+        with mock.patch.object(QuorumLease, "on_request", without_index):
+            self.assertTrue(self.outdated_edge_serves(1))
--- a/tests/consensus/test_consensus_model.py
+++ b/tests/consensus/test_consensus_model.py
@@ -1,4 +1,4 @@
-"""The consensus model: consensus, journal and register under adversarial schedules."""
+"""Model tests of consensus, journal and replicated state under adversarial schedules."""
 
 import pytest
 import testtools
@@ -56,12 +56,11 @@
     "vote not synced": ("", 1),
     "votes twice": ("", 4),
 }
-"""By take-out: the motif of its schedules ("" for the general draw), and how many, from seed 0 on,
-ran until one was found that breaks an invariant with the take-out and none without."""
+"""By take-out: the motif of its schedules ("" for any), and the number of seeds, from 0 on, until a
+schedule breaks an invariant with the take-out and none without it."""
 
-LEAST_TRIED = 60
-"""Schedules that are tried at least, and three times as many as it took: a change of the product
-moves what chance brings."""
+MIN_SCHEDULES = 60
+"""Minimum schedules per take-out; changes to the product shift the seed that finds a violation."""
 
 ALPHABET: tuple[Step, ...] = (
     ("change", 0, 1, 0),
@@ -77,9 +76,10 @@
 
 
 def first_found(take_out: TakeOut, motif: str, most: int) -> tuple[int, str]:
-    """How many schedules ran until one broke a safety invariant with a mechanism taken out only.
+    """Run schedules until one breaks a safety invariant only with the take-out.
 
-    Also gives the invariant; 0 and nothing where none did.
+    Returns:
+        The number of schedules run and the invariant; 0 and an empty string if none broke one.
     """
     for seed in range(most):
         schedule = draw(seed, motif=motif)
@@ -94,7 +94,7 @@
 
 class ScheduleTests(testtools.TestCase):
     def test_all_short_schedules_break_no_invariant(self) -> None:
-        """Every order of a few steps, without chance in delays or losses beyond the seed."""
+        """Runs all sequences of a few steps, with the seed as the only randomness."""
         for schedule in exhaustive_schedules(ALPHABET, EXHAUSTIVE_LENGTH, machines=3):
             violation = run_schedule(schedule)
             self.assertIsNone(violation, f"{schedule.encode()}: {violation}")
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize("name", sorted(TAKE_OUTS))
 def test_a_taken_out_mechanism_is_missed(name: str) -> None:
     motif, schedules = SCHEDULES_UNTIL_FOUND[name]
-    most = max(LEAST_TRIED, 3 * schedules)
+    most = max(MIN_SCHEDULES, 3 * schedules)
     found, _ = first_found(TAKE_OUTS[name], motif, most)
     assert found, f"{name}: none of {most} schedules broke an invariant"
 
--- a/tests/consensus/test_consensus_structure.py
+++ b/tests/consensus/test_consensus_structure.py
@@ -1,4 +1,4 @@
-"""Consensus is composed: its modules import one way, and no part inherits another."""
+"""Structure of consensus: no import cycles, and composition instead of inheritance."""
 
 import ast
 import importlib
@@ -14,7 +14,7 @@
 
 
 def imports_of(module: str) -> set[str]:
-    """Return the modules of consensus that one imports, wherever in it the import stands."""
+    """Return the consensus modules that a module imports, at any level of its code."""
     found: set[str] = set()
     for node in ast.walk(ast.parse((FOLDER / f"{module}.py").read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -38,7 +38,7 @@
 
 
 def test_no_part_inherits_another() -> None:
-    """Errors alone have a base of this package."""
+    """Only errors inherit from a class of this package."""
     classes = [
         found
         for module in MODULES
--- a/tests/consensus/test_release.py
+++ b/tests/consensus/test_release.py
@@ -1,4 +1,4 @@
-"""A control node that was let go takes no further part in consensus before its process ends."""
+"""A released control node stops taking part in consensus before its process ends."""
 
 from types import SimpleNamespace
 from typing import Any, cast
@@ -14,7 +14,7 @@
 
 class ReleaseTests(testtools.TestCase):
     def last_index_after_a_change(self) -> tuple[int, int]:
-        """Last log index of a released follower: when it was let go, and after a later change."""
+        """Return the last index of a released follower: on release and after a later change."""
         scenario = Scenario(5, cores=3, edges=1, probers=0, settings=LOSS_SETTINGS)
         scenario.set_up()
         scenario.world.run(4)
@@ -38,7 +38,7 @@
         before, after = self.last_index_after_a_change()
         self.assertEqual(before, after)
 
-    def test_without_the_end_of_its_part_it_would(self) -> None:
+    def test_without_leaving_a_released_node_stores_further_entries(self) -> None:
         async def leave(departure: ConsensusDeparture, until: float) -> None:
             await departure.wait_for_release(until)
 
@@ -47,7 +47,7 @@
         self.assertGreater(after, before)
 
     def test_a_release_by_an_older_leader_does_not_count(self) -> None:
-        """Between the answer and its arrival this node may have stored a newer leader's entries."""
+        """Between the reply and its arrival, the node may have stored a newer leader's entries."""
         node = cast(Any, SimpleNamespace(consensus=SimpleNamespace(term=7)))
         cases: tuple[tuple[Message, bool], ...] = (
             ({"may_end": True, "epoch": 7}, True),
--- a/tests/consensus/test_replicated_log.py
+++ b/tests/consensus/test_replicated_log.py
@@ -1,4 +1,4 @@
-"""The durable log of one member, without a network: appends, conflicts, snapshots, restarts."""
+"""ReplicatedLog without a network: appends, conflicts, snapshots and restarts."""
 
 import testtools
 
@@ -18,7 +18,7 @@
 
 
 class NoSnapshotFolder(SimFolder):
-    """A disk that has room for small files only."""
+    """A disk that fails to write snapshots."""
 
     def write_atomically(self, name: str, data: bytes) -> None:
         if name.startswith("image-"):
@@ -103,12 +103,12 @@
         self.assertFalse(self.log.compact(self.snapshot(3, 3)))
         self.assertTrue(self.log.save_vote(8, "another"))
         self.assertTrue(self.log.append([command_entry(6, 8), command_entry(7, 8)]))
-        again = self.reopened()
-        self.assertEqual((8, "another"), (again.term, again.voted_for))
-        self.assertEqual([3, 3, 3, 3, 3, 8, 8], [entry.term for entry in again.entries])
+        reopened_log = self.reopened()
+        self.assertEqual((8, "another"), (reopened_log.term, reopened_log.voted_for))
+        self.assertEqual([3, 3, 3, 3, 3, 8, 8], [entry.term for entry in reopened_log.entries])
 
     def test_a_snapshot_keeps_the_acknowledged_entries_behind_it(self) -> None:
-        """With entries to 10 and a snapshot at 7, 8 to 10 stay: a leader may count on them."""
+        """Entries after the snapshot must stay: a leader may have counted them towards a commit."""
         self.fill(10, term=2)
         self.assertTrue(self.log.install(self.snapshot(7, 2)))
         for log in (self.log, self.reopened()):
--- a/tests/consensus/test_replication.py
+++ b/tests/consensus/test_replication.py
@@ -1,4 +1,4 @@
-"""Leader and follower exchanging messages by hand: no network, no clock that moves by itself."""
+"""Replication between a leader and a follower, without a network and with a manual clock."""
 
 from random import Random
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class ReplicationTests(testtools.TestCase):
-    def test_a_follower_with_many_divergent_entries_is_level_in_a_few_rounds(self) -> None:
+    def test_a_follower_with_many_divergent_entries_catches_up_in_a_few_rounds(self) -> None:
         for theirs, ours in ((2, 3), (3, 2), (2, 2)):
             lab = Lab()
             for consensus in (lab.leader, lab.follower):
@@ -49,7 +49,7 @@
             lab.lead(4)
             self.assertGreater(lab.rounds_until_level(1000), 300)
 
-    def test_terms_that_take_turns_cost_a_round_each_at_most(self) -> None:
+    def test_alternating_conflicting_terms_cost_at_most_a_round_each(self) -> None:
         lab = Lab()
         for term in range(1, 41):
             first = 10 * term - 9
@@ -61,8 +61,8 @@
         lab.lead(42)
         self.assertLess(lab.rounds_until_level(1000), 45)
 
-    def test_a_follower_that_compacted_is_not_walked_back_to_a_snapshot(self) -> None:
-        """Its answers were lost while it took entries and wrote a snapshot of them."""
+    def test_a_follower_that_compacted_needs_no_snapshot(self) -> None:
+        """The follower's replies were lost while it stored entries and wrote a snapshot."""
         lab = Lab()
         for consensus in (lab.leader, lab.follower):
             self.assertTrue(consensus.replicated_log.append(entries(1, 300, 1)))
@@ -75,7 +75,7 @@
         self.assertLess(lab.rounds_until_level(1000), 4)
 
     def test_entries_too_many_for_a_slow_link_come_in_smaller_batches(self) -> None:
-        """A batch that takes longer than an answer may take was sent again, whole, for ever."""
+        """A batch too large to arrive within the timeout must not be resent at the same size."""
         lab = Lab()
         self.assertTrue(lab.leader.replicated_log.append(entries(1, 200, 1, 5000)))
         lab.lead(2)
@@ -94,7 +94,7 @@
             self.assertEqual(200, lab.rounds_until_level(200, limit=100_000))
 
     def with_snapshot(self, size: int) -> Lab:
-        """A leader with a snapshot of that size up to entry 100, a follower with nothing."""
+        """Return a leader with a snapshot up to entry 100, and an empty follower."""
         lab = Lab()
         self.assertTrue(lab.leader.replicated_log.append(entries(1, 120, 1)))
         snapshot = Snapshot(
@@ -107,7 +107,7 @@
         return lab
 
     def test_a_replica_a_little_behind_a_new_snapshot_gets_entries(self) -> None:
-        """Every edge and the slower follower got a whole snapshot whenever one was written."""
+        """A replica that lags a little must not need a complete snapshot after each compaction."""
         lab = Lab()
         for consensus in (lab.leader, lab.follower):
             self.assertTrue(consensus.replicated_log.append(entries(1, 200, 1)))
@@ -164,7 +164,7 @@
         self.assertLess(lab.rounds_until_level(20), 12)
 
     def test_a_snapshot_is_finished_though_a_newer_one_was_written(self) -> None:
-        """Else a follower that is slower than the leader's snapshots never has one."""
+        """Otherwise a slow follower would restart on each new snapshot and never finish."""
         lab = self.with_snapshot(1_000_000)
         lab.round()
         self.assertTrue(
@@ -177,7 +177,7 @@
         self.assertLess(lab.rounds_until_level(20), 12)
         self.assertEqual([b"x" * 900_000], lab.applied(lab.follower))
 
-    def test_a_follower_that_restarts_midway_is_given_the_snapshot_anew(self) -> None:
+    def test_a_follower_that_restarts_gets_the_snapshot_from_the_start(self) -> None:
         lab = self.with_snapshot(1_000_000)
         lab.round()
         lab.round()
@@ -196,7 +196,7 @@
             self.assertRaises(MalformedMessageError, chunk_from_wire, chunk)
 
     def test_a_command_sent_again_counts_once_on_an_edge_that_has_a_snapshot(self) -> None:
-        """An edge's snapshot has no outcomes: the leader leaves out commands without effect."""
+        """An edge's snapshot has no outcomes, so the leader omits duplicate commands."""
         lab = Lab()
         consensus, replicated_state, edge = lab.leader, ReplicatedState(), ReplicatedState()
         consensus.applier.state_machine = replicated_state
@@ -249,8 +249,8 @@
             lab.follower.applier.advance(30)
         self.assertEqual(2, lab.follower.applied_index)
 
-    def test_a_leader_is_not_settled_before_it_applied_what_was_agreed(self) -> None:
-        """Reads, terms and voters rest on `settled`."""
+    def test_a_leader_is_not_ready_before_it_applied_all_committed_entries(self) -> None:
+        """Reads, leases and voter changes depend on `leader_ready`."""
         lab = Lab()
         self.assertTrue(lab.leader.replicated_log.append(entries(1, 200, 1)))
         lab.lead(2)
@@ -272,10 +272,10 @@
 
 
 class AcknowledgedTests(testtools.TestCase):
-    """A member that restarts stands by what it acknowledged."""
+    """A restarted member still has everything that it acknowledged."""
 
-    def drawn(self, seed: int) -> None:
-        """Drawn batches, snapshots of the leader, own snapshots and losses of power."""
+    def run_random_history(self, seed: int) -> None:
+        """Run random batches, snapshots and power losses, checking the follower after each."""
         random = Random(f"acknowledged {seed}")
         lab = Lab(snapshot_records=random.choice((5, 40, 1000)))
         lab.lead(1)
@@ -301,9 +301,9 @@
             if random.random() < 0.3:
                 lab.folder.lose_power(random)
                 lab.follower = lab.consensus("follower", lab.folder)
-            self.check(lab.follower, acknowledged)
+            self.check_acknowledged(lab.follower, acknowledged)
 
-    def check(self, member: Consensus, acknowledged: tuple[int, int]) -> None:
+    def check_acknowledged(self, member: Consensus, acknowledged: tuple[int, int]) -> None:
         mine = member.state.last_position()
         self.assertTrue(mine >= acknowledged, f"{mine} after {acknowledged}")
         for last_term, last_index in ((0, 0), (1, max(0, acknowledged[1] - 1))):
@@ -324,19 +324,19 @@
 
     def test_no_restart_makes_a_member_forget_what_it_acknowledged(self) -> None:
         for seed in range(300):
-            self.drawn(seed)
+            self.run_random_history(seed)
 
     def test_without_syncs_a_restart_forgets(self) -> None:
         with mock.patch.object(SimFolder, "sync", lambda _folder, _name: None):
-            self.assertRaises(AssertionError, self.forgets)
+            self.assertRaises(AssertionError, self.run_all_histories)
 
     def test_a_snapshot_that_drops_the_entries_behind_it_forgets(self) -> None:
         def install(log: ReplicatedLog, snapshot: Snapshot) -> bool:
             return log.replace_prefix(snapshot, [])
 
         with mock.patch.object(ReplicatedLog, "install", install):
-            self.assertRaises(AssertionError, self.forgets)
+            self.assertRaises(AssertionError, self.run_all_histories)
 
-    def forgets(self) -> None:
+    def run_all_histories(self) -> None:
         for seed in range(300):
-            self.drawn(seed)
+            self.run_random_history(seed)
--- a/tests/journal/test_journal_faults.py
+++ b/tests/journal/test_journal_faults.py
@@ -1,12 +1,9 @@
-"""The journal under every crash and every error of its disk, held against a reference model.
+"""The journal under every disk error and crash, compared with a reference model.
 
-`ModelFolder` is a disk that keeps apart what the process sees and what would outlive a loss of
-power: data by `sync`, names of renamed and removed files by a sync of the folder. Each step is a
-numbered point. The test plays a script of writes and snapshots once for each fault at each point
-(and each crash at a later point), then opens what each possible loss of power leaves.
-
-The reference: what opening gives is exactly what was acknowledged, followed by nothing or by one
-whole batch of which the writer had no acknowledgement.
+`ModelFolder` separates what the process sees from what survives a power loss. The test runs a
+script of writes and snapshots for each fault at each step of the folder, and opens every possible
+result. Opening must return exactly the acknowledged records, optionally followed by one complete
+batch that was not acknowledged.
 """
 
 from collections.abc import Callable, Iterator
@@ -28,11 +25,11 @@
 
 
 class PowerLostError(Exception):
-    """The process ended at a point."""
+    """The process crashed at a step."""
 
 
 class File:
-    """One file by whatever name: its synced content and the writes made since."""
+    """A file, independent of its name: its synced content and the writes since."""
 
     def __init__(self) -> None:
         self.content = b""
@@ -52,7 +49,7 @@
         self.writes = []
 
     def after_power_loss(self) -> list[bytes]:
-        """Contents that may be found: each write present, missing, torn, or only its end there."""
+        """Return the possible contents: the last write complete, missing, torn or only its end."""
         if not self.writes:
             return [self.synced]
         found = [self.synced, self.content]
@@ -65,7 +62,7 @@
 
 
 class ModelFolder:
-    """A disk with numbered points; `faults` tells what happens at them."""
+    """A simulated folder with numbered steps; `faults` maps step numbers to faults."""
 
     def __init__(self, faults: dict[int, str]) -> None:
         self.faults = faults
@@ -73,7 +70,7 @@
         self.files: dict[str, File] = {}
         self.durable: dict[str, File] = {}
 
-    def step(self, act: Callable[[], None], partly: Callable[[], None] | None = None) -> None:
+    def step(self, action: Callable[[], None], partly: Callable[[], None] | None = None) -> None:
         fault = self.faults.get(self.points, "")
         self.points += 1
         if fault == "crash before":
@@ -83,7 +80,7 @@
         if fault in ("error partly", "crash partly") and partly is not None:
             partly()
         else:
-            act()
+            action()
         if fault.startswith("error"):
             raise FolderError("done, or in part")
         if fault.startswith("crash"):
@@ -102,11 +99,11 @@
     def sync(self, name: str) -> None:
         file = self.files[name]
 
-        def act() -> None:
+        def action() -> None:
             file.sync()
             self.durable[name] = file
 
-        self.step(act)
+        self.step(action)
 
     def truncate(self, name: str, size: int) -> None:
         file = self.files.setdefault(name, File())
@@ -136,24 +133,24 @@
         self.durable = dict(self.files)
 
     def rename(self, name: str, other: str) -> None:
-        def act() -> None:
+        def action() -> None:
             self.files[other] = self.files.pop(name)
 
-        self.step(act)
+        self.step(action)
         self.step(self.sync_directory)
 
     def delete(self, name: str) -> None:
-        def act() -> None:
+        def action() -> None:
             del self.files[name]
 
-        self.step(act)
+        self.step(action)
 
-    def kept(self) -> Files:
-        """What a process that died leaves behind: all of it."""
+    def after_kill(self) -> Files:
+        """Return the files left by a killed process, which include all unsynced writes."""
         return {name: file.content for name, file in self.files.items()}
 
     def after_power_loss(self) -> Iterator[Files]:
-        """Each name that changed since the folder was synced: as before or as now."""
+        """Yield the possible files: each name changed since the last sync is old or new."""
         changed = sorted(
             name
             for name in {*self.files, *self.durable}
@@ -176,12 +173,12 @@
 
 
 class Writer:
-    """Plays the script and keeps the reference: what was acknowledged, and what was not."""
+    """Plays the script, and records the acknowledged and unacknowledged writes."""
 
     def __init__(self, folder: ModelFolder, acknowledged: Records) -> None:
         self.folder = folder
         self.acknowledged = list(acknowledged)
-        self.unsure: list[Records] = []
+        self.unacknowledged: list[Records] = []
 
     def open(self) -> Journal | None:
         found = open_journal(self.folder, RecordingLog("model"), SEGMENT_BYTES)
@@ -192,16 +189,16 @@
         return None
 
     def write(self, journal: Journal, records: Records) -> None:
-        self.unsure.append(records)
+        self.unacknowledged.append(records)
         if journal.write(records).is_ok():
             self.acknowledged += records
-            self.unsure = []
+            self.unacknowledged = []
 
     def write_snapshot(self, journal: Journal) -> None:
-        """The snapshot has all acknowledged records but the last two, which are carried over."""
+        """Write a snapshot of all acknowledged records except the last two, which are kept."""
         snapshot, kept = self.acknowledged[:-2], self.acknowledged[-2:]
         if journal.write_snapshot(cbor2.dumps(snapshot), kept).is_ok():
-            self.unsure = []
+            self.unacknowledged = []
 
     def play(self) -> None:
         journal = self.open()
@@ -214,7 +211,7 @@
                 self.write_snapshot(journal)
 
     def expected(self) -> list[Records]:
-        return [self.acknowledged, *(self.acknowledged + batch for batch in self.unsure)]
+        return [self.acknowledged, *(self.acknowledged + batch for batch in self.unacknowledged)]
 
 
 def state_of(journal: Journal) -> Records:
@@ -236,7 +233,7 @@
 
 
 def fault_plans(points: int) -> Iterator[dict[int, str]]:
-    """One crash; one error and then a crash anywhere behind it; a disk that fails for a while."""
+    """Yield single crashes, errors followed by a crash, and disks that fail for a while."""
     for point in range(points):
         for crash in CRASHES:
             yield {point: crash}
@@ -256,17 +253,17 @@
             writer.play()
         return writer
 
-    def check(self, files: Files, writer: Writer, told: object) -> None:
-        """Open, compare, write on, open again."""
+    def check(self, files: Files, writer: Writer, faults: object) -> None:
+        """Open the files and compare with the writer, then write more and reopen."""
         again = Writer(folder_of(files), [])
         try:
             journal = again.open()
         except AssertionError as error:
-            raise AssertionError(f"{told}: {error}; {sorted(files)}") from error
+            raise AssertionError(f"{faults}: {error}; {sorted(files)}") from error
         assert journal is not None
         found = state_of(journal)
         if found not in writer.expected():
-            self.fail(f"{told}: found {found}, acknowledged {writer.acknowledged}")
+            self.fail(f"{faults}: found {found}, acknowledged {writer.acknowledged}")
         again.acknowledged = list(found)
         journal.snapshot, journal.records = None, []
         again.write(journal, [b"later"])
@@ -274,16 +271,16 @@
         again.write(journal, [b"last"])
         once_more = again.open()
         assert once_more is not None
-        self.assertEqual([*found, b"later", b"last"], state_of(once_more), str(told))
+        self.assertEqual([*found, b"later", b"last"], state_of(once_more), str(faults))
 
     def play_all(self) -> int:
-        """Every fault and what each loss of power may leave; the number of folders opened."""
+        """Play all faults and power losses; return the number of folders opened."""
         points = self.played({}).folder.points
         outcomes = 0
         for faults in fault_plans(points):
             writer = self.played(faults)
             seen: set[tuple[tuple[str, bytes], ...]] = set()
-            for files in (writer.folder.kept(), *writer.folder.after_power_loss()):
+            for files in (writer.folder.after_kill(), *writer.folder.after_power_loss()):
                 key = tuple(sorted(files.items()))
                 if key not in seen:
                     seen.add(key)
@@ -292,11 +289,11 @@
             outcomes += self.check_killed(writer, faults)
         return outcomes
 
-    def check_killed(self, writer: Writer, told: object) -> int:
-        """The process dies, another opens what it left, and then power is lost.
+    def check_killed(self, writer: Writer, faults: object) -> int:
+        """Kill the process, open its files in another one, and then lose power.
 
-        Opening the folder syncs its names, as `LocalFolder` does; what the second process read
-        it may have answered for, so none of it may be lost.
+        Opening the folder syncs its names, as `LocalFolder` does. The second process may have
+        acknowledged everything that it read, so none of it may be lost.
         """
         folder = writer.folder
         folder.faults = {}
@@ -308,7 +305,7 @@
         for files in folder.after_power_loss():
             again = Writer(folder_of(files), []).open()
             assert again is not None
-            self.assertEqual(found, state_of(again), str(told))
+            self.assertEqual(found, state_of(again), str(faults))
             count += 1
         return count
 
@@ -316,18 +313,18 @@
         self.assertTrue(self.play_all() > 10_000)
 
     def test_each_step_is_needed(self) -> None:
-        """With any one mechanism taken out some fault loses, changes or damages the log."""
+        """Without any one of the mechanisms, some fault loses, changes or damages the log."""
 
         def no_repair(_journal: Journal) -> None:
-            """What a failed write left stays."""
+            """Keep the remains of a failed write."""
 
-        def never_due(journal: Journal) -> None:
+        def forgets_rotation(journal: Journal) -> None:
             try:
                 plain_start(journal)
             finally:
                 journal.rotation_due = False
 
-        def goes_on_in_old(journal: Journal) -> None:
+        def keeps_old_segment(journal: Journal) -> None:
             journal.folder.write_atomically(f"segment-{journal.segment_number + 1:010d}", b"")
             journal.segment_size = 0
 
@@ -336,21 +333,21 @@
             return plain_snapshot(journal, snapshot, records)
 
         plain_start, plain_snapshot = Journal.start_segment, Journal.write_snapshot
-        for name, taken_out in (
+        for name, replacement in (
             ("repair", no_repair),
-            ("start_segment", never_due),
-            ("start_segment", goes_on_in_old),
+            ("start_segment", forgets_rotation),
+            ("start_segment", keeps_old_segment),
             ("write_snapshot", deletes_first),
         ):
-            with mock.patch.object(Journal, name, taken_out):
+            with mock.patch.object(Journal, name, replacement):
                 try:
                     self.play_all()
                 except AssertionError:
                     continue
-            self.fail(f"nothing found without {taken_out.__name__}")
+            self.fail(f"nothing found without {replacement.__name__}")
 
-    def test_a_damaged_journal_never_stands_under_the_name_it_had(self) -> None:
-        """Whatever ends the setting aside: the old name, with its vote, does not come back."""
+    def test_a_damaged_journal_never_keeps_its_disk_id(self) -> None:
+        """A crash while the journal is set aside must not restore the old disk ID and its vote."""
         for faults in ({point: crash} for point in range(40) for crash in CRASHES):
             folder = folder_of(
                 {
@@ -362,20 +359,20 @@
             folder.faults = faults
             with suppress(PowerLostError):
                 open_disk(folder, RecordingLog("model"), SEGMENT_BYTES, Random(1))
-            for files in (folder.kept(), *folder.after_power_loss()):
+            for files in (folder.after_kill(), *folder.after_power_loss()):
                 found = open_disk(folder_of(files), RecordingLog("model"), SEGMENT_BYTES, Random(2))
                 self.assertTrue(found.is_ok())
                 self.assertNotEqual("before", found.ok[0], f"{faults} {sorted(files)}")
 
-    def test_an_identity_without_a_journal_is_another_disk(self) -> None:
+    def test_an_identity_without_a_journal_gets_a_new_disk_id(self) -> None:
         folder = folder_of({"identity": b'{"disk": "before"}'})
         found = open_disk(folder, RecordingLog("model"), SEGMENT_BYTES, Random(1))
         self.assertNotEqual("before", found.ok[0])
 
 
 class NamesTests(testtools.TestCase):
-    def test_a_reopened_disk_makes_the_names_last_that_it_believes(self) -> None:
-        """A process was killed between giving a name and syncing its folder."""
+    def test_reopening_makes_the_names_of_an_earlier_process_durable(self) -> None:
+        """A process was killed between creating a file and syncing the directory."""
         folder = ModelFolder({})
         disk, _ = open_disk(folder, RecordingLog("names"), SEGMENT_BYTES, Random(1)).ok
         folder.durable = {}
--- a/tests/journal/test_records.py
+++ b/tests/journal/test_records.py
@@ -1,4 +1,4 @@
-"""The journal: what was synced is there, a torn tail is cut, damage is told from it."""
+"""Journal records: synced records survive, torn tails are truncated, damage is detected."""
 
 import struct
 import zlib
@@ -25,22 +25,22 @@
     def opened(self) -> object:
         return open_journal(LocalFolder(str(self.path)), self.log, 4096)
 
-    def test_every_tear_of_the_last_write_is_cut(self) -> None:
-        """A write is there whole or not at all, however many records it has."""
+    def test_every_torn_last_write_is_truncated(self) -> None:
+        """A write of several records is recovered completely or not at all."""
         journal = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         self.assertTrue(journal.write([b"first"]).is_ok())
         end_of_first = journal.segment_size
         self.assertTrue(journal.write([b"second", b"third"]).is_ok())
-        whole = (self.path / "segment-0000000000").read_bytes()
-        for size in range(end_of_first + 1, len(whole)):
-            (self.path / "segment-0000000000").write_bytes(whole[:size])
+        complete = (self.path / "segment-0000000000").read_bytes()
+        for size in range(end_of_first + 1, len(complete)):
+            (self.path / "segment-0000000000").write_bytes(complete[:size])
             self.log.records.clear()
             again = open_journal(LocalFolder(str(self.path)), self.log, 4096)
             self.assertEqual([b"first"], again.ok.records)
             self.assertEqual(JOURNAL_TAIL_TRUNCATED.number, self.log.records[0][0])
 
     def test_a_write_with_a_hole_is_one_torn_write(self) -> None:
-        """Of one unsynced write the first part is missing and later records stand."""
+        """The first part of an unsynced write is missing while later records are present."""
         journal = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         journal.write([b"sound"])
         before = journal.segment_size
@@ -54,7 +54,7 @@
             self.assertEqual([b"sound"], again.ok.records)
 
     def test_a_journal_of_single_record_frames_still_opens(self) -> None:
-        """The format before batches: one record a frame, kept records in the first segment."""
+        """Format version 1: one record per frame, records kept by a snapshot in the segment."""
 
         def frame(record: bytes) -> bytes:
             return struct.pack(">2sII", b"\xa5\x52", len(record), zlib.crc32(record)) + record
@@ -67,7 +67,7 @@
         again = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         self.assertEqual([b"kept", b"second", b"third", b"fourth"], again.records)
 
-    def test_damage_before_the_tail_is_told(self) -> None:
+    def test_damage_before_the_tail_is_reported(self) -> None:
         journal = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         journal.write([b"first"])
         journal.write([b"second"])
@@ -79,7 +79,7 @@
         self.assertTrue(again.is_error())
         self.assertTrue(again.error.damaged)
 
-    def test_a_snapshot_replaces_what_it_stands_for(self) -> None:
+    def test_a_snapshot_replaces_the_records_before_it(self) -> None:
         journal = open_journal(LocalFolder(str(self.path)), self.log, 4096).ok
         for number in range(400):
             journal.write([b"record %d" % number + b"x" * 50])
@@ -90,16 +90,16 @@
         self.assertEqual(b"all of it", again.snapshot)
         self.assertEqual([b"kept", b"after"], again.records)
 
-    def test_a_missing_folder_is_plain(self) -> None:
+    def test_a_folder_that_cannot_be_created_raises_folder_error(self) -> None:
         file = self.path / "file"
         file.write_text("")
         self.assertRaises(FolderError, LocalFolder, str(file / "below"))
 
 
 class UnsyncedAtOpenTests(testtools.TestCase):
-    """A process that is killed between a write and its sync leaves a record not yet safe."""
+    """A process killed between a write and its sync leaves a record that is not durable."""
 
-    def test_what_a_journal_gave_back_outlasts_a_later_loss_of_power(self) -> None:
+    def test_replayed_records_survive_a_later_power_loss(self) -> None:
         folder = SimFolder()
         journal = open_journal(folder, RecordingLog("journal"), 1 << 20).ok
         with (
