--- a/packages/consensus/ryelock/consensus/replicator.py
+++ b/packages/consensus/ryelock/consensus/replicator.py
@@ -1,17 +1,17 @@
-"""The leader's part of replication: send the log to every follower, and commit.
+"""The leader side of replication: sends the log to every follower and commits entries.
 
-A follower's task (`replicate_to`) sends one request at a time and hands what comes back to the
-owner, which calls `on_reply`.
+One task per follower (`replicate_to`) sends one request at a time and passes each reply to the
+owner task, which calls `on_reply`.
 """
 
 from expression import Result
 
 from ryelock.consensus.applier import CommittedApplier
-from ryelock.consensus.commands import CommandQueue, FollowerReplied
 from ryelock.consensus.entries import Entry, EntryKind
 from ryelock.consensus.followers import Follower, Followers
 from ryelock.consensus.leadership import Leadership
 from ryelock.consensus.log import ENTRY_OVERHEAD_BYTES
+from ryelock.consensus.member_events import EventQueue, FollowerReplied
 from ryelock.consensus.messages import (
     AppendEntriesRequest,
     AppendReply,
@@ -27,19 +27,19 @@
 from ryelock.rpc.errors import MalformedMessageError
 
 SNAPSHOT_CHUNK_SECONDS = 2.0
-"""Seconds that a leader waits for the reply to one chunk of a snapshot."""
+"""RPC timeout of a snapshot chunk."""
 
 
 class Replicator:
-    """Leads a term: appends its first entry, replicates, and counts what is committed."""
+    """Leads a term: appends its first entry, replicates the log and advances the commit index."""
 
-    __slots__ = ("applier", "commands", "followers", "leadership", "payloads", "rpc", "state")
+    __slots__ = ("applier", "events", "followers", "leadership", "payloads", "rpc", "state")
 
     def __init__(
         self,
         state: MemberState,
         rpc: RpcClients,
-        commands: CommandQueue,
+        events: EventQueue,
         followers: Followers,
         leadership: Leadership,
         applier: CommittedApplier,
@@ -48,17 +48,17 @@
         """Create the replicator of a member that does not lead."""
         self.state = state
         self.rpc = rpc
-        self.commands = commands
+        self.events = events
         self.followers = followers
         self.leadership = leadership
         self.applier = applier
         self.payloads = payloads
 
     def become_leader(self, term: int) -> None:
-        """Lead a term that this candidate was elected in, unless it went on meanwhile.
+        """Become leader of a term that this member won, if it is still a candidate in it.
 
-        The leader appends an entry of its own term at once: older ones are committed only with
-        one of these (Raft, section 5.4.2), and reads wait for it (section 8).
+        The leader appends a no-op entry immediately: entries of earlier terms are committed only
+        together with one of its own term (Raft, section 5.4.2), and reads wait for it (section 8).
         """
         state = self.state
         if state.term != term or state.role is not Role.CANDIDATE:
@@ -69,21 +69,21 @@
         state.elected_at = state.now()
         self.followers.begin_term()
         state.log.write(BECAME_LEADER, epoch=term)
-        if not self.applier.store([Entry(state.last_index + 1, term, EntryKind.NOTHING, b"")]):
-            state.note_disk_failure()
+        if not self.applier.store([Entry(state.last_index + 1, term, EntryKind.NO_OP, b"")]):
+            state.record_disk_failure()
             self.leadership.step_down("its disk failed")
             return
-        self.follow_voters()
-        self.count_commit()
+        self.replicate_to_voters()
+        self.advance_commit_index()
 
-    def follow_voters(self) -> None:
-        """Replicate to every voter, also to one that was added just now."""
+    def replicate_to_voters(self) -> None:
+        """Start replication to every voter that is not a follower yet."""
         for disk, address in self.state.voters.items():
             if disk != self.state.disk and disk not in self.followers.by_disk:
                 self.add_follower(disk, address)
 
     def add_follower(self, disk: str, address: str) -> None:
-        """Replicate to a disk from now on."""
+        """Start replication to a disk."""
         follower = Follower(disk, address, self.state.last_index + 1, self.state.scheduler)
         self.followers.by_disk[disk] = follower
         follower.task = self.state.scheduler.create_task(
@@ -91,8 +91,8 @@
         )
 
     async def replicate_to(self, follower: Follower, term: int) -> None:
-        """Send to one follower for the length of a term, at least one request an interval."""
-        while self.state.leads and self.state.term == term:
+        """Send requests to a follower during a term, at least one per heartbeat interval."""
+        while self.state.is_leader and self.state.term == term:
             sent_at = self.state.now()
             message = self.next_message(follower)
             timeout = (
@@ -101,20 +101,20 @@
                 else SNAPSHOT_CHUNK_SECONDS
             )
             result = await self.rpc.call(follower.address, message, timeout)
-            self.commands.put(FollowerReplied(follower, term, sent_at, result))
-            follower.wakeups.items.clear()
-            await follower.wakeups.get(self.state.settings.heartbeat_seconds)
+            self.events.put(FollowerReplied(follower, term, sent_at, result))
+            follower.notifications.items.clear()
+            await follower.notifications.get(self.state.settings.heartbeat_seconds)
 
     # Requests.
 
     def next_message(self, follower: Follower) -> Message:
-        """Return what a follower needs next: entries, or a snapshot chunk where they are gone.
+        """Return the next request to a follower: entries, or a snapshot chunk if compacted.
 
-        A snapshot that has begun to cross is finished, also when a newer one was written since:
-        else a follower that is slower than the leader's snapshots never has one.
+        A snapshot transfer in progress is completed even if a newer snapshot exists; otherwise a
+        slow follower would restart on each new snapshot and never finish.
         """
         log = self.state.replicated_log
-        if follower.outgoing is None and not log.reaches_back(follower.next_index - 1):
+        if follower.outgoing is None and not log.has_term_at(follower.next_index - 1):
             follower.begin_snapshot(log.snapshot)
         if follower.outgoing is None:
             return request_to_wire(self.append_request(follower))
@@ -130,7 +130,7 @@
         )
 
     def append_request(self, follower: Follower) -> AppendEntriesRequest:
-        """Return a heartbeat with as many entries as the follower takes in time."""
+        """Build a heartbeat with a batch of entries of the follower's current batch size."""
         previous_index = follower.next_index - 1
         return AppendEntriesRequest(
             recipient=follower.disk,
@@ -144,29 +144,29 @@
             payload=self.payloads.heartbeat_payload(),
         )
 
-    def batch(self, start: int, bytes_most: int) -> list[object]:
-        """Return entries from an index on, at least one if there is any, of about so many bytes."""
+    def batch(self, start: int, max_bytes: int) -> list[object]:
+        """Return entries from `start` on, up to `max_bytes` but at least one if there is any."""
         log = self.state.replicated_log
-        found: list[object] = []
+        entries: list[object] = []
         size = 0
         for index in range(start, log.last_index + 1):
             entry = log.entry_at(index)
             size += len(entry.data) + ENTRY_OVERHEAD_BYTES
-            if found and size > bytes_most:
+            if entries and size > max_bytes:
                 break
-            found.append(entry.to_wire())
-        return found
+            entries.append(entry.to_wire())
+        return entries
 
     # Replies.
 
     def on_reply(
         self, follower: Follower, term: int, sent_at: float, result: Result[Message, RpcError]
     ) -> None:
-        """Take in what came back for a request; one of an earlier term counts for nothing."""
-        if not self.state.leads or self.state.term != term:
+        """Process the result of a request; a result of an earlier term is ignored."""
+        if not self.state.is_leader or self.state.term != term:
             return
         if result.is_error():
-            follower.timed_out()
+            follower.record_timeout()
             return
         try:
             reply = decode(AppendReply, result.ok)
@@ -188,40 +188,40 @@
     def on_accepted(
         self, follower: Follower, reply: AppendReply, last_index: int, sent_at: float
     ) -> None:
-        """The follower's log agrees with this one up to an index."""
-        follower.contacted(sent_at)
+        """Process an acceptance: the follower's log matches up to `last_index`."""
+        follower.record_contact(sent_at)
         follower.outgoing = None
-        follower.stored(sent_at)
+        follower.record_stored(sent_at)
         follower.match_index = max(follower.match_index, last_index)
         follower.next_index = follower.match_index + 1
         if reply.payload is not None:
             self.payloads.on_payload(follower.disk, reply.payload, sent_at)
-        self.count_commit()
+        self.advance_commit_index()
         if follower.next_index <= self.state.last_index:
-            follower.wake()
+            follower.notify()
 
     def on_rejected(
         self, follower: Follower, reply: AppendReply, last_index: int, sent_at: float
     ) -> None:
-        """The follower needs other entries, or more of a snapshot."""
+        """Process a rejection, which is also the reply to all but the last snapshot chunk."""
         if reply.term == self.state.term:
-            follower.contacted(sent_at)
+            follower.record_contact(sent_at)
         if follower.outgoing is not None:
             if reply.received is not None and follower.outgoing.acknowledge(reply.received):
-                follower.stored(sent_at)
-                follower.wake()
+                follower.record_stored(sent_at)
+                follower.notify()
             return
         next_index = self.next_index_after(follower, reply, last_index)
         if next_index != follower.next_index:
             follower.next_index = next_index
-            follower.wake()
+            follower.notify()
 
     def next_index_after(self, follower: Follower, reply: AppendReply, last_index: int) -> int:
-        """Return the index to go on from after a rejection (Raft, end of section 5.3).
+        """Return the next index to send after a rejection (Raft, end of section 5.3).
 
-        `last_index` is up to where the follower's log may agree. Where this log has a term above
-        the conflicting one at the index in question, the two agree at most up to this log's last
-        entry that is not of a later term; so each term costs one round trip, not each entry.
+        `last_index` is an upper bound for where the logs match. If this log has a term above the
+        conflicting one there, the logs match at most up to this log's last entry of no later term.
+        So finding the match takes one round trip per conflicting term, not one per entry.
         """
         if reply.disk_failed:
             return follower.next_index
@@ -233,15 +233,15 @@
             last_index = agrees_until if agrees_until < follower.next_index - 1 else last_index
         return max(1, min(follower.next_index - 1, last_index + 1))
 
-    def count_commit(self) -> None:
-        """Commit what a majority holds, if its last entry is of the current term.
+    def advance_commit_index(self) -> None:
+        """Commit entries up to the majority match index, if its entry is of the current term.
 
-        An older entry on a majority may still be replaced; it is committed by one of this term
-        behind it (Raft, section 5.4.2 and figure 8).
+        An entry of an earlier term may still be overwritten even if a majority has it. It is
+        committed by a later entry of the current term (Raft, section 5.4.2 and figure 8).
         """
-        reached = self.followers.majority_match_index()
-        if reached is None or reached <= self.state.commit_index:
+        match_index = self.followers.majority_match_index()
+        if match_index is None or match_index <= self.state.commit_index:
             return
-        if self.state.term_at(reached) == self.state.term:
-            self.applier.advance(reached)
-            self.followers.wake_all()
+        if self.state.term_at(match_index) == self.state.term:
+            self.applier.advance(match_index)
+            self.followers.notify_all()
--- a/packages/control_plane/ryelock/control_plane/edge_leases.py
+++ b/packages/control_plane/ryelock/control_plane/edge_leases.py
@@ -121,7 +121,7 @@
 
     def takeover_is_complete(self, now: float) -> bool:
         """Return True if all grants of earlier leaders have expired or were reported."""
-        return now >= self.consensus.settled_at + self.takeover_seconds
+        return now >= self.consensus.leader_ready_at + self.takeover_seconds
 
     def grant(self, edge: EdgeRun, now: float) -> None:
         """Record a lease at the log index that this node has applied."""
--- a/packages/control_plane/ryelock/control_plane/lease_renewal.py
+++ b/packages/control_plane/ryelock/control_plane/lease_renewal.py
@@ -100,7 +100,7 @@
 
     async def renew(self, message: Message, reply: Reply) -> None:
         """Answer one node's renewal; the response is held until there is new state for the node."""
-        if not self.consensus.settled:
+        if not self.consensus.leader_ready:
             reply(NotLeaderResponse(self.consensus.leader_address).to_wire())
             return
         if self.leases.begin_term():
@@ -116,7 +116,7 @@
         self.record_report(request)
         await self.wait_for_update(request)
         # This node may have lost leadership while the renewal waited.
-        if not self.consensus.settled or self.leases.term != self.consensus.term:
+        if not self.consensus.leader_ready or self.leases.term != self.consensus.term:
             reply(NotLeaderResponse(self.consensus.leader_address).to_wire())
             return
         reply(self.build_response(request))
--- a/packages/control_plane/ryelock/control_plane/voters.py
+++ b/packages/control_plane/ryelock/control_plane/voters.py
@@ -49,13 +49,13 @@
         """Check the voters periodically; only the leader changes them."""
         while True:
             await self.scheduler.sleep(CHECK_SECONDS)
-            if self.consensus.settled:
+            if self.consensus.leader_ready:
                 await self.change_voters()
 
     async def change_voters(self) -> None:
         """Commit the changes that can be made now, one voter at a time."""
         for _ in range(MAX_CHANGES_PER_CHECK):
-            if not self.consensus.settled:
+            if not self.consensus.leader_ready:
                 return
             voter_set = self.voter_set()
             voters = next_voters(voter_set)
@@ -158,7 +158,7 @@
     def on_release_request(self, message: Message) -> Message:
         """Record that a node shuts down; answer with `may_end` once its disk is not needed."""
         disk = str(message.get("disk"))
-        if not self.consensus.settled:
+        if not self.consensus.leader_ready:
             return {"ok": False, "may_end": False}
         self.leaving[disk] = self.scheduler.now()
         is_releasable = self.is_releasable(disk)
@@ -173,7 +173,7 @@
         entries on a majority. A new leader waits first, as it may not know of all standbys yet.
         """
         consensus = self.consensus
-        if consensus.changing_voters:
+        if consensus.voter_change_pending:
             return False
         if disk not in consensus.voters:
             return True
