--- a/packages/edge/ryelock/edge/membership_view.py
+++ b/packages/edge/ryelock/edge/membership_view.py
@@ -9,21 +9,21 @@
 class MembershipView:
     """Members by name, the edges that were lost, and the control nodes' addresses."""
 
-    __slots__ = ("control_addresses", "gone", "members", "source", "version")
+    __slots__ = ("control_addresses", "lost", "members", "source", "version")
 
     def __init__(self) -> None:
         """Create an empty view."""
         self.source = ""
         self.version = 0
         self.members: dict[str, Session] = {}
-        self.gone: dict[str, Session] = {}
+        self.lost: dict[str, Session] = {}
         self.control_addresses: list[str] = []
 
     def apply(self, update: MembershipUpdate) -> None:
         """Take an update; raises ValueError where a session in it is malformed."""
         self.apply_sessions(update)
-        gone = [Session.from_wire(wire) for wire in update.gone]
-        self.gone = {session.name: session for session in gone}
+        lost = [Session.from_wire(wire) for wire in update.lost]
+        self.lost = {session.name: session for session in lost}
         self.control_addresses = [
             session.rpc_address for session in self.members.values() if session.role == CONTROL_ROLE
         ]
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -206,7 +206,7 @@
             settings.probe_timeout,
             settings.probe_flight,
             settings.verdict_span,
-            self.probe_targets.all,
+            self.probe_targets.current,
             dialect,
         )
 
--- a/packages/edge/ryelock/edge/session_messages.py
+++ b/packages/edge/ryelock/edge/session_messages.py
@@ -83,7 +83,7 @@
         source: control node that numbers the versions.
         version: version after this update.
         sessions: sessions in wire form, of all members or of those that changed.
-        gone: sessions of edges that were lost without a goodbye; always all of them.
+        lost: sessions of edges that were lost without a goodbye; always all of them.
         since: version that the changes start from, None where all members are given.
         removed: names that are members no more.
     """
@@ -91,7 +91,7 @@
     source: str
     version: Natural
     sessions: list[object]
-    gone: list[object]
+    lost: Annotated[list[object], WireName("gone")]
     since: Natural | None = None
     removed: list[str] = field(default_factory=list)
 
--- a/packages/edge/ryelock/edge/targets.py
+++ b/packages/edge/ryelock/edge/targets.py
@@ -39,7 +39,7 @@
         self.replicated_state = replicated_state
         self.membership = membership
 
-    def all(self) -> list[ProbeTarget]:
+    def current(self) -> list[ProbeTarget]:
         """Return what this node probes now, and what it compares with."""
         edges = self.edges()
         watches = sorted(self.replicated_state.watches.items())
@@ -49,7 +49,7 @@
 
     def edges(self) -> dict[str, Session]:
         """Return the other edges by name, those that were lost among them."""
-        sessions = {**self.membership.gone, **self.membership.members}
+        sessions = {**self.membership.lost, **self.membership.members}
         return {
             name: session
             for name, session in sorted(sessions.items())
@@ -62,7 +62,7 @@
         self, edges: dict[str, Session], watches: list[tuple[str, Watch]]
     ) -> list[ProbeTarget]:
         """Return all edges, where every prober probes its whole zone."""
-        sessions = {**self.membership.gone, **self.membership.members}
+        sessions = {**self.membership.lost, **self.membership.members}
         intervals = self.intervals(watches, len(sessions))
         covered = self.covered_zones({session.zone for session in sessions.values()})
         return [
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -214,7 +214,7 @@
                 version=Natural(version + 5),
                 since=Natural(version + 4),
                 sessions=[],
-                gone=[],
+                lost=[],
                 removed=list(before),
             )
         )
--- a/tests/rate_limit/test_rate_sharing.py
+++ b/tests/rate_limit/test_rate_sharing.py
@@ -92,7 +92,7 @@
             assert isinstance(node, TrafficNode)
             planned += sum(
                 1.0 / max(node.settings.probe_seconds, target.min_interval_seconds)
-                for target in node.probe_targets.all()
+                for target in node.probe_targets.current()
                 if not target.cross_zone
             )
         self.assertGreater(planned, 0.0)
