--- a/packages/edge/ryelock/edge/configuration_rollout.py
+++ b/packages/edge/ryelock/edge/configuration_rollout.py
@@ -1,4 +1,4 @@
-"""Making an edge's request path follow the replicated configuration."""
+"""Application of the replicated configuration to an edge's request path."""
 
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.edge.context import EdgeContext
@@ -11,7 +11,7 @@
 
 
 class ConfigurationRollout:
-    """Replaces the plan, the cache's content, the limits and the admission queues of an edge."""
+    """Updates an edge's plan, cache, client limits and admission queues for a new configuration."""
 
     __slots__ = ("context", "limits", "member", "replicated_state", "scheduler", "settings")
 
@@ -26,11 +26,11 @@
         """Create the rollout.
 
         Args:
-            scheduler: for the admission queues' tasks.
-            settings: limits of callers where the configuration names none.
-            member: holds the replicated state and the number of edges.
-            context: what the request path shares, which follows.
-            limits: limits of the request server that follow.
+            scheduler: runs the admission queues' tasks.
+            settings: default client limits, where the configuration has none.
+            member: source of the replicated state and the number of edges.
+            context: shared state of the request path, which is updated.
+            limits: limits of the request server, which are updated.
         """
         self.scheduler = scheduler
         self.settings = settings
@@ -40,23 +40,23 @@
         self.limits = limits
 
     def apply(self) -> None:
-        """Follow the replicated state at its present index."""
+        """Apply the replicated state at its current index."""
         state = self.replicated_state
         if self.context.plan.version != state.version:
             configuration = state.configuration
             previous = self.context.plan
             self.context.plan = Plan(state.version, configuration)
             self.invalidate_cache(changed_routes(previous, configuration))
-            self.limit_callers(configuration.limits.get("callers"))
+            self.set_client_limits(configuration.limits.get("callers"))
             self.resize_admission_queues(configuration)
         self.context.store.apply_purges(state.purges, state.purge_number)
 
     def invalidate_cache(self, routes: set[str]) -> None:
-        """Remove the stored responses of routes, and store none of the fills under way."""
+        """Remove the stored responses of routes; cache fills in progress will not be stored."""
         self.context.store.invalidate_routes(routes)
 
-    def limit_callers(self, configured: CallerLimits | None) -> None:
-        """Set what callers may send, by the configuration or else by the settings."""
+    def set_client_limits(self, configured: CallerLimits | None) -> None:
+        """Set the request size and idle limits, using the settings where none are configured."""
         limits, settings = self.limits, self.settings
         configured = configured or CallerLimits()
         limits.head_bytes = configured.head_bytes or settings.head_bytes
@@ -64,7 +64,7 @@
         limits.idle_seconds = configured.idle_seconds or settings.idle_seconds
 
     def resize_admission_queues(self, configuration: Configuration) -> None:
-        """Create, resize and end admission queues, one a service."""
+        """Create, resize and remove admission queues, so that each service has one."""
         queues = self.context.admission_queues
         for name, service in configuration.services.items():
             queue = queues.get(name)
@@ -76,16 +76,16 @@
 
 
 def changed_routes(previous: Plan, configuration: Configuration) -> set[str]:
-    """Return the routes of a plan that are gone or lead elsewhere: their responses are stale."""
+    """Return the routes of a plan whose stored responses the configuration makes invalid."""
     return {
         name
         for name, route in zip(previous.route_names, previous.routes, strict=True)
-        if leads_elsewhere(route, configuration.routes.get(name))
+        if invalidates_responses(route, configuration.routes.get(name))
     }
 
 
-def leads_elsewhere(before: Route, after: Route | None) -> bool:
-    """Return whether a route's responses may come from another service or are cached no more."""
+def invalidates_responses(before: Route, after: Route | None) -> bool:
+    """Return True if a route was removed, uses another service or split, or changed caching."""
     if after is None:
         return True
     return (after.service, after.split, after.cached) != (
--- a/packages/edge/ryelock/edge/configuration_updates.py
+++ b/packages/edge/ryelock/edge/configuration_updates.py
@@ -1,4 +1,4 @@
-"""Bringing a node's replicated state up to the index of a renewal's answer."""
+"""Application of renewal responses to a node's replicated state."""
 
 from enum import Enum, auto
 
@@ -7,18 +7,19 @@
 
 
 class UpdateOutcome(Enum):
-    """What an answer did to the replicated state."""
+    """Effect of a response on the replicated state."""
 
     STALE = auto()
-    """The answer does not reach the index that is applied already."""
+    """The response's index is below the applied index."""
     UNCHANGED = auto()
     CHANGED = auto()
 
 
 def apply_update(replicated_state: ReplicatedState, response: RenewalResponse) -> UpdateOutcome:
-    """Restore the snapshot of an answer, or apply its log entries after the node's index.
+    """Restore a response's snapshot, or apply its log entries after the node's index.
 
-    A stale answer comes from a former leader, or was overtaken: nothing else in it may be used.
+    A stale response comes from a former leader or arrived out of order; nothing else in it may be
+    used.
 
     Raises:
         KeyError, TypeError, ValueError: the snapshot or an entry is malformed.
--- a/packages/edge/ryelock/edge/edge_delegate.py
+++ b/packages/edge/ryelock/edge/edge_delegate.py
@@ -1,4 +1,4 @@
-"""What an edge reports with its renewals, and how it follows the updates that they bring."""
+"""Connects an edge's session to its request path, for reports and updates."""
 
 from ryelock.edge.configuration_rollout import ConfigurationRollout
 from ryelock.edge.handler import RequestHandler
@@ -28,27 +28,27 @@
         self.rollout = rollout
 
     def demand(self) -> dict[str, float]:
-        """Return the requests a second that lately came, by service."""
+        """Return the recent request rate in requests per second, by service."""
         return self.quota.demand()
 
     def held_shares(self) -> dict[str, float]:
-        """Return the quota shares held, in requests a second by service."""
+        """Return the quota shares held, in requests per second by service."""
         return self.quota.held()
 
     def quorum_lease_shares(self) -> dict[str, float]:
-        """Return the shares that may be spent while there is no leader."""
-        return self.quota.without_leader()
+        """Return the quota shares that may be used under a quorum lease, by service."""
+        return self.quota.leaderless()
 
     def wanted(self) -> dict[str, int]:
-        """Return the requests that wait for a grant, by service."""
+        """Return the number of requests waiting for a grant, by service."""
         return self.quota.wanted()
 
     def take_failed_callers(self) -> list[bytes]:
-        """Return callers whose requests failed here since the last report."""
+        """Return and clear the callers whose requests failed here since the last report."""
         return self.handler.context.retry_detector.take_new_reports()
 
     def recent_objects(self) -> list[list[str]]:
-        """Return route, host and target of objects lately served."""
+        """Return route, host and target of recently served objects."""
         return self.handler.served_objects.report()
 
     def on_configuration(self) -> None:
@@ -56,18 +56,18 @@
         self.rollout.apply()
 
     def on_server_list(self, server_list: ServerList) -> None:
-        """Follow a new list of upstream servers."""
+        """Apply a new list of upstream servers."""
         self.handler.context.servers.update(server_list)
 
     def on_failed_callers(self, callers: list[bytes]) -> None:
-        """Take note of callers who may retry here after a failure at another edge."""
+        """Record callers that may retry here after a failure at another edge."""
         for caller in callers:
             self.handler.context.retry_detector.record(caller, self.scheduler.now())
 
     def on_shares(self, shares: dict[str, float], expires_at: float, edges: int) -> None:
-        """Spend quota shares until a monotonic time."""
+        """Use quota shares until a monotonic time."""
         self.quota.set_shares(shares, expires_at, edges)
 
     def on_grants(self, grants: dict[str, Grant], requested_at: float) -> None:
-        """Spend granted requests of narrow services."""
+        """Add granted requests of narrow services."""
         self.quota.add_grants(grants, requested_at)
--- a/packages/edge/ryelock/edge/leader_discovery.py
+++ b/packages/edge/ryelock/edge/leader_discovery.py
@@ -1,4 +1,4 @@
-"""Finding the control leader, and avoiding one that does not answer."""
+"""Discovery of the control leader, avoiding one that stopped responding."""
 
 from dataclasses import dataclass
 
@@ -10,21 +10,21 @@
 CALL_TIMEOUT_SECONDS = 0.4
 ROUND_SECONDS = 0.25
 AVOID_SECONDS = 0.5
-"""How long a leader that gave no answer is not taken again."""
+"""How long an unresponsive leader is not chosen again."""
 RELAY_AFTER_SECONDS = 0.4
-"""How long a leader must be unreachable before renewals go through another control node."""
+"""How long the leader must be unreachable before renewals are sent through another control node."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnreachableLeader:
-    """A leader that gave no answer, avoided until a monotonic time."""
+    """A leader that did not respond, avoided until a monotonic time."""
 
     address: str
     avoid_until: float
 
 
 class LeaderDiscovery:
-    """Knows the control nodes and which of them leads, as far as this node can tell."""
+    """The known control nodes, and the one currently assumed to be the leader."""
 
     __slots__ = (
         "leader",
@@ -44,7 +44,14 @@
         membership: MembershipView,
         seeds: tuple[str, ...],
     ) -> None:
-        """Create the discovery; `seeds` are control nodes' addresses from the settings."""
+        """Create the discovery.
+
+        Args:
+            scheduler: clock and tasks.
+            rpc_clients: connections to the control nodes.
+            membership: source of control nodes' addresses.
+            seeds: addresses of control nodes from the settings.
+        """
         self.scheduler = scheduler
         self.rpc_clients = rpc_clients
         self.membership = membership
@@ -56,14 +63,14 @@
 
     @property
     def control_nodes(self) -> list[str]:
-        """Addresses of all known control nodes, seeds first, without doubles."""
+        """Addresses of all known control nodes, seeds first, without duplicates."""
         return list(dict.fromkeys([*self.seeds, *self.membership.control_addresses]))
 
     async def find(self, candidates: list[str]) -> None:
-        """Ask control nodes at once; the first that knows a leader decides.
+        """Query control nodes in parallel; the first usable answer sets the leader.
 
-        For a moment the leader that just gave no answer is not taken again: others may name
-        it until they notice themselves.
+        A leader that just failed to respond is skipped for a while, since the others may keep
+        naming it until they detect the failure themselves.
         """
         answers: Queue[str] = Queue(self.scheduler)
         for address in candidates:
@@ -83,13 +90,13 @@
                 return
 
     async def query(self, address: str, answers: Queue[str]) -> None:
-        """Ask one control node who leads; an empty text where it knows nobody."""
+        """Query one control node and queue the leader's address, empty where it knows none."""
         found = await self.rpc_clients.call(address, {"kind": LEADER_QUERY}, CALL_TIMEOUT_SECONDS)
         leader = found.ok.get("leader_address") if found.is_ok() else ""
         answers.put(leader if isinstance(leader, str) else "")
 
     def is_avoided(self, address: str) -> bool:
-        """Return whether an address is that of a leader which lately gave no answer."""
+        """Return True if the address is that of a leader that recently did not respond."""
         return (
             self.unreachable is not None
             and address == self.unreachable.address
@@ -97,11 +104,11 @@
         )
 
     def record_success(self) -> None:
-        """Note that the leader answered."""
+        """Record that the leader responded."""
         self.unreachable_since = None
 
     def record_failure(self) -> None:
-        """Note that the leader gave no answer, and look for another."""
+        """Record that the leader did not respond, and discard it so that another is sought."""
         now = self.scheduler.now()
         same = self.unreachable is not None and self.unreachable.address == self.leader
         if not same or self.unreachable_since is None:
@@ -110,9 +117,10 @@
         self.leader = ""
 
     def may_relay_through(self, address: str) -> bool:
-        """Return whether another control node may reach the leader that this node cannot.
+        """Return True if a control node may still reach the leader that this node cannot.
 
-        Only where others still name it after a while: they would miss it by then, were it gone.
+        That requires the others to name the leader even after RELAY_AFTER_SECONDS: by then, they
+        would have noticed its failure.
         """
         if self.unreachable is None or self.unreachable_since is None:
             return False
--- a/packages/edge/ryelock/edge/lease_renewal.py
+++ b/packages/edge/ryelock/edge/lease_renewal.py
@@ -1,8 +1,9 @@
-"""Renewing a node's session and lease with the control leader, and taking in what answers bring.
+"""Renewal of a node's session and lease with the control leader.
 
-One task renews with the leader: it reports what this node is, has and needs, and the answer
-brings log entries, members, servers, quota shares and a lease. The lease counts from before the
-request, less the age of the leader's own proof of its majority. See docs/design.md.
+One task renews in a loop. Each request reports the node's state and demand; the response carries
+log entries, members, servers, quota shares and a lease. The lease period starts before the request
+was sent and is shortened by the age of the leader's last quorum confirmation, so that it ends here
+before the leader considers it expired. See docs/design.md.
 """
 
 from ryelock.edge.configuration_updates import UpdateOutcome, apply_update
@@ -19,15 +20,15 @@
 from ryelock.runtime import Scheduler, Task
 
 HOLD_SECONDS_PER_EDGE = 0.01
-HOLD_MAX_SECONDS = 1.0
-ANSWER_SECONDS = 0.4
-"""How long an answer may take beyond the time for which the leader may hold it back."""
-RETRY_PAUSE_SECONDS = 0.1
+MAX_HOLD_SECONDS = 1.0
+RESPONSE_TIMEOUT_SECONDS = 0.4
+"""Timeout of a response, in addition to the time for which the leader may hold it."""
+RETRY_DELAY_SECONDS = 0.1
 LEAVE_TIMEOUT_SECONDS = 1.0
 
 
 class LeaseRenewal:
-    """The task that keeps a session alive, and the end of the session."""
+    """Keeps a node's session alive and ends it when the node leaves."""
 
     __slots__ = (
         "delegate",
@@ -48,14 +49,14 @@
         member: EdgeSession,
         delegate: SessionDelegate,
     ) -> None:
-        """Create the renewal of a session; `start` makes it run.
+        """Create the renewal of a session; `start` starts its task.
 
         Args:
             scheduler: clock and tasks.
             rpc_clients: connections to the control nodes.
-            log: where a lease without a leader is written.
+            log: event log for quorum leases.
             member: the session.
-            delegate: the node whose state is reported and that follows updates.
+            delegate: supplies the node's part of reports and receives updates.
         """
         self.scheduler = scheduler
         self.rpc_clients = rpc_clients
@@ -69,16 +70,16 @@
         self.running: Task | None = None
 
     def start(self) -> None:
-        """Start renewing."""
+        """Start the renewal task."""
         self.running = self.scheduler.create_task(self.run(), name="lease renewal", urgent=True)
 
     def stop(self) -> None:
-        """Stop renewing; the lease runs out by itself."""
+        """Stop the renewal task; the lease expires on its own."""
         if self.running is not None:
             self.running.cancel()
 
     async def leave(self) -> None:
-        """Release the lease and end the session: no member any more, and not missed."""
+        """Release the lease and leave the membership, so the node is not reported as lost."""
         self.member.lease.release()
         self.stop()
         leader = self.member.leader
@@ -89,7 +90,7 @@
         await self.rpc_clients.call(leader, encode(request), LEAVE_TIMEOUT_SECONDS)
 
     async def run(self) -> None:
-        """Renew for ever; look for the leader where it is not known."""
+        """Renew forever, looking for the leader whenever none is known."""
         discovery = self.member.discovery
         attempt = 0
         while True:
@@ -109,31 +110,33 @@
                 await self.quorum_lease.acquire()
 
     async def renew_without_leader(self, relay: str) -> None:
-        """Renew through a control node that may reach the leader, or else by a quorum lease."""
+        """Renew through a node that may reach the leader, or else ask for a quorum lease."""
         if self.member.discovery.may_relay_through(relay) and await self.renew(relay):
             return
         await self.quorum_lease.acquire()
-        await self.scheduler.sleep(RETRY_PAUSE_SECONDS)
+        await self.scheduler.sleep(RETRY_DELAY_SECONDS)
 
     @property
     def hold_seconds(self) -> float:
-        """How long the leader may hold the answer back.
+        """Seconds for which the leader may hold the response (long polling).
 
-        Where edges serve without a lease, longer on large sites: renewals cost the leader less.
+        With `serve_lapsed`, grows with the number of edges to lower the load on the leader.
         """
         settings = self.member.settings
         if not settings.serve_lapsed:
             return settings.hold_seconds
-        by_size = min(HOLD_MAX_SECONDS, self.member.edges * HOLD_SECONDS_PER_EDGE)
+        by_size = min(MAX_HOLD_SECONDS, self.member.edges * HOLD_SECONDS_PER_EDGE)
         return max(settings.hold_seconds, by_size)
 
     async def renew(self, address: str) -> bool:
-        """Send one renewal and apply its answer; False where there was none to be used."""
+        """Send one renewal and apply its response; return False if none could be used."""
         requested_at = self.scheduler.now()
         self.unconfirmed = False
         hold_seconds = self.hold_seconds
         message = renewal_request(self.reporter.report(), hold_seconds)
-        found = await self.rpc_clients.call(address, message, hold_seconds + ANSWER_SECONDS)
+        found = await self.rpc_clients.call(
+            address, message, hold_seconds + RESPONSE_TIMEOUT_SECONDS
+        )
         if found.is_error() or found.ok.get("ok") is not True:
             return False
         try:
@@ -142,13 +145,16 @@
             return False
 
     def apply(self, answer: Message, requested_at: float) -> bool:
-        """Apply an answer; raises what a malformed part of it raises.
+        """Apply a response; return True if the leader sent it, which a stale response proves too.
 
-        A stale answer is passed over, but it is the leader's: True.
+        Raises:
+            KeyError, TypeError, ValueError: a part of the response is malformed.
         """
         response = decode(RenewalResponse, answer)
         if response.majority_age < 0:
-            raise MalformedMessageError("RenewalResponse: age is negative")
+            raise MalformedMessageError(
+                f"RenewalResponse: age must be 0 or more, got {response.majority_age}"
+            )
         outcome = apply_update(self.member.replicated_state, response)
         if outcome is UpdateOutcome.STALE:
             return True
@@ -164,7 +170,7 @@
         return True
 
     def apply_views(self, response: RenewalResponse, requested_at: float) -> None:
-        """Take in the list of servers and the members."""
+        """Apply the server list and the membership update of a response."""
         if response.server_list is not None:
             adopted = self.member.server_lists.apply(response.server_list, requested_at)
             if adopted is not None:
@@ -175,12 +181,12 @@
     def apply_quota(
         self, response: RenewalResponse, requested_at: float, expires_at: float
     ) -> None:
-        """Take in quota shares, failures at other edges, and granted requests."""
+        """Apply quota shares, failed callers reported by other edges, and granted requests."""
         if response.shares is not None and response.edges is not None:
             self.member.edges = response.edges
             self.delegate.on_shares(response.shares, expires_at, response.edges)
         if response.failed_callers is not None:
-            self.reporter.take_failures(response.failed_callers)
+            self.reporter.apply_failed_callers(response.failed_callers)
         if response.grants is not None:
             grants = {name: Grant(*values) for name, values in response.grants.items()}
             self.delegate.on_grants(grants, requested_at)
--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -1,6 +1,6 @@
-"""A node's session with the control plane: what it knows by it, and whether it may serve.
+"""A node's session with the control plane: replicated state, membership and lease.
 
-The session is passive: lease_renewal.py keeps it up to date, the request path reads it.
+The session is passive: lease_renewal.py updates it, the request path reads it.
 """
 
 from dataclasses import dataclass
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionSettings:
-    """How a session is kept.
+    """Settings of a session.
 
     Attributes:
-        seeds: addresses of control nodes that are always known.
-        lease_seconds: how long a lease lasts.
-        server_list_seconds: how long a list of upstream servers is believed.
-        hold_seconds: how long the leader may hold an answer back that brings nothing new.
-        serve_lapsed: whether an edge serves on without a lease.
+        seeds: addresses of control nodes from the settings.
+        lease_seconds: duration of a lease.
+        server_list_seconds: validity period of an upstream server list.
+        hold_seconds: how long the leader may hold a response that carries no news.
+        serve_lapsed: True if an edge keeps serving after its lease has expired.
     """
 
     seeds: tuple[str, ...]
@@ -39,7 +39,7 @@
 
 
 class EdgeSession:
-    """What this node knows of the control plane, and its right to serve."""
+    """State that a node receives from the control plane, and the lease that lets it serve."""
 
     __slots__ = (
         "claims",
@@ -63,15 +63,15 @@
         session: Session,
         settings: SessionSettings,
     ) -> None:
-        """Create a session that knows nothing yet.
+        """Create a session without state and lease.
 
         Args:
             scheduler: the clock.
             rpc_clients: connections to the control nodes.
-            log: where acquired and expired leases are written.
+            log: event log for acquired and expired leases.
             replicated_state: the node's replica of the configuration.
-            session: what the node says of itself.
-            settings: how the session is kept.
+            session: the node's own entry in the membership.
+            settings: settings of the session.
         """
         self.scheduler = scheduler
         self.replicated_state = replicated_state
@@ -86,14 +86,14 @@
 
     @property
     def serving(self) -> bool:
-        """Whether requests may be served: under a lease or, where that is set, without one."""
+        """True if requests may be served: under a lease or, with `serve_lapsed`, without one."""
         if self.settings.serve_lapsed:
             return self.replicated_state.version > 0
         return self.lease.held
 
     @property
     def leader(self) -> str:
-        """Address of the control leader, empty where none is known."""
+        """Address of the control leader, empty if none is known."""
         return self.discovery.leader
 
     @property
@@ -110,8 +110,8 @@
         await self.claims.release(key, request)
 
     def verdicts(self) -> dict[str, str]:
-        """Return the health verdict on each zone."""
+        """Return the health status of each zone."""
         zones = self.replicated_state.verdict.get("zones")
         if not isinstance(zones, dict):
             return {}
-        return {str(zone): str(found.get("verdict")) for zone, found in zones.items()}
+        return {str(zone): str(evaluated.get("verdict")) for zone, evaluated in zones.items()}
--- a/packages/edge/ryelock/edge/membership_view.py
+++ b/packages/edge/ryelock/edge/membership_view.py
@@ -1,4 +1,4 @@
-"""The members that a node knows of, by the control leader's last answer."""
+"""The membership as last reported by the control leader."""
 
 from ryelock.edge.session_messages import MembershipUpdate
 from ryelock.membership import Session
@@ -7,7 +7,7 @@
 
 
 class MembershipView:
-    """Members by name, the edges that were lost, and the control nodes' addresses."""
+    """Members and lost edges by name, and the control nodes' addresses."""
 
     __slots__ = ("control_addresses", "lost", "members", "source", "version")
 
@@ -20,7 +20,11 @@
         self.control_addresses: list[str] = []
 
     def apply(self, update: MembershipUpdate) -> None:
-        """Take an update; raises ValueError where a session in it is malformed."""
+        """Apply an update.
+
+        Raises:
+            ValueError: a session is malformed.
+        """
         self.apply_sessions(update)
         lost = [Session.from_wire(wire) for wire in update.lost]
         self.lost = {session.name: session for session in lost}
@@ -29,11 +33,12 @@
         ]
 
     def apply_sessions(self, update: MembershipUpdate) -> None:
-        """Replace the members, or merge the changes where they start from the version held."""
+        """Replace the members, or merge changes if they apply to the current version."""
         sessions = {session.name: session for session in map(Session.from_wire, update.sessions)}
         if update.since is not None:
             if (update.source, update.since) != (self.source, self.version):
-                # Changes to a version that is not held here: the next answer brings all members.
+                # The changes apply to another version. The next report states the version held
+                # here, and the leader then sends all members.
                 return
             kept = {
                 name: session
--- a/packages/edge/ryelock/edge/metrics.py
+++ b/packages/edge/ryelock/edge/metrics.py
@@ -26,7 +26,7 @@
         """Create the metrics.
 
         Args:
-            admission_queues: the edge's admission queues by service, as they come and go.
+            admission_queues: the edge's admission queues by service; the mapping may change.
             scheduler: the clock.
         """
         self.admission_queues = admission_queues
@@ -51,19 +51,19 @@
             "retries_left", "Retries that may be sent.", lambda queue: queue.budget.tokens
         )
 
-    def add_gauge(self, name: str, note: str, read: Callable[[AdmissionQueue], float]) -> None:
-        """Add a gauge that is read from the admission queue of each service."""
+    def add_gauge(self, name: str, help_text: str, read: Callable[[AdmissionQueue], float]) -> None:
+        """Add a gauge that is read from the admission queue of each service on every scrape."""
 
         def read_all() -> dict[Labels, float]:
             return {(service,): read(queue) for service, queue in self.admission_queues.items()}
 
-        self.all.gauge(name, note, read_all, "service")
+        self.all.gauge(name, help_text, read_all, "service")
 
     def share_of(self, queue: AdmissionQueue) -> float:
-        """Return the quota share of a service in requests a second, 0 where none is held."""
+        """Return a service's quota share in requests per second, 0 if none is held."""
         return queue.bucket.current_share(self.scheduler.now())
 
     def tokens_of(self, queue: AdmissionQueue) -> float:
-        """Return how many requests the token bucket would let through at this moment."""
+        """Return the number of tokens in the bucket after refilling it."""
         queue.bucket.fill(self.scheduler.now())
         return queue.bucket.tokens
--- a/packages/edge/ryelock/edge/node_report.py
+++ b/packages/edge/ryelock/edge/node_report.py
@@ -1,4 +1,4 @@
-"""The report that a node sends with each request for a lease."""
+"""The report that a node sends with each lease request."""
 
 from ryelock.edge.member import EdgeSession
 from ryelock.edge.session_delegate import SessionDelegate
@@ -10,20 +10,26 @@
 
 
 class NodeReporter:
-    """Numbers the reports and knows up to which version the node has all it was sent."""
+    """Builds numbered reports, including the versions of the state that the node has."""
 
-    __slots__ = ("delegate", "failures_source", "failures_version", "member", "sequence")
+    __slots__ = (
+        "delegate",
+        "failed_callers_source",
+        "failed_callers_version",
+        "member",
+        "sequence",
+    )
 
     def __init__(self, member: EdgeSession, delegate: SessionDelegate) -> None:
         """Create the reporter of a session."""
         self.member = member
         self.delegate = delegate
         self.sequence = 0
-        self.failures_source = ""
-        self.failures_version = 0
+        self.failed_callers_source = ""
+        self.failed_callers_version = 0
 
     def report(self) -> NodeReport:
-        """Return the next report; failed callers are in one report only."""
+        """Return the next report; each failed caller is reported only once."""
         self.sequence += 1
         delegate = self.delegate
         return NodeReport(
@@ -38,18 +44,18 @@
         )
 
     def versions(self) -> dict[str, int]:
-        """Return the versions held here, by source."""
+        """Return the version vector of this node's state, by source."""
         member = self.member
         versions = {CONFIGURATION_SOURCE: member.replicated_state.index}
         versions.update(member.server_lists.versions())
-        if self.failures_source:
-            versions[self.failures_source] = self.failures_version
+        if self.failed_callers_source:
+            versions[self.failed_callers_source] = self.failed_callers_version
         if member.membership.source:
             versions[member.membership.source] = member.membership.version
         return versions
 
-    def take_failures(self, update: FailedCallersUpdate) -> None:
-        """Note the version of an update of failed callers, and pass the callers on."""
-        self.failures_source = update.source
-        self.failures_version = update.version
+    def apply_failed_callers(self, update: FailedCallersUpdate) -> None:
+        """Store the version of an update and pass its failed callers to the delegate."""
+        self.failed_callers_source = update.source
+        self.failed_callers_version = update.version
         self.delegate.on_failed_callers(update.callers)
--- a/packages/edge/ryelock/edge/probe_reporting.py
+++ b/packages/edge/ryelock/edge/probe_reporting.py
@@ -1,4 +1,4 @@
-"""Sending a prober's results to the node that aggregates them."""
+"""Reporting of probe results to the aggregator."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -13,12 +13,12 @@
 PROBE_RESULTS = "rows"
 AGGREGATOR = "aggregator"
 CALL_TIMEOUT_SECONDS = 2.0
-INTERVAL_MAX_SECONDS = 0.5
+MAX_INTERVAL_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResultsMessage:
-    """Results for the aggregator, which rejects those under another fencing token."""
+    """Results for the aggregator, which rejects a message with another fencing token."""
 
     kind: str
     fencing_token: Annotated[int, WireName("epoch")]
@@ -27,9 +27,10 @@
 
 
 class ProbeReporter:
-    """Reports probe results to the owner of the aggregator's singleton role.
+    """Reports probe results to the owner of the aggregator role.
 
-    A result counts as sent once the owner acknowledged it; a new owner gets all that are kept.
+    A result counts as sent once the owner has acknowledged it. A new owner gets all stored results
+    again.
     """
 
     __slots__ = (
@@ -50,17 +51,25 @@
         prober: Prober,
         verdict_seconds: float,
     ) -> None:
-        """Create the reporter; `verdict_seconds` is how often the aggregator judges."""
+        """Create the reporter.
+
+        Args:
+            scheduler: clock and tasks.
+            rpc_clients: connections to the control nodes.
+            member: the session with the control plane, which knows the role's owner.
+            prober: source of the results.
+            verdict_seconds: interval at which the aggregator evaluates the results.
+        """
         self.scheduler = scheduler
         self.rpc_clients = rpc_clients
         self.member = member
         self.prober = prober
-        self.interval_seconds = min(INTERVAL_MAX_SECONDS, verdict_seconds / 2)
+        self.interval_seconds = min(MAX_INTERVAL_SECONDS, verdict_seconds / 2)
         self.fencing_token: int | None = None
         self.sent_sequence = 0
 
     async def run(self) -> None:
-        """Report for ever."""
+        """Report periodically, forever."""
         while True:
             await self.scheduler.sleep(self.interval_seconds)
             role = self.member.replicated_state.singletons.get(AGGREGATOR)
@@ -68,7 +77,7 @@
                 await self.report_to(role)
 
     async def report_to(self, role: SingletonRole) -> None:
-        """Send the results that the owner of the role does not have yet."""
+        """Send the results that the role's owner has not acknowledged yet."""
         if role.fencing_token != self.fencing_token:
             self.fencing_token = role.fencing_token
             self.sent_sequence = 0
@@ -79,12 +88,12 @@
         message = self.message(role, results)
         found = await self.rpc_clients.call(owner.rpc_address, message, CALL_TIMEOUT_SECONDS)
         acknowledged = found.is_ok() and found.ok.get("ok") is True
-        # The role may have moved while the call was under way: its new owner has none of these.
+        # The role may have moved during the call, and its new owner has none of these results.
         if acknowledged and role.fencing_token == self.fencing_token:
             self.sent_sequence = results[-1].sequence
 
     def message(self, role: SingletonRole, results: list[ProbeResult]) -> dict[str, object]:
-        """Return the message that brings results to the owner of the role."""
+        """Return the message that carries results to the role's owner."""
         now = self.scheduler.now()
         return encode(
             ProbeResultsMessage(
--- a/packages/edge/ryelock/edge/process.py
+++ b/packages/edge/ryelock/edge/process.py
@@ -1,7 +1,7 @@
-"""An edge, a prober or a control API without a disk: its parts, its start and its end.
+"""Assembly, startup and shutdown of diskless nodes: edges, probers and diskless control APIs.
 
-A control API without a disk carries no requests of callers and probes nothing: it passes
-operators' requests on.
+A diskless control API serves no client traffic and runs no probes. It only forwards operators'
+requests to the control leader.
 """
 
 from random import Random
@@ -33,7 +33,7 @@
 
 
 class TrafficNode:
-    """An edge (with or without probing), a prober or a control API without a disk."""
+    """An edge (with or without a prober), a prober, or a diskless control API."""
 
     __slots__ = (
         "control_api",
@@ -66,18 +66,18 @@
         network: Network,
         log: Log,
         random: Random,
-        dialect: ProtocolProfile | None = None,
+        profile: ProtocolProfile | None = None,
     ) -> None:
-        """Create a node and its listeners; `start` makes it run.
+        """Create a node and bind its listeners; `start` starts its tasks.
 
         Args:
-            role: "edge", "prober" or "desk" (a control API without a disk).
+            role: "edge", "prober" or "desk" (a diskless control API).
             settings: settings of the process.
             scheduler: clock and tasks.
-            network: where connections are opened and accepted.
-            log: where events are written.
-            random: source of the incarnation, of secrets and of the choice of servers.
-            dialect: HTTP profile that the platform asks for; None for the product's own.
+            network: opens and accepts connections.
+            log: event log.
+            random: source of the incarnation, the secrets and the load balancer's choices.
+            profile: HTTP profile required by the hosting platform; None for the default profile.
         """
         self.role = role
         self.settings = settings
@@ -99,13 +99,13 @@
         delegate = SessionDelegate()
         metrics = Metrics()
         if role == NodeRole.EDGE:
-            self.handler = self.build_handler(random, dialect)
+            self.handler = self.build_handler(random, profile)
             delegate = self.build_request_path(self.handler)
             metrics = self.handler.context.metrics.all
         self.renewal = LeaseRenewal(scheduler, self.rpc_clients, log, self.member, delegate)
-        self.export(metrics)
+        self.start_metrics_export(metrics)
         self.probe_targets = ProbeTargets(settings, self.replicated_state, self.member.membership)
-        self.prober = self.build_prober(dialect) if self.session.probes else None
+        self.prober = self.build_prober(profile) if self.session.probes else None
         self.probe_reporter = self.build_probe_reporter(self.prober)
         self.running: list[Task] = []
 
@@ -128,7 +128,7 @@
         )
 
     def build_control_api(self) -> ControlApi:
-        """Return the control API, which passes operators' requests on to the leader."""
+        """Return the control API, which forwards operators' requests to the leader."""
         return ControlApi(
             self.scheduler,
             self.network,
@@ -142,8 +142,8 @@
             self.explain if self.role == NodeRole.EDGE else None,
         )
 
-    def build_handler(self, random: Random, dialect: ProtocolProfile | None) -> RequestHandler:
-        """Return the request path of an edge."""
+    def build_handler(self, random: Random, profile: ProtocolProfile | None) -> RequestHandler:
+        """Return the request handler of an edge."""
         context = EdgeContext(
             self.settings,
             self.scheduler,
@@ -151,12 +151,12 @@
             self.log,
             self.member,
             random,
-            dialect or ProtocolProfile(),
+            profile or ProtocolProfile(),
         )
         return RequestHandler(context)
 
-    def export(self, metrics: Metrics) -> None:
-        """Answer metrics on their address, and write them to the log where that is set."""
+    def start_metrics_export(self, metrics: Metrics) -> None:
+        """Serve metrics over HTTP and, where configured, write them to the log periodically."""
         export_metrics(
             self.scheduler,
             self.network,
@@ -167,7 +167,7 @@
         )
 
     def build_request_path(self, handler: RequestHandler) -> SessionDelegate:
-        """Open the request server of an edge; return what makes its request path follow."""
+        """Bind the request server; return the delegate that applies updates to the request path."""
         settings = self.settings
         limits = Limits(
             settings.head_bytes,
@@ -192,7 +192,7 @@
         )
         return EdgeDelegate(self.scheduler, handler, self.quota, rollout)
 
-    def build_prober(self, dialect: ProtocolProfile | None) -> Prober:
+    def build_prober(self, profile: ProtocolProfile | None) -> Prober:
         """Return the prober of a node that probes."""
         settings = self.settings
         return Prober(
@@ -207,11 +207,11 @@
             settings.probe_flight,
             settings.verdict_span,
             self.probe_targets.current,
-            dialect,
+            profile,
         )
 
     def build_probe_reporter(self, prober: Prober | None) -> ProbeReporter | None:
-        """Return what sends a prober's results, where there is a prober."""
+        """Return the reporter of a prober's results; None on a node without a prober."""
         if prober is None:
             return None
         return ProbeReporter(
@@ -219,7 +219,7 @@
         )
 
     def start(self) -> None:
-        """Write the start event and start the node's tasks."""
+        """Log the start event and start the node's tasks."""
         self.log.write(
             STARTED,
             role=self.role,
@@ -239,11 +239,11 @@
             )
 
     def follow(self, settings: Settings) -> None:
-        """Take settings that changed: the seeds; all others stand for the life of the process."""
+        """Apply reloaded settings; only the seeds can change without a restart."""
         self.member.discovery.seeds = settings.seeds
 
     async def stop(self) -> None:
-        """Shut down gracefully: not ready, finish requests, leave the membership."""
+        """Shut down gracefully: report not ready, drain requests, leave the membership."""
         self.readiness.stopping = True
         self.session.ready = False
         self.log.write(STOPPING)
@@ -257,7 +257,7 @@
         self.log.write(STOPPED)
 
     async def drain(self, server: HttpServer) -> None:
-        """Accept connections until callers know that the node stops, then finish what is open."""
+        """Accept connections until load balancers see the node as not ready, then drain them."""
         linger_seconds = self.settings.linger_seconds
         if not self.settings.serve_lapsed:
             linger_seconds = min(linger_seconds, self.settings.stop_seconds / 4)
@@ -267,7 +267,7 @@
         await server.finish(self.settings.stop_seconds)
 
     async def refresh_session(self) -> None:
-        """Keep what the session reports of this node up to date."""
+        """Update the session fields that renewals report, periodically."""
         while True:
             if self.handler is not None:
                 self.session.served = self.handler.context.requests_served
@@ -275,37 +275,35 @@
             self.session.ready = self.ready
             await self.scheduler.sleep(SESSION_REFRESH_SECONDS)
 
-    # Answers to other processes and to operators.
-
     @property
     def ready(self) -> bool:
-        """Whether the node should get new callers."""
+        """True if the node should receive new client traffic."""
         return self.readiness.ready
 
     def on_message(self, message: Message, reply: Reply) -> None:
-        """Answer who leads: a control API may be a seed, but has no disk and is no voter."""
+        """Answer leader queries; a diskless control API may be a seed but is never a voter."""
         if message.get("kind") == LEADER_QUERY and self.role == NodeRole.CONTROL_API:
             reply({"diskless": True, "leader_address": self.member.leader})
             return
         reply({"fault": "this node answers no asks"})
 
     async def explain(self, query: Message) -> Message:
-        """Explain a request that was served, or what a method and URL would do now."""
+        """Explain a served request by its id, or preview how a method and URL would be routed."""
         handler = self.handler
         if handler is None:
             return {"fault": "no orders come here"}
         identity = query.get("order")
         if isinstance(identity, str):
-            kept = handler.context.recent_requests.kept.get(identity)
-            if kept is None:
+            explanation = handler.context.recent_requests.kept.get(identity)
+            if explanation is None:
                 return {"fault": f"order {identity} is not remembered here"}
-            return kept.to_wire()
+            return explanation.to_wire()
         method, target = str(query.get("method", "GET")), str(query.get("target", "/"))
         return handler.preview.describe(method, target, str(query.get("host", "")))
 
 
 def new_session(role: str, settings: Settings, random: Random) -> Session:
-    """Return the session of a new run of a node, with an incarnation and secrets of its own."""
+    """Return the session of a newly started node, with a random incarnation and probe secret."""
     session = Session()
     session.name = settings.name
     session.role = role
@@ -313,7 +311,7 @@
     session.machine = settings.machine
     session.incarnation = f"{random.getrandbits(48):012x}"
     session.probes = role == NodeRole.PROBER or (role == NodeRole.EDGE and settings.probe)
-    # Edges know each other's requests by the secret, as they know a prober's.
+    # Edges authenticate peers' requests by this secret, just as they do probes.
     has_secret = session.probes or (role == NodeRole.EDGE and settings.share_copies)
     session.probe_secret = f"{random.getrandbits(64):016x}" if has_secret else ""
     return session
--- a/packages/edge/ryelock/edge/quorum_lease.py
+++ b/packages/edge/ryelock/edge/quorum_lease.py
@@ -1,8 +1,8 @@
-"""A lease without a leader: on the promises of enough voters to follow none for a while.
+"""Quorum leases: leases granted by a majority of voters while there is no leader.
 
-Where no voter knows a leader, so many voters must promise to join none that no majority can exist
-without one of them, and none of them may hold a log entry that this node has not applied. See
-quorum_votes.py for the argument and docs/consensus.md.
+Each granting voter promises to follow no leader for the lease period. Every majority contains one
+of them, so no leader can commit a change during the lease. No granting voter may have a log entry
+that this node has not applied. See quorum_votes.py for the argument, and docs/consensus.md.
 """
 
 from dataclasses import dataclass, field
@@ -25,14 +25,14 @@
 
 @dataclass(slots=True)
 class Ballot:
-    """Votes granted so far, and the answer that brought the last of them."""
+    """The votes granted in a round, and the response that carried the last of them."""
 
     votes: list[QuorumLeaseVote] = field(default_factory=list)
-    last_answer: Message = field(default_factory=dict)
+    last_response: Message = field(default_factory=dict)
 
 
 class QuorumLeaseClient:
-    """Asks the voters for a lease while there is no leader."""
+    """Requests a quorum lease from the voters."""
 
     __slots__ = ("delegate", "log", "member", "reporter", "rpc_clients", "scheduler")
 
@@ -50,10 +50,10 @@
         Args:
             scheduler: clock and tasks.
             rpc_clients: connections to the voters.
-            log: where a granted lease is written.
+            log: event log for granted leases.
             member: the session whose lease is extended.
-            reporter: what the node says of itself.
-            delegate: what the lease's shares and servers are passed to.
+            reporter: builds the node's report for the request.
+            delegate: receives the quota shares and the server list.
         """
         self.scheduler = scheduler
         self.rpc_clients = rpc_clients
@@ -63,8 +63,8 @@
         self.delegate = delegate
 
     @property
-    def may_ask(self) -> bool:
-        """Whether this node needs a lease and has a configuration to serve by."""
+    def is_eligible(self) -> bool:
+        """True if this node is an edge that needs a lease and has a configuration to serve."""
         member = self.member
         return (
             member.session.role == NodeRole.EDGE
@@ -74,55 +74,59 @@
         )
 
     async def acquire(self) -> None:
-        """Ask all voters once; extend the lease where enough of them granted it."""
-        if not self.may_ask:
+        """Ask all voters once; extend the lease if a quorum of them granted it."""
+        if not self.is_eligible:
             return
         requested_at = self.scheduler.now()
-        ballot = await self.collect(requested_at)
+        ballot = await self.collect_votes(requested_at)
         index = self.member.replicated_state.index
-        # A voter's later log entry may be committed: serving without it would break a change that
-        # was acknowledged.
+        # A voter's log entry beyond this node's index may be committed. Serving without it would
+        # ignore a change that was already acknowledged to an operator.
         behind = any(vote.last_index > index for vote in ballot.votes)
         if behind or not is_quorum(ballot.votes):
             return
         expires_at = requested_at + self.member.settings.lease_seconds
         self.member.lease.extend(expires_at)
         self.delegate.on_shares(self.delegate.quorum_lease_shares(), expires_at, self.member.edges)
-        self.take_server_list(ballot.last_answer, requested_at)
+        self.apply_server_list(ballot.last_response, requested_at)
         self.log.write(LEASE_GRANTED_BY_QUORUM, voters=sorted({vote.disk for vote in ballot.votes}))
         self.member.lease.log_transition()
 
-    async def collect(self, requested_at: float) -> Ballot:
-        """Return the votes that came within a round, no more than are enough."""
-        answers: Queue[Message | None] = Queue(self.scheduler)
+    async def collect_votes(self, requested_at: float) -> Ballot:
+        """Return the votes granted within a round; stops as soon as they form a quorum."""
+        responses: Queue[Message | None] = Queue(self.scheduler)
         addresses = self.member.discovery.control_nodes
         message = quorum_lease_request(self.reporter.report(), self.member.settings.lease_seconds)
         for address in addresses:
             self.scheduler.create_task(
-                self.ask(address, message, answers), name="quorum lease vote", urgent=True
+                self.request_vote(address, message, responses),
+                name="quorum lease vote",
+                urgent=True,
             )
         ballot = Ballot()
         deadline = requested_at + ROUND_SECONDS
         for _ in addresses:
-            answer = await answers.get(max(0.0, deadline - self.scheduler.now()))
-            vote = None if answer is None else decode_vote(answer)
-            if answer is None or vote is None:
+            response = await responses.get(max(0.0, deadline - self.scheduler.now()))
+            vote = None if response is None else decode_vote(response)
+            if response is None or vote is None:
                 continue
             ballot.votes.append(vote)
-            ballot.last_answer = answer
+            ballot.last_response = response
             if is_quorum(ballot.votes):
                 break
         return ballot
 
-    async def ask(self, address: str, message: Message, answers: Queue[Message | None]) -> None:
-        """Ask one voter; None stands for no answer."""
+    async def request_vote(
+        self, address: str, message: Message, responses: Queue[Message | None]
+    ) -> None:
+        """Request one voter's vote and queue its response, None where the call failed."""
         found = await self.rpc_clients.call(address, message, CALL_TIMEOUT_SECONDS)
-        answers.put(found.ok if found.is_ok() else None)
+        responses.put(found.ok if found.is_ok() else None)
 
-    def take_server_list(self, answer: Message, requested_at: float) -> None:
-        """Follow the voter's list of servers; a malformed one leaves the lease as it is."""
+    def apply_server_list(self, response: Message, requested_at: float) -> None:
+        """Apply a voter's server list; a malformed one is ignored and does not affect the lease."""
         try:
-            update = decode(QuorumLeaseUpdate, answer).server_list
+            update = decode(QuorumLeaseUpdate, response).server_list
             if update is None:
                 return
             adopted = self.member.server_lists.apply(update, requested_at)
--- a/packages/edge/ryelock/edge/quorum_votes.py
+++ b/packages/edge/ryelock/edge/quorum_votes.py
@@ -1,10 +1,12 @@
-"""Votes for a lease without a leader, and when there are enough of them to serve on.
+"""Votes for a quorum lease, and the rule that decides when they form a quorum.
 
-A voter that grants one promises to follow no leader for a while. An edge that has no leader may
-serve on while a majority of the voters of the newest configuration that any of them knows has
-granted its vote. Argument: a newer configuration that was committed before the votes stands on a
-majority that meets the granting one, so one of the granting voters knows it; one that was not
-cannot be committed, nor anything else be acknowledged, while they hold. See docs/consensus.md.
+A voter that grants its vote promises to follow no leader for the lease period. An edge without a
+leader may keep serving once a majority of voters has granted votes, counted in the newest voter
+configuration that any of them has in its log.
+
+Why this is safe: a newer configuration committed before the votes was stored by a majority that
+intersects the granting one, so a granting voter knows it. A configuration not committed by then
+cannot be committed while the votes hold, and neither can any other entry. See docs/consensus.md.
 """
 
 from collections.abc import Collection
@@ -16,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumLeaseVote:
-    """One granted vote.
+    """A granted vote.
 
     Attributes:
-        disk: identity of the voter.
+        disk: identity of the voter's disk.
         last_index: index of the last entry in the voter's log.
-        voters: the voters by the voter's newest configuration.
-        configuration: term and index up to which the voter's log names those voters.
+        voters: disks of the voters in the newest configuration of the voter's log.
+        configuration: term and index of the log position up to which these voters are current.
     """
 
     disk: str
@@ -32,7 +34,7 @@
 
 
 def decode_vote(answer: Message) -> QuorumLeaseVote | None:
-    """Return the vote in a voter's answer; None where it was not granted or cannot be read."""
+    """Return the vote in a voter's response; None where it was not granted or is malformed."""
     match answer:
         case {
             "granted": True,
@@ -47,7 +49,7 @@
 
 
 def is_quorum(votes: Collection[QuorumLeaseVote]) -> bool:
-    """Whether a majority of the newest known voters is among those that granted their vote."""
+    """Return True if a majority of the newest voter configuration has granted its vote."""
     if not votes:
         return False
     newest = max(votes, key=lambda vote: vote.configuration)
--- a/packages/edge/ryelock/edge/quota_shares.py
+++ b/packages/edge/ryelock/edge/quota_shares.py
@@ -1,7 +1,7 @@
-"""An edge's part of its services' rates: what it reports, and the shares and grants it is given.
+"""An edge's quota shares and grants, as reported to and assigned by the leader.
 
-A share is a rate that the edge may spend until it expires. A service so narrow that its rate
-cannot be split among the edges is granted in whole requests instead.
+A share is a request rate that the edge may use until the share expires. A narrow service, whose
+rate is too low to be divided among the edges, gets grants of single requests instead.
 """
 
 import math
@@ -14,7 +14,7 @@
 
 
 class QuotaShares:
-    """Reads and sets the shares of the admission queues, by service."""
+    """Reads and assigns the quota shares of the admission queues, by service."""
 
     __slots__ = ("admission_queues", "member", "scheduler")
 
@@ -24,26 +24,33 @@
         member: EdgeSession,
         admission_queues: Mapping[str, AdmissionQueue],
     ) -> None:
-        """Create the shares of an edge over its admission queues, which come and go."""
+        """Create the quota shares of an edge.
+
+        Args:
+            scheduler: the clock.
+            member: the session with the control plane.
+            admission_queues: the edge's admission queues by service; the mapping may change.
+        """
         self.scheduler = scheduler
         self.member = member
         self.admission_queues = admission_queues
 
     def demand(self) -> dict[str, float]:
-        """Return the requests a second that lately came, by service."""
+        """Return the recent request rate in requests per second, by service."""
         return {name: queue.measure() for name, queue in self.admission_queues.items()}
 
     def held(self) -> dict[str, float]:
-        """Return the shares held now, in requests a second by service."""
+        """Return the shares held now, in requests per second by service."""
         now = self.scheduler.now()
         return {
             name: queue.bucket.current_share(now) for name, queue in self.admission_queues.items()
         }
 
-    def without_leader(self) -> dict[str, float]:
-        """Return what may be spent while there is no leader: what is held, or the reserve.
+    def leaderless(self) -> dict[str, float]:
+        """Return the shares that may be used while there is no leader, by service.
 
-        Grants need a leader, so a narrow service falls back to its reserve.
+        These are the shares held, except for narrow services: only a leader can grant single
+        requests, so these get `leaderless_share` instead.
         """
         edges = self.member.edges
         shares = self.held()
@@ -54,13 +61,13 @@
         return shares
 
     def wanted(self) -> dict[str, int]:
-        """Return the requests that wait for a grant, by service where there are any."""
+        """Return the number of requests waiting for a grant, by service; omits zeros."""
         return {
             name: queue.wanted() for name, queue in self.admission_queues.items() if queue.wanted()
         }
 
     def set_shares(self, shares: dict[str, float], expires_at: float, edges: int) -> None:
-        """Replace the shares; where edges serve without a lease, they don't expire."""
+        """Assign shares until `expires_at`, or without expiry with `serve_lapsed`."""
         now = self.scheduler.now()
         if self.member.settings.serve_lapsed:
             expires_at = math.inf
@@ -74,8 +81,8 @@
     def add_grants(self, grants: dict[str, Grant], requested_at: float) -> None:
         """Add granted requests of narrow services.
 
-        They expire GRANT_LIFETIME_SECONDS after they were requested, as the leader's account of
-        them does.
+        They expire GRANT_LIFETIME_SECONDS after the request was sent, so no later than in the
+        leader's accounting.
         """
         for name, grant in grants.items():
             queue = self.admission_queues.get(name)
--- a/packages/edge/ryelock/edge/readiness.py
+++ b/packages/edge/ryelock/edge/readiness.py
@@ -1,20 +1,20 @@
-"""Whether a node should get new callers, and its health report."""
+"""Readiness of a diskless node, and its health report."""
 
 from ryelock.edge.member import EdgeSession
 from ryelock.replicated_state import ZONE_PREFIX
 from ryelock.rpc import Message
 from ryelock.settings import NodeRole, Settings
 
-SERVING_VERDICTS = ("healthy", "stale")
+SERVING_STATUSES = ("healthy", "stale")
 
 
 class NodeReadiness:
-    """Readiness of an edge, a prober or a control API without a disk."""
+    """Readiness of an edge, a prober or a diskless control API."""
 
     __slots__ = ("member", "role", "settings", "stopping")
 
     def __init__(self, role: str, settings: Settings, member: EdgeSession) -> None:
-        """Create the readiness of a node in a role."""
+        """Create the readiness check of a node with a role."""
         self.role = role
         self.settings = settings
         self.member = member
@@ -22,12 +22,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the node should get new callers."""
+        """True if the node should receive new client traffic."""
         return not self.not_ready_reason
 
     @property
     def not_ready_reason(self) -> str:
-        """Why this node should get no new callers; empty when it should."""
+        """Reason why this node should receive no new client traffic; empty if it is ready."""
         if self.stopping:
             return "stopping"
         if self.role != NodeRole.EDGE:
@@ -44,21 +44,21 @@
         return ""
 
     def zone_is_down(self) -> bool:
-        """Return whether probes found the node's own zone down."""
+        """Return True if the health status of the node's own zone is "down"."""
         return self.member.verdicts().get(self.settings.zone) == "down"
 
     def other_zone_serves(self) -> bool:
-        """Return whether a zone that is not drained can take the callers of this one."""
+        """Return True if another zone that is not drained can take over this zone's traffic."""
         drains = self.member.replicated_state.drains
         return any(
             zone != self.settings.zone
-            and verdict in SERVING_VERDICTS
+            and status in SERVING_STATUSES
             and ZONE_PREFIX + zone not in drains
-            for zone, verdict in self.member.verdicts().items()
+            for zone, status in self.member.verdicts().items()
         )
 
     def report(self) -> Message:
-        """Return the health report that the control API answers with."""
+        """Return the health report that the control API serves."""
         reason = self.not_ready_reason
         session = self.member.session
         state = self.member.replicated_state
--- a/packages/edge/ryelock/edge/server_list_view.py
+++ b/packages/edge/ryelock/edge/server_list_view.py
@@ -1,4 +1,4 @@
-"""The list of upstream servers that a node goes by, and how long it is believed."""
+"""The node's current list of upstream servers, and when it expires."""
 
 from ryelock.edge.session_messages import ServerListUpdate
 from ryelock.membership import ServerList, servers_from_wire
@@ -6,11 +6,11 @@
 
 
 class ServerListView:
-    """The current server list, and one of another source that may not be the later one.
+    """The current server list, and a pending one of another source.
 
-    Two control nodes read the platform independently. Of two readings that overlap nobody can say
-    which is the later, so a list of another source is adopted only once it was certainly read
-    after the current one, or the current one has expired.
+    Control nodes read the platform independently of each other. When two reads overlap in time,
+    their order is undefined. A list of another source is therefore pending until it was certainly
+    read after the current one, or the current one has expired.
     """
 
     __slots__ = ("current", "pending", "scheduler", "validity_seconds")
@@ -20,7 +20,7 @@
 
         Args:
             scheduler: the clock.
-            validity_seconds: how long a list is believed after the platform was asked for it.
+            validity_seconds: validity period of a list, counted from the request to the platform.
         """
         self.scheduler = scheduler
         self.validity_seconds = validity_seconds
@@ -28,28 +28,28 @@
         self.pending: ServerList | None = None
 
     def versions(self) -> dict[str, int]:
-        """Return the versions known here, by source."""
+        """Return the versions of the current and the pending list, by source."""
         return {
-            known.source: known.version
-            for known in (self.current, self.pending)
-            if known is not None
+            server_list.source: server_list.version
+            for server_list in (self.current, self.pending)
+            if server_list is not None
         }
 
     def apply(self, update: ServerListUpdate, requested_at: float) -> ServerList | None:
-        """Take an update; return the list where it becomes the current one by it.
+        """Apply an update; return the list if it becomes the current one.
 
         Args:
-            update: the list, or the confirmation of a known one.
-            requested_at: monotonic time before the request that brought it, from which its age
-                is counted: the list may be older than that, never younger.
+            update: a list, or the confirmation of a known version.
+            requested_at: monotonic time before the request whose response carried the update. The
+                list's age counts from it, so that the list is never taken for newer than it is.
 
         Raises:
             ValueError: the servers are malformed.
         """
         now = self.scheduler.now()
-        platform_requested_at = requested_at - update.since_age
-        platform_answered_at = now - update.seen_age
-        found = self.known(update.source, update.version)
+        platform_requested_at = requested_at - update.request_age
+        platform_answered_at = now - update.response_age
+        found = self.find(update.source, update.version)
         if update.servers is not None:
             servers = servers_from_wire(update.servers)
             found = ServerList(
@@ -66,15 +66,18 @@
         self.current, self.pending = found, None
         return found
 
-    def known(self, source: str, version: int) -> ServerList | None:
-        """Return the list of a source and version where it is held here."""
-        for known in (self.current, self.pending):
-            if known is not None and (known.source, known.version) == (source, version):
-                return known
+    def find(self, source: str, version: int) -> ServerList | None:
+        """Return the current or pending list if it has this source and version."""
+        for server_list in (self.current, self.pending):
+            if server_list is not None and (server_list.source, server_list.version) == (
+                source,
+                version,
+            ):
+                return server_list
         return None
 
     def supersedes_current(self, found: ServerList, now: float) -> bool:
-        """Return whether a list is to replace the current one."""
+        """Return True if a list should replace the current one."""
         current = self.current
         return (
             current is None
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -1,12 +1,13 @@
-"""Upstream servers as one edge sees them: load, latency, ejection, and idle connections.
+"""Load balancing over upstream servers: outlier ejection, latency, and idle connections.
 
-An idle connection belongs to one (service, address, incarnation). A server that fails several
-times in a row is ejected for a time that doubles, then one request at a time tries it again. Where
-an ejected server serves again, the others of its service are tried too.
+Load, latency and ejections are local to this edge. An idle connection belongs to one
+(service, address, incarnation). A server that fails several times in a row is ejected for an
+exponentially growing time; afterwards a single trial request decides whether it is readmitted.
+Once an ejected server answers, the other ejected servers of its service may be tried as well.
 
 Of two servers drawn at random ("power of two choices") the one with fewer requests in flight is
-picked, unless the other is much quicker. The latency known of a server decays while it is not
-used, so one that was slow is tried again.
+picked, unless the other is much faster. The latency estimate of a server decays while the server
+is unused, so a slow server is eventually tried again.
 """
 
 import math
@@ -21,56 +22,56 @@
 from ryelock.settings import Settings
 
 EJECTION_FAILURES = 3
-"""Failures in a row after which a server is ejected."""
-EJECTION_MIN_SECONDS = 1.0
-EJECTION_MAX_SECONDS = 10.0
-TRIAL_SECONDS_PER_EDGE = 0.8
-"""Between two trials of a service whose servers are all ejected, for each edge of the site."""
-IDLE_CONNECTIONS_MAX = 32
-IDLE_TIME_PART = 0.5
-"""Part of the time that a server keeps an idle connection for which it is reused."""
+"""Consecutive failures after which a server is ejected."""
+MIN_EJECTION_SECONDS = 1.0
+MAX_EJECTION_SECONDS = 10.0
+TRIAL_INTERVAL_SECONDS_PER_EDGE = 0.8
+"""Interval between trials of a service whose servers are all ejected, times the number of edges."""
+MAX_IDLE_CONNECTIONS = 32
+IDLE_REUSE_FRACTION = 0.5
+"""Fraction of the server's own idle timeout during which a connection is reused."""
 LATENCY_HALF_LIFE_SECONDS = 5.0
-LATENCY_NEW_SAMPLE_WEIGHT = 0.2
+LATENCY_SAMPLE_WEIGHT = 0.2
 LATENCY_FLOOR_SECONDS = 0.002
-"""Added to a latency, so that the requests in flight count where none is known."""
-MUCH_SLOWER = 3.0
-"""Ratio of costs from which the cheaper server is picked whatever is in flight."""
+"""Added to every latency, so that requests in flight count where no latency is known."""
+MAX_COST_RATIO = 3.0
+"""Ratio of costs above which the cheaper server is picked regardless of requests in flight."""
 OTHER_ZONE_COST_FACTOR = 2.0
 OTHER_REGION_COST_SECONDS = 0.25
 WARMING_UP_COST_FACTOR = 2.0
-SLOTS_FACTOR = 3
-"""Requests in flight that all edges together may have for each slot of a server."""
+IN_FLIGHT_PER_SLOT = 3
+"""Limit on the requests in flight from all edges together, per slot of a server."""
 UNLIMITED = 1 << 30
 MISDIRECTED_REQUEST = 421
 MISDIRECTED_PAUSE_SECONDS = 1.0
-ZONE_RANK = {"healthy": 0, "unknown": 1, "stale": 1, "down": 2}
-UNKNOWN_ZONE_RANK = 1
+ZONE_STATUS_RANKS = {"healthy": 0, "unknown": 1, "stale": 1, "down": 2}
+UNKNOWN_STATUS_RANK = 1
 EXCLUDED_LEAVING = "leaving"
 EXCLUDED_EJECTED = "set aside"
 EXCLUDED_FULL = "full"
-"""Why a server is no candidate, as explain answers it."""
+"""Why a server is not a candidate, in the `left_out` field of explain's answer."""
 
 Identity = tuple[str, str, str]
 Rank = tuple[int, int, int]
 Candidates = list[dict[str, object]]
-"""What was known of each server at a pick, as explain answers it."""
+"""Entries of explain's answer, one for each server considered."""
 
 
 class ServerState:
-    """One incarnation of an upstream server, as its requests went here.
+    """Load and health of one incarnation of an upstream server, as observed by this edge.
 
     Attributes:
         server: its entry in the server list.
         sent_at: monotonic times at which the requests in flight were sent, oldest first.
-        failures: failures in a row.
-        ejection_seconds: seconds of the last ejection, 0.0 once it serves again.
+        failures: consecutive failures.
+        ejection_seconds: duration of the last ejection, 0.0 after a success.
         ejected_until: monotonic time at which the ejection ends.
-        trial_in_flight: whether a request tries it after an ejection.
-        latency: moving average of seconds to an answer's head, 0.0 where none is known.
+        trial_in_flight: True while a trial request to the ejected server is in flight.
+        latency: moving average of seconds to a response head, 0.0 before the first sample.
         used_at: monotonic time of the last result.
-        gone: whether it left the server list.
-        full_until: monotonic time up to which it gets nothing since it rejected a request.
-        idle_connections: each with its reader and the time up to which it may be reused.
+        gone: True once the server list no longer has it.
+        full_until: monotonic time until which it gets no requests, after it rejected one.
+        idle_connections: connections that may be reused, the last used one at the end.
     """
 
     __slots__ = (
@@ -88,7 +89,7 @@
     )
 
     def __init__(self, server: Server) -> None:
-        """Create the state of a server that got no request yet."""
+        """Create the state of a server that has not been used yet."""
         self.server = server
         self.sent_at: list[float] = []
         self.failures = 0
@@ -103,18 +104,19 @@
 
     @property
     def in_flight(self) -> int:
-        """Number of requests that were sent and not answered yet."""
+        """Number of requests sent and not yet answered."""
         return len(self.sent_at)
 
     @property
     def ejected(self) -> bool:
-        """Whether it failed too often; it stays so until a trial succeeds."""
+        """True after too many consecutive failures, until a trial request succeeds."""
         return self.failures >= EJECTION_FAILURES
 
     def cost(self, now: float) -> float:
-        """Return the expected seconds of one request more.
+        """Return the expected seconds that one more request would take.
 
-        By the latency known, or by how long the oldest request has waited already.
+        Based on the decayed latency or, where that is longer, the wait of the oldest request in
+        flight.
         """
         latency = self.latency * math.pow(
             0.5, max(0.0, now - self.used_at) / LATENCY_HALF_LIFE_SECONDS
@@ -124,61 +126,61 @@
         factor = WARMING_UP_COST_FACTOR if self.server.cold else 1.0
         return (self.in_flight + 1) * (latency + LATENCY_FLOOR_SECONDS) * factor
 
-    def worse_than(self, other: "ServerState", now: float) -> bool:
-        """Return whether the other is to be picked of the two."""
+    def is_worse_than(self, other: "ServerState", now: float) -> bool:
+        """Return True if the other server should be picked instead."""
         own_cost, other_cost = self.cost(now), other.cost(now)
-        if max(own_cost, other_cost) > MUCH_SLOWER * min(own_cost, other_cost):
+        if max(own_cost, other_cost) > MAX_COST_RATIO * min(own_cost, other_cost):
             return own_cost > other_cost
         return self.in_flight > other.in_flight
 
     def record_success(self, seconds: float) -> None:
-        """End an ejection, and take a sample into the latency."""
+        """Reset the failures and the ejection, and add a sample to the latency average."""
         self.failures = 0
         self.ejection_seconds = 0.0
         if not self.latency:
             self.latency = seconds
             return
-        weight = LATENCY_NEW_SAMPLE_WEIGHT
+        weight = LATENCY_SAMPLE_WEIGHT
         self.latency = self.latency * (1 - weight) + seconds * weight
 
     def record_failure(self, seconds: float, now: float) -> None:
-        """Count a failure; eject from EJECTION_FAILURES on, each time for twice as long."""
+        """Count a failure; from EJECTION_FAILURES on, eject for twice the previous duration."""
         self.failures += 1
         self.latency = max(self.latency, seconds)
         if self.ejected:
-            doubled = max(EJECTION_MIN_SECONDS, self.ejection_seconds * 2)
-            self.ejection_seconds = min(EJECTION_MAX_SECONDS, doubled)
+            doubled = max(MIN_EJECTION_SECONDS, self.ejection_seconds * 2)
+            self.ejection_seconds = min(MAX_EJECTION_SECONDS, doubled)
             self.ejected_until = now + self.ejection_seconds
 
     def close_idle(self) -> None:
-        """Close all idle connections."""
+        """Close and drop all idle connections."""
         for connection, _, _ in self.idle_connections:
             connection.close()
         self.idle_connections = []
 
 
 class Servers:
-    """The upstream servers of all services, and the choice among those of one."""
+    """State of the upstream servers of all services, and the load balancer over them."""
 
     __slots__ = (
         "by_service",
         "log",
+        "next_trial_at",
         "random",
         "scheduler",
         "server_list",
         "settings",
-        "trial_at",
         "zone",
     )
 
     def __init__(self, scheduler: Scheduler, log: Log, settings: Settings, random: Random) -> None:
-        """Create an empty set.
+        """Create a balancer without servers.
 
         Args:
             scheduler: the clock.
-            log: where ejections are written.
-            settings: zone and regions, and how long connections stay idle.
-            random: draws the two servers of a choice.
+            log: event log for ejections and readmissions.
+            settings: zone, regions, and the idle timeout of connections.
+            random: draws the two servers to choose from.
         """
         self.scheduler = scheduler
         self.random = random
@@ -187,10 +189,10 @@
         self.zone = settings.zone
         self.server_list: ServerList | None = None
         self.by_service: dict[str, list[ServerState]] = {}
-        self.trial_at: dict[str, float] = {}
+        self.next_trial_at: dict[str, float] = {}
 
     def update(self, server_list: ServerList) -> None:
-        """Follow a server list; idle connections to servers that are gone or leaving close."""
+        """Apply a server list; close idle connections to servers that are removed or leaving."""
         previous = {
             state.server.identity: state for states in self.by_service.values() for state in states
         }
@@ -207,13 +209,13 @@
             state.close_idle()
 
     def list_is_valid(self, now: float) -> bool:
-        """Return whether the list is believed; without end where edges serve without a lease."""
+        """Return True if the list has not expired; with `serve_lapsed`, a list never expires."""
         return self.server_list is not None and (
             self.settings.serve_lapsed or now < self.server_list.valid_until
         )
 
     def is_live(self, state: ServerState, service: str, now: float) -> bool:
-        """Return whether a request of a service may go to a server at this very moment."""
+        """Return True if a request of a service may be sent to a server now."""
         return (
             self.list_is_valid(now)
             and not state.gone
@@ -221,7 +223,7 @@
             and state.server.service == service
         )
 
-    def pick(  # noqa: C901 - once a request over all servers: calls would cost
+    def pick(  # noqa: C901 - hot path: runs over all servers on each request
         self,
         service: str,
         tried: set[Identity],
@@ -230,15 +232,15 @@
         edges: int = 1,
         connections: int = 0,
     ) -> ServerState | None:
-        """Return the server for the next attempt; None where none may be tried now.
+        """Return the server for the next attempt; None where none is available.
 
         Args:
-            service: the service's name.
-            tried: servers that the request was sent to already, taken only where no other is left.
-            verdicts: health verdict by zone.
-            candidates: gets what was known of each server; None where nobody asks.
-            edges: edges of the site, which share a server's slots and connections.
-            connections: connections that a server takes, 0 where that is not limited.
+            service: name of the service.
+            tried: servers that the request was sent to already, picked only as a last resort.
+            verdicts: health status by zone.
+            candidates: list to which explain's entries are appended; None if not wanted.
+            edges: number of edges, which share a server's slots and connections.
+            connections: connections that a server accepts, 0 if unlimited.
         """
         now = self.scheduler.now()
         if not self.list_is_valid(now):
@@ -250,15 +252,15 @@
         best: list[ServerState] = []
         best_rank: Rank | None = None
         for state in states:
-            # On the way of every request: most servers need no closer look.
-            suspect = spread or state.failures >= EJECTION_FAILURES or state.server.leaving
-            excluded = suspect and self.why_excluded(state, edges, connections, now)
-            if excluded:
+            # Hot path: skips the call for servers that cannot be excluded.
+            may_be_excluded = spread or state.failures >= EJECTION_FAILURES or state.server.leaving
+            reason = may_be_excluded and self.exclusion_reason(state, edges, connections, now)
+            if reason:
                 if candidates is not None:
-                    candidates.append({"server": state.server.address, "left_out": excluded})
+                    candidates.append({"server": state.server.address, "left_out": reason})
                 continue
             if candidates is not None:
-                candidates.append(as_candidate(state))
+                candidates.append(candidate_entry(state))
             rank = self.rank(state.server, tried, verdicts)
             if best_rank is None or rank < best_rank:
                 best, best_rank = [], rank
@@ -266,13 +268,13 @@
                 best.append(state)
         if not best:
             return None
-        picked = self.cheapest(best, now) if spread else self.better_of_two(best, now)
+        picked = self.pick_across_region(best, now) if spread else self.pick_of_two(best, now)
         if picked.ejected:
             self.start_trial(picked)
         return picked
 
-    def why_excluded(self, state: ServerState, edges: int, connections: int, now: float) -> str:
-        """Return why a server is no candidate; empty where it is one."""
+    def exclusion_reason(self, state: ServerState, edges: int, connections: int, now: float) -> str:
+        """Return why a server may not be picked; empty if it may."""
         if state.server.leaving:
             return EXCLUDED_LEAVING
         if state.failures >= EJECTION_FAILURES and (
@@ -284,64 +286,66 @@
         return ""
 
     def rank(self, server: Server, tried: set[Identity], verdicts: dict[str, str]) -> Rank:
-        """Return a server's rank, lowest first: not tried yet, in the own zone, zone healthy.
+        """Return a server's rank, best first: not tried yet, in this edge's zone, zone healthy.
 
-        Where requests are spread over the region, only zones that are down are ranked behind.
+        With `spread_region`, only servers in zones that are down rank behind the others.
         """
         other_zone = 0 if server.zone == self.zone else 1
         health = 0
         if other_zone:
-            health = ZONE_RANK.get(verdicts.get(server.zone, "unknown"), UNKNOWN_ZONE_RANK)
+            health = ZONE_STATUS_RANKS.get(
+                verdicts.get(server.zone, "unknown"), UNKNOWN_STATUS_RANK
+            )
         already_tried = 1 if server.identity in tried else 0
         if self.settings.spread_region:
-            return already_tried, 0, 1 if health == ZONE_RANK["down"] else 0
+            return already_tried, 0, 1 if health == ZONE_STATUS_RANKS["down"] else 0
         return already_tried, other_zone, health
 
-    def better_of_two(self, states: list[ServerState], now: float) -> ServerState:
+    def pick_of_two(self, states: list[ServerState], now: float) -> ServerState:
         """Return the better of two servers drawn at random."""
         drawn = self.random.sample(states, min(2, len(states)))
-        return drawn[-1] if drawn[0].worse_than(drawn[-1], now) else drawn[0]
+        return drawn[-1] if drawn[0].is_worse_than(drawn[-1], now) else drawn[0]
 
-    def cheapest(self, states: list[ServerState], now: float) -> ServerState:
-        """Return the cheapest of the better ones in the own zone, in the own region, and beyond.
+    def pick_across_region(self, states: list[ServerState], now: float) -> ServerState:
+        """Return the cheapest of three picks: in this zone, in this region, in other regions.
 
-        Another zone costs a factor; another region the way there too, also where its latency is
-        not known yet, so that far servers take what near ones can't.
+        Other zones cost a factor more. Other regions also cost a fixed number of seconds, even
+        before their latency is known, so they only get the load that near servers cannot take.
         """
         own_region = self.settings.regions.get(self.zone, self.zone)
         own_zone: list[ServerState] = []
-        near: list[ServerState] = []
-        far: list[ServerState] = []
+        other_zones: list[ServerState] = []
+        other_regions: list[ServerState] = []
         for state in states:
             zone = state.server.zone
             if zone == self.zone:
                 own_zone.append(state)
             elif self.settings.regions.get(zone, zone) == own_region:
-                near.append(state)
+                other_zones.append(state)
             else:
-                far.append(state)
-        found: list[tuple[float, ServerState]] = []
-        for group, factor, way_seconds in (
+                other_regions.append(state)
+        picks: list[tuple[float, ServerState]] = []
+        for group, factor, distance_seconds in (
             (own_zone, 1.0, 0.0),
-            (near, OTHER_ZONE_COST_FACTOR, 0.0),
-            (far, OTHER_ZONE_COST_FACTOR, OTHER_REGION_COST_SECONDS),
+            (other_zones, OTHER_ZONE_COST_FACTOR, 0.0),
+            (other_regions, OTHER_ZONE_COST_FACTOR, OTHER_REGION_COST_SECONDS),
         ):
             if group:
-                better = self.better_of_two(group, now)
-                found.append((better.cost(now) * factor + way_seconds, better))
-        return min(found, key=lambda pair: pair[0])[1]
+                picked = self.pick_of_two(group, now)
+                picks.append((picked.cost(now) * factor + distance_seconds, picked))
+        return min(picks, key=lambda pair: pair[0])[1]
 
     def has_capacity(self, state: ServerState, edges: int, connections: int, now: float) -> bool:
-        """Return whether this edge may have one request more in flight at a server.
+        """Return True if this edge may have one more request in flight at a server.
 
-        Each edge has a part of the server's slots and of its connections; one that just rejected
-        a request as full gets none for a moment.
+        The server's slots and connections are divided evenly among the edges. A server that just
+        rejected a request gets none for a short while.
         """
         if now < state.full_until:
             return False
         limit = UNLIMITED
         if state.server.slots:
-            limit = max(1, math.ceil(SLOTS_FACTOR * state.server.slots / max(1, edges)))
+            limit = max(1, math.ceil(IN_FLIGHT_PER_SLOT * state.server.slots / max(1, edges)))
         if connections:
             limit = min(limit, max(1, connections // max(1, edges)))
         return len(state.sent_at) < limit
@@ -354,39 +358,44 @@
         now: float,
         candidates: Candidates | None,
     ) -> ServerState | None:
-        """Return a server to try where all of a service are ejected, which is now and then.
+        """Return a server for a trial where all servers of a service are ejected, if one is due.
 
-        So seldom that all edges together send a failing service about one request a second.
+        The interval grows with the number of edges, so that all edges together send a failing
+        service about one request a second.
         """
         ejected = [
             state for state in states if not state.server.leaving and not state.trial_in_flight
         ]
-        if not ejected or now < self.trial_at.get(service, 0.0):
+        if not ejected or now < self.next_trial_at.get(service, 0.0):
             if candidates is not None:
                 candidates += [
                     {"server": state.server.address, "left_out": EXCLUDED_EJECTED}
                     for state in ejected
                 ]
             return None
-        pause = max(EJECTION_MIN_SECONDS, TRIAL_SECONDS_PER_EDGE * edges)
-        self.trial_at[service] = now + min(EJECTION_MAX_SECONDS, pause)
+        interval = max(MIN_EJECTION_SECONDS, TRIAL_INTERVAL_SECONDS_PER_EDGE * edges)
+        self.next_trial_at[service] = now + min(MAX_EJECTION_SECONDS, interval)
         picked = min(ejected, key=lambda state: state.ejected_until)
         self.start_trial(picked)
         return picked
 
     def start_trial(self, state: ServerState) -> None:
-        """Let one request try an ejected server."""
+        """Mark a trial request to an ejected server as in flight."""
         state.trial_in_flight = True
         self.log.write(SERVER_READMITTED, server=state.server.address)
 
     def record_rejection(self, state: ServerState, status: int, seconds: float) -> None:
-        """Record that a server did not run a request: it is full, or another has its address."""
+        """Record that a server rejected a request unprocessed, and pause sending to it.
+
+        A server that is full pauses for `seconds`. Status 421 (Misdirected Request) means that
+        another server took over the address.
+        """
         state.trial_in_flight = False
         pause = MISDIRECTED_PAUSE_SECONDS if status == MISDIRECTED_REQUEST else seconds
         state.full_until = self.scheduler.now() + pause
 
     def record_result(self, state: ServerState, succeeded: bool, seconds: float) -> None:
-        """Record the result of one attempt, which took some seconds."""
+        """Record the result of one attempt, which took `seconds`."""
         now = self.scheduler.now()
         state.trial_in_flight = False
         state.used_at = now
@@ -405,12 +414,12 @@
             )
 
     def readmit_others(self, service: str, now: float) -> None:
-        """End the ejections of a service: what failed all its servers may be over."""
+        """End the ejections of a service's servers: a common cause of failure may be over."""
         for state in self.by_service.get(service, ()):
             state.ejected_until = min(state.ejected_until, now)
 
     def take_idle_connection(self, state: ServerState) -> IdleConnection | None:
-        """Return an idle connection that may be reused, or None."""
+        """Return an idle connection for reuse, or None."""
         return take_idle(state.idle_connections, self.scheduler.now())
 
     def keep_idle_connection(
@@ -420,28 +429,28 @@
 
         Args:
             state: the server.
-            connection: a connection whose last answer was read to its end.
-            reader: the connection's reader.
-            idle: seconds for which the server keeps it, None where it does not say. It is reused
-                for half of them, since a request may cross the server's close on its way.
+            connection: a connection whose last response was read to its end.
+            reader: reader of the connection.
+            idle: the server's idle timeout in seconds, None if not announced. Only a fraction of
+                it is used, since a request could race with the server closing the connection.
         """
         if (
             state.gone
             or state.server.leaving
             or not is_clean(connection, reader)
-            or len(state.idle_connections) >= IDLE_CONNECTIONS_MAX
+            or len(state.idle_connections) >= MAX_IDLE_CONNECTIONS
         ):
             connection.close()
             return
         idle_seconds = self.settings.link_idle_seconds
         if idle is not None:
-            idle_seconds = min(idle_seconds, IDLE_TIME_PART * idle)
+            idle_seconds = min(idle_seconds, IDLE_REUSE_FRACTION * idle)
         until = self.scheduler.now() + idle_seconds
         state.idle_connections.append(IdleConnection(connection, reader, until))
 
 
-def as_candidate(state: ServerState) -> dict[str, object]:
-    """Return what explain answers of a server that may be picked."""
+def candidate_entry(state: ServerState) -> dict[str, object]:
+    """Return explain's entry for a server that may be picked."""
     return {
         "server": state.server.address,
         "zone": state.server.zone,
--- a/packages/edge/ryelock/edge/session_messages.py
+++ b/packages/edge/ryelock/edge/session_messages.py
@@ -1,7 +1,7 @@
-"""Messages between a node's session and the control plane: renewals, claims and goodbyes.
+"""Messages between a node's session and the control plane: renewals, claims, and leave requests.
 
-The field names are those of the code; where the wire has another name, the field's type says so.
-The keys go out in the order in which the fields stand here.
+`WireName` gives a field's name on the wire where it differs from the attribute. Keys are encoded in
+the order in which the fields are declared.
 """
 
 from dataclasses import dataclass, field
@@ -18,22 +18,22 @@
 LEAVE = "leave"
 
 CONFIGURATION_SOURCE = "register"
-"""Key of the version vector under which a node gives its applied log index."""
+"""Key of the version vector that holds the node's applied log index."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeReport:
-    """What a node says of itself whenever it asks for a lease.
+    """State and demand of a node, sent with every lease request.
 
     Attributes:
-        session: the node's session in its wire form.
-        sequence: number of the report; one that is not above the last is rejected.
-        versions: version known here by source: the log index, server lists, members, failures.
-        demand: requests a second that lately came, by service.
-        held_shares: quota shares held, in requests a second by service.
-        wanted: requests that wait for a grant, by service.
+        session: the node's session in wire form.
+        sequence: number of the report; the leader rejects one that is not above the last.
+        versions: version vector by source: log index, server lists, members, failed callers.
+        demand: recent request rate in requests per second, by service.
+        held_shares: quota shares held, in requests per second by service.
+        wanted: number of requests waiting for a grant, by service.
         failed_callers: fingerprints of callers whose requests failed since the last report.
-        recent_objects: route, host and target of an object lately served, for derived probes.
+        recent_objects: route, host and target of recently served objects, for derived watches.
     """
 
     session: dict[str, object]
@@ -47,45 +47,45 @@
 
 
 def renewal_request(report: NodeReport, hold_seconds: float) -> Message:
-    """Return a renewal request; the leader may hold the answer back for `hold_seconds`."""
+    """Return a renewal request; the leader may hold its response for `hold_seconds`."""
     return {"kind": RENEWAL, "hold": hold_seconds, **encode(report)}
 
 
 def quorum_lease_request(report: NodeReport, lease_seconds: float) -> Message:
-    """Return the request to a voter to follow no leader for `lease_seconds`."""
+    """Return a request for a voter's promise to follow no leader for `lease_seconds`."""
     return {"kind": QUORUM_LEASE, "seconds": lease_seconds, **encode(report)}
 
 
 @dataclass(frozen=True, slots=True)
 class ServerListUpdate:
-    """The version of the upstream server list; its servers only where the node lacks them.
+    """A version of the upstream server list, with the servers if the node lacks that version.
 
     Attributes:
-        source: where the list was read.
-        version: number of the reading at that source.
-        since_age: seconds since the platform was asked for it.
-        seen_age: seconds since the platform had answered.
-        servers: the servers in wire form, None where the version is known to the node.
+        source: control node that read the list from the platform.
+        version: version of the list at that source.
+        request_age: seconds since the platform was asked for the list.
+        response_age: seconds since the platform returned the list.
+        servers: the servers in wire form, None if the node already has the version.
     """
 
     source: str
     version: Natural
-    since_age: Annotated[float, WireName("age")]
-    seen_age: Annotated[float, WireName("fresh")]
+    request_age: Annotated[float, WireName("age")]
+    response_age: Annotated[float, WireName("fresh")]
     servers: list[object] | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate:
-    """All members, or those that changed since a version.
+    """All members, or the changes since a version.
 
     Attributes:
         source: control node that numbers the versions.
         version: version after this update.
         sessions: sessions in wire form, of all members or of those that changed.
-        lost: sessions of edges that were lost without a goodbye; always all of them.
-        since: version that the changes start from, None where all members are given.
-        removed: names that are members no more.
+        lost: sessions of all edges that disappeared without a leave request.
+        since: version that the changes apply to, None for a full list.
+        removed: names of former members.
     """
 
     source: str
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedCallersUpdate:
-    """Callers whose requests failed at other edges: a retry may reach any edge."""
+    """Callers whose requests failed at other edges, since a retry may reach any edge."""
 
     source: str
     version: Natural
@@ -107,21 +107,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalResponse:
-    """The leader's answer to a renewal.
+    """The leader's response to a renewal.
 
     Attributes:
-        majority_age: seconds since the leader's last proof of its majority; the lease is as much
-            shorter.
-        index: log index that the snapshot or the entries bring the node to.
-        confirmed: whether the lease is granted; without it the answer brings no state.
+        majority_age: seconds since the leader last confirmed its majority; shortens the lease.
+        index: log index of the node after applying the snapshot or the entries.
+        confirmed: True if the lease is granted; otherwise the response carries no state.
         snapshot: replicated state at `index`, in place of entries.
-        entries: index and data of each log entry after the node's.
-        shares: quota shares in requests a second, by service; None for nodes that are no edges.
-        edges: number of edges that are members.
-        grants: requests granted, expected a second, and found at the next renewal, by service.
+        entries: index and data of each log entry that the node lacks.
+        shares: quota shares in requests per second, by service; None for nodes other than edges.
+        edges: number of edges among the members.
+        grants: the fields of a `Grant` by service: requests granted, requests expected per second,
+            and requests expected at the next renewal.
         server_list: the upstream server list.
-        members: the members, where they changed.
-        failed_callers: failures at other edges.
+        members: membership update, if anything changed.
+        failed_callers: callers whose requests failed at other edges.
     """
 
     majority_age: Annotated[float, WireName("age")]
@@ -139,14 +139,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumLeaseUpdate:
-    """What a voter's answer brings beside its vote."""
+    """State that a voter's response carries besides its vote."""
 
     server_list: Annotated[ServerListUpdate | None, WireName("listing")] = None
 
 
 @dataclass(frozen=True, slots=True)
 class IdempotencyKeyRequest:
-    """Claims or releases an idempotency key for one request."""
+    """Claim or release of an idempotency key for one request."""
 
     kind: str
     key: bytes
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveRequest:
-    """A planned goodbye: the node is a member no more and is not missed."""
+    """Planned departure of a node, so that it is not reported as lost."""
 
     kind: str
     name: str
--- a/packages/edge/ryelock/edge/targets.py
+++ b/packages/edge/ryelock/edge/targets.py
@@ -1,9 +1,9 @@
-"""Which edges a prober probes, for which watches, and how often.
+"""Assignment of edges and watches to probers, and the interval between probes.
 
-Every prober works this out from the members it knows and comes to the same result as the others.
-What an operator watches is probed as often as the settings say. A derived watch, which nobody
-configured, may take but a small part of its service's rate: each probe asks past the caches, and on
-a large site before a narrow service probes would otherwise take a fifth of it.
+Every prober computes the assignment from the members it knows; given the same members, all come to
+the same result. Configured watches are probed at the interval of the settings. Derived watches are
+probed less often where they would exceed a small fraction of their service's rate, since every
+probe bypasses the caches and reaches a server.
 """
 
 from itertools import islice
@@ -14,14 +14,14 @@
 from ryelock.replicated_state import ReplicatedState, Watch
 from ryelock.settings import NodeRole, Settings
 
-PROBERS_MIN = 2
-"""Machines that must probe a zone; where it has fewer, so many of other zones step in."""
-DERIVED_WATCH_RATE_PART = 0.06
-"""Part of a service's rate that probes for derived watches may take."""
+MIN_PROBERS = 2
+"""Machines that must probe a zone; where it has fewer, probers of other zones substitute."""
+MAX_DERIVED_PROBE_FRACTION = 0.06
+"""Fraction of a service's rate that probes for derived watches may use."""
 
 
 class ProbeTargets:
-    """The targets of one prober."""
+    """Computes the targets of one prober."""
 
     __slots__ = ("membership", "replicated_state", "settings")
 
@@ -31,16 +31,16 @@
         """Create the targets of a prober.
 
         Args:
-            settings: the prober's name and zone, and how often it probes.
-            replicated_state: the watches, as they change.
-            membership: the edges and the other probers, as they come and go.
+            settings: name and zone of the prober, and its probe interval.
+            replicated_state: source of the watches.
+            membership: source of the edges and the other probers.
         """
         self.settings = settings
         self.replicated_state = replicated_state
         self.membership = membership
 
     def current(self) -> list[ProbeTarget]:
-        """Return what this node probes now, and what it compares with."""
+        """Return the targets assigned to this node now, and targets for comparison."""
         edges = self.edges()
         watches = sorted(self.replicated_state.watches.items())
         if self.settings.probers_chosen:
@@ -48,7 +48,7 @@
         return self.zone_targets(edges, watches)
 
     def edges(self) -> dict[str, Session]:
-        """Return the other edges by name, those that were lost among them."""
+        """Return the other edges by name, including lost ones."""
         sessions = {**self.membership.lost, **self.membership.members}
         return {
             name: session
@@ -61,12 +61,12 @@
     def zone_targets(
         self, edges: dict[str, Session], watches: list[tuple[str, Watch]]
     ) -> list[ProbeTarget]:
-        """Return all edges, where every prober probes its whole zone."""
+        """Return all edges as targets, for the mode in which each prober probes its whole zone."""
         sessions = {**self.membership.lost, **self.membership.members}
         intervals = self.intervals(watches, len(sessions))
         covered = self.covered_zones({session.zone for session in sessions.values()})
         return [
-            target_of(session, name, watch, session.zone not in covered, intervals[name])
+            probe_target(session, name, watch, session.zone not in covered, intervals[name])
             for session in edges.values()
             for name, watch in watches
         ]
@@ -74,7 +74,7 @@
     def assigned_targets(
         self, edges: dict[str, Session], watches: list[tuple[str, Watch]]
     ) -> list[ProbeTarget]:
-        """Return the edges that this node is assigned to, and others that it compares with."""
+        """Return the edges assigned to this node, and edges of other zones for comparison."""
         limit = self.settings.probers_chosen
         assignment = ProberAssignment(list(self.membership.members.values()))
         assigned = {
@@ -86,14 +86,14 @@
             return []
         intervals = self.intervals(watches, len(edges))
         return [
-            target_of(session, watch_name, watch, name not in assigned, intervals[watch_name])
+            probe_target(session, watch_name, watch, name not in assigned, intervals[watch_name])
             for name, session in edges.items()
             for watch_name, watch in watches
             if name in assigned or session.zone != self.settings.zone
         ]
 
     def intervals(self, watches: list[tuple[str, Watch]], edges: int) -> dict[str, float]:
-        """Return the seconds between two probes of one edge, by the watch's name."""
+        """Return the seconds between two probes of one edge, by name of the watch."""
         return {name: self.interval_seconds(name, watch, edges) for name, watch in watches}
 
     def interval_seconds(self, watch_name: str, watch: Watch, edges: int) -> float:
@@ -106,12 +106,12 @@
         service = configuration.services.get(route.service)
         if service is None or not service.limited:
             return interval
-        probers = max(self.settings.probers_chosen, PROBERS_MIN)
-        probes = edges * probers * max(1, self.derived_watches(route.service))
-        return max(interval, probes / (DERIVED_WATCH_RATE_PART * service.rate))
+        probers = max(self.settings.probers_chosen, MIN_PROBERS)
+        probes = edges * probers * max(1, self.derived_watch_count(route.service))
+        return max(interval, probes / (MAX_DERIVED_PROBE_FRACTION * service.rate))
 
-    def derived_watches(self, service: str) -> int:
-        """Return how many derived watches probe a service."""
+    def derived_watch_count(self, service: str) -> int:
+        """Return the number of derived watches whose probes reach a service."""
         routes = self.replicated_state.configuration.routes
         return sum(
             watch.route in routes and routes[watch.route].service == service
@@ -119,10 +119,10 @@
         )
 
     def covered_zones(self, zones: set[str]) -> set[str]:
-        """Return the own zone, and zones that have too few probing machines of their own.
+        """Return this node's zone, and the zones for which it substitutes.
 
-        For each of those, PROBERS_MIN probers of other zones step in: the first by name, each on
-        a machine of its own, so that every prober comes to the same ones.
+        For each zone with too few probing machines, MIN_PROBERS probers of other zones substitute:
+        the first by name on distinct machines, so that every prober selects the same ones.
         """
         covered = {self.settings.zone}
         probers = sorted(
@@ -132,11 +132,11 @@
         )
         for zone in zones - covered:
             machines = {machine for _, machine, other in probers if other == zone}
-            if len(machines) >= PROBERS_MIN:
+            if len(machines) >= MIN_PROBERS:
                 continue
             chosen: dict[str, str] = {}
             for name, machine, other in probers:
-                if other != zone and len(chosen) < PROBERS_MIN:
+                if other != zone and len(chosen) < MIN_PROBERS:
                     chosen.setdefault(machine, name)
             if self.settings.name in chosen.values():
                 covered.add(zone)
@@ -144,11 +144,11 @@
 
 
 class ProberAssignment:
-    """Machines that can probe, by zone and in the order in which they are assigned.
+    """Machines that can probe, by zone, in order of assignment.
 
-    Those that are ready come first, by name, so that every node comes to the same ones and the next
-    takes over where one goes; one that is not ready probes where no other can, else a zone that is
-    down would never be found to serve again.
+    Ready machines come first, ordered by name, so that all nodes agree and the next machine takes
+    over when one leaves. A machine that is not ready is used only where no other is available;
+    without it, the recovery of a zone that is down would never be detected.
     """
 
     __slots__ = ("machines", "zones")
@@ -165,28 +165,28 @@
                 self.machines.append(session)
 
     def probers_of(self, edge: Session, limit: int) -> list[str]:
-        """Return the probers of an edge, by name: none on the edge's own machine.
+        """Return the names of an edge's probers, none of them on the edge's own machine.
 
-        At most `limit` of its zone, on machines of their own. Where fewer than PROBERS_MIN
-        machines of the zone are left, as many of other zones step in.
+        At most `limit` probers of its zone, on distinct machines. Where fewer than MIN_PROBERS
+        machines of the zone remain, up to MIN_PROBERS of other zones are added.
         """
-        # One more than are needed: the edge's own machine may be among them.
-        candidates = islice(self.zones.get(edge.zone, {}).items(), max(limit, PROBERS_MIN) + 1)
-        inside = [name for machine, name in candidates if machine != edge.machine]
-        if len(inside) >= PROBERS_MIN:
-            return inside[:limit]
-        outside = (
+        # One more than needed, since the edge's own machine may be among them.
+        candidates = islice(self.zones.get(edge.zone, {}).items(), max(limit, MIN_PROBERS) + 1)
+        own_zone = [name for machine, name in candidates if machine != edge.machine]
+        if len(own_zone) >= MIN_PROBERS:
+            return own_zone[:limit]
+        other_zones = (
             session.name
             for session in self.machines
             if session.zone != edge.zone and session.machine != edge.machine
         )
-        return inside[:limit] + list(islice(outside, PROBERS_MIN))
+        return own_zone[:limit] + list(islice(other_zones, MIN_PROBERS))
 
 
-def target_of(
-    edge: Session, watch_name: str, watch: Watch, outside: bool, interval_seconds: float
+def probe_target(
+    edge: Session, watch_name: str, watch: Watch, cross_zone: bool, interval_seconds: float
 ) -> ProbeTarget:
-    """Return the target that an edge is for a watch; `outside` where it is only compared with."""
+    """Return the target for an edge and a watch; `cross_zone` if it is only for comparison."""
     return ProbeTarget(
-        edge.zone, edge.name, edge.request_address, watch_name, watch, outside, interval_seconds
+        edge.zone, edge.name, edge.request_address, watch_name, watch, cross_zone, interval_seconds
     )
