--- a/packages/control_plane/ryelock/control_plane/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -179,7 +179,7 @@
         evaluation.network,
         tuple(evaluation.gone_watches),
         *(
-            (zone, decided.verdict, *decided.failed)
+            (zone, decided.status, *decided.failed)
             for zone, decided in sorted(evaluation.zones.items())
         ),
     )
--- a/packages/health/ryelock/health/__init__.py
+++ b/packages/health/ryelock/health/__init__.py
@@ -2,12 +2,13 @@
 
 `probe` is one probe of one target, whose age `ages` judges; `prober` runs probes at their interval
 and keeps the `results` that a new aggregator asks for again. `history` has the results of all
-probers, bounded, and the daily summary; `evaluation` is the rule from results to `verdicts`;
+probers, bounded, and the daily summary; `evaluation` is the rule from results to `health_status`;
 `weights` turns what edges served into each zone's share of visitors.
 """
 
 from ryelock.health.ages import OutdatedTagTimer
 from ryelock.health.evaluation import evaluate, find_gone_watches
+from ryelock.health.health_status import Evaluation, EvaluationRules, HealthStatus, ZoneHealth
 from ryelock.health.history import History, TargetKey
 from ryelock.health.probe import Probe
 from ryelock.health.prober import Prober, ProbeTarget
@@ -18,13 +19,13 @@
     decode_probe_result,
     watch_fingerprint,
 )
-from ryelock.health.verdicts import Evaluation, EvaluationRules, Verdict, ZoneVerdict
 from ryelock.health.weights import ZoneShares, ZoneWeights
 
 __all__ = [
     "Evaluation",
     "EvaluationRules",
     "HealthError",
+    "HealthStatus",
     "History",
     "MalformedProbeResultError",
     "OutdatedTagTimer",
@@ -33,9 +34,8 @@
     "ProbeTarget",
     "Prober",
     "TargetKey",
-    "Verdict",
+    "ZoneHealth",
     "ZoneShares",
-    "ZoneVerdict",
     "ZoneWeights",
     "decode_probe_result",
     "evaluate",
--- a/packages/health/ryelock/health/evaluation.py
+++ b/packages/health/ryelock/health/evaluation.py
@@ -9,15 +9,15 @@
 
 from dataclasses import dataclass
 
-from ryelock.health.history import History, TargetKey
-from ryelock.health.results import ProbeResult, watch_fingerprint
-from ryelock.health.verdicts import (
+from ryelock.health.health_status import (
     Evaluation,
     EvaluationRules,
-    TargetVerdict,
-    Verdict,
-    ZoneVerdict,
+    HealthStatus,
+    TargetHealth,
+    ZoneHealth,
 )
+from ryelock.health.history import History, TargetKey
+from ryelock.health.results import ProbeResult, watch_fingerprint
 from ryelock.health.weights import ZoneShares
 from ryelock.replicated_state import Watch
 
@@ -70,8 +70,8 @@
         zone: evaluate_zone(zone, sorted(edges), shares.weights.get(zone, 0.0), given)
         for zone, edges in zones.items()
     }
-    down = weight_of(found, Verdict.DOWN)
-    stale = weight_of(found, Verdict.STALE)
+    down = weight_of(found, HealthStatus.DOWN)
+    stale = weight_of(found, HealthStatus.STALE)
     verdict, reason = network_verdict(found, down, stale, rules)
     return Evaluation(verdict, reason, down, stale, shares.assumed, found)
 
@@ -125,17 +125,15 @@
     return found
 
 
-def evaluate_zone(
-    zone: str, edges: list[str], weight: float, given: EvaluationInput
-) -> ZoneVerdict:
+def evaluate_zone(zone: str, edges: list[str], weight: float, given: EvaluationInput) -> ZoneHealth:
     """Judge one zone by the results of its edges."""
     targets = evaluate_targets(zone, edges, given)
     failed = failed_edges(edges, targets)
     verdict, reason = zone_verdict(edges, targets, failed)
-    return ZoneVerdict(zone, verdict, reason, weight, edges, targets, failed)
+    return ZoneHealth(zone, verdict, reason, weight, edges, targets, failed)
 
 
-def evaluate_targets(zone: str, edges: list[str], given: EvaluationInput) -> list[TargetVerdict]:
+def evaluate_targets(zone: str, edges: list[str], given: EvaluationInput) -> list[TargetHealth]:
     """Judge each edge for each watch; a target without results is left out."""
     targets = [
         evaluate_target(zone, edge, name, watch, given)
@@ -147,7 +145,7 @@
 
 def evaluate_target(
     zone: str, edge: str, name: str, watch: Watch, given: EvaluationInput
-) -> TargetVerdict | None:
+) -> TargetHealth | None:
     """Judge one edge for one watch; None where there are no results."""
     rules = given.rules
     fingerprint = watch_fingerprint(watch)
@@ -162,7 +160,7 @@
         if result.prober not in given.blind_probers and counts_as_failure(result, proven)
     ]
     stale_seconds = watch.stale_seconds or rules.stale_seconds
-    return TargetVerdict(edge, name, results, failures, rules.quorum, stale_seconds, given.now)
+    return TargetHealth(edge, name, results, failures, rules.quorum, stale_seconds, given.now)
 
 
 def counts_as_failure(result: ProbeResult, proven: bool) -> bool:
@@ -174,7 +172,7 @@
     return result.failed and (proven or not result.reachable)
 
 
-def failed_edges(edges: list[str], targets: list[TargetVerdict]) -> list[str]:
+def failed_edges(edges: list[str], targets: list[TargetHealth]) -> list[str]:
     """Return the edges of which every judged target has failed."""
     found: list[str] = []
     for edge in edges:
@@ -185,37 +183,37 @@
 
 
 def zone_verdict(
-    edges: list[str], targets: list[TargetVerdict], failed: list[str]
-) -> tuple[Verdict, str]:
+    edges: list[str], targets: list[TargetHealth], failed: list[str]
+) -> tuple[HealthStatus, str]:
     """Return a zone's verdict and its reason."""
     if not targets:
-        return Verdict.UNKNOWN, "no rows"
+        return HealthStatus.UNKNOWN, "no rows"
     if edges and len(failed) == len(edges):
-        return Verdict.DOWN, f"all {len(edges)} edges failed"
+        return HealthStatus.DOWN, f"all {len(edges)} edges failed"
     if any(target.stale for target in targets):
         worst = max(targets, key=lambda target: target.max_age_seconds or 0.0)
-        return Verdict.STALE, f"{worst.watch} at {worst.edge} is {worst.max_age_seconds} s old"
+        return HealthStatus.STALE, f"{worst.watch} at {worst.edge} is {worst.max_age_seconds} s old"
     if all(result.failed for target in targets for result in target.results):
-        return Verdict.UNKNOWN, "no sound row, and no quorum of failed ones"
-    return Verdict.HEALTHY, f"failed: {', '.join(failed)}" if failed else "fetched"
+        return HealthStatus.UNKNOWN, "no sound row, and no quorum of failed ones"
+    return HealthStatus.HEALTHY, f"failed: {', '.join(failed)}" if failed else "fetched"
 
 
-def weight_of(zones: dict[str, ZoneVerdict], verdict: Verdict) -> float:
+def weight_of(zones: dict[str, ZoneHealth], verdict: HealthStatus) -> float:
     """Return the fraction of visitors in the zones of one verdict."""
-    return sum(zone.weight for zone in zones.values() if zone.verdict is verdict)
+    return sum(zone.weight for zone in zones.values() if zone.status is verdict)
 
 
 def network_verdict(
-    zones: dict[str, ZoneVerdict], down: float, stale: float, rules: EvaluationRules
-) -> tuple[Verdict, str]:
+    zones: dict[str, ZoneHealth], down: float, stale: float, rules: EvaluationRules
+) -> tuple[HealthStatus, str]:
     """Return the network's verdict and its reason, by the weights of down and stale zones."""
-    verdicts = [zone.verdict for zone in zones.values()]
-    if Verdict.DOWN in verdicts and down >= rules.down_weight:
-        return Verdict.DOWN, f"zones of {down:.0%} of visitors are down"
-    if Verdict.DOWN in verdicts:
-        return Verdict.STALE, f"a zone of {down:.0%} of visitors is down"
+    verdicts = [zone.status for zone in zones.values()]
+    if HealthStatus.DOWN in verdicts and down >= rules.down_weight:
+        return HealthStatus.DOWN, f"zones of {down:.0%} of visitors are down"
+    if HealthStatus.DOWN in verdicts:
+        return HealthStatus.STALE, f"a zone of {down:.0%} of visitors is down"
     if stale > rules.stale_weight:
-        return Verdict.STALE, f"zones of {stale:.0%} of visitors are stale"
-    if verdicts and all(verdict is Verdict.UNKNOWN for verdict in verdicts):
-        return Verdict.UNKNOWN, "no zone is known"
-    return Verdict.HEALTHY, ""
+        return HealthStatus.STALE, f"zones of {stale:.0%} of visitors are stale"
+    if verdicts and all(verdict is HealthStatus.UNKNOWN for verdict in verdicts):
+        return HealthStatus.UNKNOWN, "no zone is known"
+    return HealthStatus.HEALTHY, ""
--- a/packages/health/ryelock/health/verdicts.py
+++ b/packages/health/ryelock/health/health_status.py
@@ -10,7 +10,7 @@
 MAX_SHOWN_EVIDENCE = 10
 
 
-class Verdict(StrEnum):
+class HealthStatus(StrEnum):
     """What a zone or the network is found to be; the values stand in the record."""
 
     HEALTHY = "healthy"
@@ -55,7 +55,7 @@
     return Evidence(result.prober, result.machine, result.sequence, seconds_ago, result.error)
 
 
-class TargetVerdict:
+class TargetHealth:
     """The outcome for one edge and watch, with the results it rests on."""
 
     __slots__ = (
@@ -107,12 +107,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ZoneVerdict:
+class ZoneHealth:
     """The outcome for one zone.
 
     Attributes:
         zone: name of the zone.
-        verdict: what it is found to be.
+        status: what it is found to be.
         reason: why, for people.
         weight: its fraction of all visitors.
         edges: names of its edges.
@@ -121,11 +121,11 @@
     """
 
     zone: str
-    verdict: Verdict
+    status: HealthStatus
     reason: str
     weight: float
     edges: list[str]
-    targets: list[TargetVerdict]
+    targets: list[TargetHealth]
     failed: list[str]
 
     def to_dict(self) -> dict[str, object]:
@@ -135,7 +135,7 @@
             target.max_age_seconds for target in self.targets if target.max_age_seconds is not None
         ]
         return {
-            "verdict": self.verdict.value,
+            "verdict": self.status.value,
             "reason": self.reason,
             "weight": round(self.weight, 4),
             "edges": self.edges,
@@ -170,12 +170,12 @@
             aggregator.
     """
 
-    network: Verdict
+    network: HealthStatus
     reason: str
     down_weight: float
     stale_weight: float
     weights_assumed: bool
-    zones: dict[str, ZoneVerdict]
+    zones: dict[str, ZoneHealth]
     gone_watches: dict[str, str] = field(default_factory=dict)
 
     def to_dict(self) -> dict[str, object]:
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -8,7 +8,7 @@
 from ryelock.control_plane.health_decisions import HealthDecisions
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.events import ROLE_FENCED
-from ryelock.health.verdicts import TargetVerdict
+from ryelock.health.health_status import TargetHealth
 from ryelock.testing.checks import Findings, ProbeRecord, ZoneDown, check_downs
 from ryelock.testing.scenario import CONFIGURATION, Scenario
 
@@ -353,14 +353,14 @@
         )
 
     def test_a_quorum_of_one_machine_breaks_the_rule(self) -> None:
-        plain = TargetVerdict.__init__
+        plain = TargetHealth.__init__
 
         def careless(target: Any, *arguments: Any) -> None:
             plain(target, *arguments)
             target.failed = target.failures >= 1
 
         with (
-            mock.patch.object(TargetVerdict, "__init__", careless),
+            mock.patch.object(TargetHealth, "__init__", careless),
             mock.patch("ryelock.health.evaluation.blind_probers", lambda *_rest: set()),
         ):
             scenario = standing(7)
@@ -475,7 +475,7 @@
         for name in scenario.edges[:2]:
             scenario.world.kill(name)
         aggregator = scenario.node(holder).core.aggregator
-        scenario.world.run_until(lambda: aggregator.evaluate().zones["zone0"].verdict == "down", 9)
+        scenario.world.run_until(lambda: aggregator.evaluate().zones["zone0"].status == "down", 9)
         scenario.world.cut(holder, leads, False)
         scenario.world.run(2.95)
         scenario.world.heal()
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -479,7 +479,7 @@
                     12.0,
                 )
                 .zones["a"]
-                .verdict
+                .status
             )
 
         self.assertEqual("down", found())
