--- a/packages/health/ryelock/health/__init__.py
+++ b/packages/health/ryelock/health/__init__.py
@@ -1,9 +1,9 @@
-"""Health of zones by probes of real objects: from one fetch to a verdict for the network.
+"""Health checks: probes of real objects, and the health status of targets, zones and the network.
 
-`probe` is one probe of one target, whose age `ages` judges; `prober` runs probes at their interval
-and keeps the `results` that a new aggregator asks for again. `history` has the results of all
-probers, bounded, and the daily summary; `evaluation` is the rule from results to `health_status`;
-`weights` turns what edges served into each zone's share of visitors.
+`probe` runs one probe of one target, and `ages` computes the age of the served object. `prober`
+schedules probes and stores their `results`, which are sent again to a new aggregator. `history`
+holds the results of all probers and daily summaries. `evaluation` is the rule that turns results
+into a `health_status`. `weights` computes each zone's share of the traffic.
 """
 
 from ryelock.health.ages import OutdatedTagTimer
--- a/packages/health/ryelock/health/ages.py
+++ b/packages/health/ryelock/health/ages.py
@@ -1,10 +1,9 @@
-"""How old a served object is, by the server's own clock where it dates its objects.
+"""Age of a served object, by the server's own clock where the response carries a date.
 
-The no-cache answer's Date says what time the server has, so neither the prober's nor the edge's
-clock can make an object look old. A Date alone does not outweigh an ETag that is the newest one's,
-since servers of one service may have clocks that differ. Where nothing dates the object, the prober
-may count on its own monotonic clock how long a newer one has been out. Otherwise the age is
-unknown, which is no failure.
+The Date of the no-cache response gives the server's current time, so a wrong clock of the prober or
+the edge cannot make an object look old. A current ETag takes precedence over Date, since the clocks
+of a service's servers may differ. Without a date, the prober measures on its monotonic clock how
+long a newer ETag has been available. Otherwise the age is unknown, which is not a failure.
 """
 
 from dataclasses import dataclass
@@ -15,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchedResponse:
-    """What one fetch of a probe brought.
+    """Response to one fetch of a probe.
 
     Attributes:
         status: HTTP status.
         fields: header fields.
-        body_start: the body's first MARKED_BYTES bytes, or more.
-        received_at: monotonic time at which the head had come, in seconds.
+        body_start: the first MARKED_BYTES bytes of the body, or more.
+        received_at: monotonic time in seconds at which the head was received.
     """
 
     status: int
@@ -31,16 +30,16 @@
 
 
 class OutdatedTagTimer:
-    """For one target and watch: since when a newer object than the one served has been out."""
+    """Measures how long a target has served an outdated ETag."""
 
     __slots__ = ("outdated_since",)
 
     def __init__(self) -> None:
-        """Start with no newer object known."""
+        """Create a timer that is not running."""
         self.outdated_since: float | None = None
 
     def age(self, fresh: bytes | None, served: bytes | None, now: float) -> float | None:
-        """Return for how long the served ETag has been outdated; None without both ETags."""
+        """Return how many seconds the served ETag has been outdated; None without both ETags."""
         if fresh is None or served is None:
             return None
         if fresh == served:
@@ -58,13 +57,13 @@
     timer: OutdatedTagTimer,
     now: float,
 ) -> float | None:
-    """Return how old the served object is, in seconds; None where that is unknown.
+    """Return the age of the served object in seconds, None if unknown.
 
     Args:
-        watch: how its age is judged.
-        manifest: the answer to the request with no-cache.
-        served: the answer that any reader would get.
-        timer: since when a newer object has been out, for this target and watch.
+        watch: the watch, whose `dating` selects the method.
+        manifest: response to the request with Cache-Control: no-cache.
+        served: response to the plain request for the object.
+        timer: ETag timer of this target and watch.
         now: monotonic time in seconds.
     """
     if watch.dating == "none":
--- a/packages/health/ryelock/health/evaluation.py
+++ b/packages/health/ryelock/health/evaluation.py
@@ -1,10 +1,12 @@
-"""From probe results to verdicts: quorum, two machines, ages, weights. See docs/design.md.
+"""Evaluation of probe results into the health status of zones and of the network.
 
-The published rule reads the last results of a region that has one edge. Here a zone has several
-edges and several watches, so the rule's window and quorum stand for each target (edge, watch),
-and a zone is down when every edge of it has failed. That is the whole exception. A result does
-not count against a zone where it proves nothing about it: it is of a watch that nobody has
-ever fetched, or of a prober that reaches nothing anywhere while others do.
+The published rule evaluates the last results of a region with one edge. Here a zone has several
+edges and watches, so the rule's window and quorum apply to each target (edge and watch), and a zone
+is down when all of its edges have failed. This is the only deviation from the rule; see
+docs/design.md.
+
+A failed result does not count against an edge if the edge was reached but no probe has ever fetched
+the watch, or if the prober currently reaches no edge at all while other probers do.
 """
 
 from dataclasses import dataclass
@@ -21,29 +23,29 @@
 from ryelock.health.weights import ZoneShares
 from ryelock.replicated_state import Watch
 
-BLINDNESS_WINDOWS = 3
-"""A prober is blind that reached nothing in so many windows of its own results."""
-READ_WINDOWS = 4
-"""Windows of each target that are read to find blind probers."""
+DISCONNECTED_WINDOWS = 3
+"""Windows of a prober's own results without contact after which it counts as disconnected."""
+LOOKBACK_WINDOWS = 4
+"""Windows of each target that are searched for disconnected probers."""
 
 
 @dataclass(frozen=True, slots=True)
 class EvaluationInput:
-    """What all zones are judged by.
+    """Input shared by the evaluation of all zones.
 
     Attributes:
         watches: the watches by name.
         history: results of all probers.
-        rules: the numbers of the design.
+        rules: thresholds of the evaluation.
         now: monotonic time in seconds.
-        blind_probers: probers whose results prove no failure.
+        disconnected_probers: probers whose failed results are ignored.
     """
 
     watches: dict[str, Watch]
     history: History
     rules: EvaluationRules
     now: float
-    blind_probers: set[str]
+    disconnected_probers: set[str]
 
 
 def evaluate(
@@ -54,62 +56,65 @@
     rules: EvaluationRules,
     now: float,
 ) -> Evaluation:
-    """Return the verdict of every zone and of the network, weighted by audience.
+    """Return the health of every zone and of the network, weighted by traffic.
 
     Args:
         zones: names of the edges of each zone.
         watches: the watches by name.
-        shares: each zone's share of visitors.
+        shares: each zone's share of the traffic.
         history: results of all probers.
-        rules: the numbers of the design.
+        rules: thresholds of the evaluation.
         now: monotonic time in seconds.
     """
-    blind = blind_probers(history, now, rules.window_size)
-    given = EvaluationInput(watches, history, rules, now, blind)
-    found = {
-        zone: evaluate_zone(zone, sorted(edges), shares.weights.get(zone, 0.0), given)
+    disconnected = disconnected_probers(history, now, rules.window_size)
+    inputs = EvaluationInput(watches, history, rules, now, disconnected)
+    zone_health = {
+        zone: evaluate_zone(zone, sorted(edges), shares.weights.get(zone, 0.0), inputs)
         for zone, edges in zones.items()
     }
-    down = weight_of(found, HealthStatus.DOWN)
-    stale = weight_of(found, HealthStatus.STALE)
-    verdict, reason = network_verdict(found, down, stale, rules)
-    return Evaluation(verdict, reason, down, stale, shares.assumed, found)
+    down = weight_of(zone_health, HealthStatus.DOWN)
+    stale = weight_of(zone_health, HealthStatus.STALE)
+    status, reason = network_status(zone_health, down, stale, rules)
+    return Evaluation(status, reason, down, stale, shares.assumed, zone_health)
 
 
-def blind_probers(history: History, now: float, count: int) -> set[str]:
-    """Return the probers that lately reached nothing, in any zone, while others did.
+def disconnected_probers(history: History, now: float, window_size: int) -> set[str]:
+    """Return the probers that recently reached no edge of any zone while other probers did.
 
     Args:
         history: results of all probers.
         now: monotonic time in seconds.
-        count: size of a window of results.
+        window_size: number of results in a window.
     """
     by_prober: dict[str, list[ProbeResult]] = {}
     for target in history.results_by_target:
-        for result in history.window(target, now, count * READ_WINDOWS):
+        for result in history.window(target, now, window_size * LOOKBACK_WINDOWS):
             by_prober.setdefault(result.prober, []).append(result)
     recent = {
-        prober: sorted(results, key=lambda result: result.started_at)[-BLINDNESS_WINDOWS * count :]
+        prober: sorted(results, key=lambda result: result.started_at)[
+            -DISCONNECTED_WINDOWS * window_size :
+        ]
         for prober, results in by_prober.items()
     }
-    seeing = {
+    connected = {
         prober for prober, results in recent.items() if any(result.reachable for result in results)
     }
-    return set(recent) - seeing if seeing else set()
+    return set(recent) - connected if connected else set()
 
 
 def find_gone_watches(
     watches: dict[str, Watch], history: History, rules: EvaluationRules, now: float
 ) -> dict[str, str]:
-    """Return the fingerprints of the derived watches whose object is gone, by name.
+    """Return the fingerprints of the derived watches whose object no longer exists, by name.
 
-    A quorum of results says so and, wherever an edge was reached, the last one does: the origin
-    has it no more, and that is no edge's failure. Where one edge still fetches it, the others fail.
+    That requires a quorum of results with such an error, among them the last one from each edge
+    that was reached: the origin removed the object, which is not a failure of the edges. If any
+    edge still serves the object, the others have failed.
     """
-    found: dict[str, str] = {}
+    gone_watches: dict[str, str] = {}
     for name, watch in watches.items():
         fingerprint = watch_fingerprint(watch)
-        reached = [
+        reached_by_target = [
             [
                 result
                 for result in history.window(target, now, rules.window_size)
@@ -118,74 +123,77 @@
             for target in history.results_by_target
             if (target.watch, target.fingerprint) == (name, fingerprint)
         ]
-        last = [results[-1] for results in reached if results]
-        count = sum(result.gone for results in reached for result in results)
-        if count >= rules.quorum and all(result.gone for result in last):
-            found[name] = fingerprint
-    return found
-
-
-def evaluate_zone(zone: str, edges: list[str], weight: float, given: EvaluationInput) -> ZoneHealth:
-    """Judge one zone by the results of its edges."""
-    targets = evaluate_targets(zone, edges, given)
+        last_results = [results[-1] for results in reached_by_target if results]
+        gone_count = sum(result.gone for results in reached_by_target for result in results)
+        if gone_count >= rules.quorum and all(result.gone for result in last_results):
+            gone_watches[name] = fingerprint
+    return gone_watches
+
+
+def evaluate_zone(
+    zone: str, edges: list[str], weight: float, inputs: EvaluationInput
+) -> ZoneHealth:
+    """Evaluate one zone from the results of its edges."""
+    targets = evaluate_targets(zone, edges, inputs)
     failed = failed_edges(edges, targets)
-    verdict, reason = zone_verdict(edges, targets, failed)
-    return ZoneHealth(zone, verdict, reason, weight, edges, targets, failed)
+    status, reason = zone_status(edges, targets, failed)
+    return ZoneHealth(zone, status, reason, weight, edges, targets, failed)
 
 
-def evaluate_targets(zone: str, edges: list[str], given: EvaluationInput) -> list[TargetHealth]:
-    """Judge each edge for each watch; a target without results is left out."""
+def evaluate_targets(zone: str, edges: list[str], inputs: EvaluationInput) -> list[TargetHealth]:
+    """Evaluate each edge for each watch; targets without results are omitted."""
     targets = [
-        evaluate_target(zone, edge, name, watch, given)
+        evaluate_target(zone, edge, name, watch, inputs)
         for edge in edges
-        for name, watch in sorted(given.watches.items())
+        for name, watch in sorted(inputs.watches.items())
     ]
     return [target for target in targets if target is not None]
 
 
 def evaluate_target(
-    zone: str, edge: str, name: str, watch: Watch, given: EvaluationInput
+    zone: str, edge: str, name: str, watch: Watch, inputs: EvaluationInput
 ) -> TargetHealth | None:
-    """Judge one edge for one watch; None where there are no results."""
-    rules = given.rules
+    """Evaluate one edge for one watch; None where there are no results."""
+    rules = inputs.rules
     fingerprint = watch_fingerprint(watch)
     target = TargetKey(zone, edge, name, fingerprint)
-    results = given.history.window(target, given.now, rules.window_size, own_zone_only=True)
+    results = inputs.history.window(target, inputs.now, rules.window_size, own_zone_only=True)
     if not results:
         return None
-    proven = (name, fingerprint) in given.history.fetched_watches
+    fetched_before = (name, fingerprint) in inputs.history.fetched_watches
     failures = [
         result
         for result in results
-        if result.prober not in given.blind_probers and counts_as_failure(result, proven)
+        if result.prober not in inputs.disconnected_probers
+        and counts_as_failure(result, fetched_before)
     ]
     stale_seconds = watch.stale_seconds or rules.stale_seconds
-    return TargetHealth(edge, name, results, failures, rules.quorum, stale_seconds, given.now)
+    return TargetHealth(edge, name, results, failures, rules.quorum, stale_seconds, inputs.now)
 
 
-def counts_as_failure(result: ProbeResult, proven: bool) -> bool:
-    """Tell whether a result is a failure of its edge.
+def counts_as_failure(result: ProbeResult, fetched_before: bool) -> bool:
+    """Return True if a result counts as a failure of its edge.
 
-    A watch that was never fetched (not `proven`) proves nothing, unless the edge could not be
-    reached at all.
+    A watch that no probe has ever fetched may be misconfigured, so its failed results count only
+    if the edge could not be reached.
     """
-    return result.failed and (proven or not result.reachable)
+    return result.failed and (fetched_before or not result.reachable)
 
 
 def failed_edges(edges: list[str], targets: list[TargetHealth]) -> list[str]:
-    """Return the edges of which every judged target has failed."""
-    found: list[str] = []
+    """Return the edges whose evaluated targets have all failed."""
+    failed: list[str] = []
     for edge in edges:
-        own = [target for target in targets if target.edge == edge]
-        if own and all(target.failed for target in own):
-            found.append(edge)
-    return found
+        edge_targets = [target for target in targets if target.edge == edge]
+        if edge_targets and all(target.failed for target in edge_targets):
+            failed.append(edge)
+    return failed
 
 
-def zone_verdict(
+def zone_status(
     edges: list[str], targets: list[TargetHealth], failed: list[str]
 ) -> tuple[HealthStatus, str]:
-    """Return a zone's verdict and its reason."""
+    """Return a zone's health status and the reason."""
     if not targets:
         return HealthStatus.UNKNOWN, "no rows"
     if edges and len(failed) == len(edges):
@@ -198,22 +206,22 @@
     return HealthStatus.HEALTHY, f"failed: {', '.join(failed)}" if failed else "fetched"
 
 
-def weight_of(zones: dict[str, ZoneHealth], verdict: HealthStatus) -> float:
-    """Return the fraction of visitors in the zones of one verdict."""
-    return sum(zone.weight for zone in zones.values() if zone.status is verdict)
+def weight_of(zones: dict[str, ZoneHealth], status: HealthStatus) -> float:
+    """Return the traffic fraction of the zones with a status."""
+    return sum(zone.weight for zone in zones.values() if zone.status is status)
 
 
-def network_verdict(
+def network_status(
     zones: dict[str, ZoneHealth], down: float, stale: float, rules: EvaluationRules
 ) -> tuple[HealthStatus, str]:
-    """Return the network's verdict and its reason, by the weights of down and stale zones."""
-    verdicts = [zone.status for zone in zones.values()]
-    if HealthStatus.DOWN in verdicts and down >= rules.down_weight:
+    """Return the network's health status and the reason, by the weights of down and stale zones."""
+    statuses = [zone.status for zone in zones.values()]
+    if HealthStatus.DOWN in statuses and down >= rules.down_weight:
         return HealthStatus.DOWN, f"zones of {down:.0%} of visitors are down"
-    if HealthStatus.DOWN in verdicts:
+    if HealthStatus.DOWN in statuses:
         return HealthStatus.STALE, f"a zone of {down:.0%} of visitors is down"
     if stale > rules.stale_weight:
         return HealthStatus.STALE, f"zones of {stale:.0%} of visitors are stale"
-    if verdicts and all(verdict is HealthStatus.UNKNOWN for verdict in verdicts):
+    if statuses and all(status is HealthStatus.UNKNOWN for status in statuses):
         return HealthStatus.UNKNOWN, "no zone is known"
     return HealthStatus.HEALTHY, ""
--- a/packages/health/ryelock/health/health_status.py
+++ b/packages/health/ryelock/health/health_status.py
@@ -1,4 +1,4 @@
-"""Verdicts for targets, zones and the network, with the evidence they rest on."""
+"""Health status of targets, zones and the network, with the evidence for it."""
 
 from dataclasses import asdict, dataclass, field
 from enum import StrEnum
@@ -6,12 +6,12 @@
 from ryelock.health.results import ProbeResult
 
 MIN_FAILING_MACHINES = 2
-"""A target has failed only where probers on so many machines say it."""
-MAX_SHOWN_EVIDENCE = 10
+"""Distinct probing machines that must see failures before a target has failed."""
+MAX_SHOWN_RESULTS = 10
 
 
 class HealthStatus(StrEnum):
-    """What a zone or the network is found to be; the values stand in the record."""
+    """Health status of a zone or the network; the values are stored in decisions."""
 
     HEALTHY = "healthy"
     STALE = "stale"
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EvaluationRules:
-    """The numbers of the design; all are settings.
+    """Thresholds of the evaluation, all configurable.
 
     Attributes:
-        window_size: results of a target that are judged, the newest ones.
-        quorum: failed results that make a target failed.
+        window_size: number of a target's newest results that are evaluated.
+        quorum: minimum number of failed results for a target to have failed.
         stale_seconds: age above which an object is stale.
-        down_weight: fraction of visitors in down zones from which the network is down.
-        stale_weight: fraction in stale zones above which the network is stale.
+        down_weight: traffic fraction of down zones from which the network is down.
+        stale_weight: traffic fraction of stale zones above which the network is stale.
     """
 
     window_size: int = 5
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """One failed result that a verdict rests on, as the prober's own store has it."""
+    """A failed result that led to a status; identifies the result in the prober's store."""
 
     prober: str
     machine: str
@@ -56,14 +56,14 @@
 
 
 class TargetHealth:
-    """The outcome for one edge and watch, with the results it rests on."""
+    """Evaluated health of one target (edge and watch), with the results used."""
 
     __slots__ = (
         "edge",
         "evidence",
         "failed",
-        "failures",
-        "machines",
+        "failing_machines",
+        "failure_count",
         "max_age_seconds",
         "results",
         "stale",
@@ -80,27 +80,39 @@
         stale_seconds: float,
         now: float,
     ) -> None:
-        """Judge a target by its results; `failures` are those that count against it."""
+        """Evaluate a target.
+
+        Args:
+            edge: name of the edge.
+            watch: name of the watch.
+            results: the results evaluated.
+            failures: those of the results that count as failures of the edge.
+            quorum: minimum number of failures for the target to have failed.
+            stale_seconds: age above which the object is stale.
+            now: monotonic time in seconds.
+        """
         self.evidence = [evidence_of(result, now) for result in failures]
         self.edge = edge
         self.watch = watch
         self.results = results
-        self.failures = len(failures)
-        self.machines = sorted({result.machine for result in failures})
-        self.failed = self.failures >= quorum and len(self.machines) >= MIN_FAILING_MACHINES
+        self.failure_count = len(failures)
+        self.failing_machines = sorted({result.machine for result in failures})
+        self.failed = (
+            self.failure_count >= quorum and len(self.failing_machines) >= MIN_FAILING_MACHINES
+        )
         ages = [result.age_seconds for result in results if result.age_seconds is not None]
         self.max_age_seconds = max(ages) if ages else None
         self.stale = self.max_age_seconds is not None and self.max_age_seconds > stale_seconds
 
     def to_dict(self) -> dict[str, object]:
-        """Return the outcome with its evidence as maps and lists."""
+        """Return the health and its evidence in the stored form."""
         return {
             "edge": self.edge,
             "watch": self.watch,
             "rows": len(self.results),
-            "failures": self.failures,
+            "failures": self.failure_count,
             "failed": self.failed,
-            "failing_machines": self.machines,
+            "failing_machines": self.failing_machines,
             "age_seconds": self.max_age_seconds,
             "failed_rows": [asdict(result) for result in self.evidence],
         }
@@ -108,15 +120,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneHealth:
-    """The outcome for one zone.
+    """Evaluated health of one zone.
 
     Attributes:
         zone: name of the zone.
-        status: what it is found to be.
-        reason: why, for people.
-        weight: its fraction of all visitors.
+        status: health status of the zone.
+        reason: human-readable reason.
+        weight: the zone's fraction of the traffic.
         edges: names of its edges.
-        targets: outcomes of its edges by watch.
+        targets: health of its targets.
         failed: names of the edges that failed.
     """
 
@@ -129,7 +141,7 @@
     failed: list[str]
 
     def to_dict(self) -> dict[str, object]:
-        """Return the verdict with its evidence as maps and lists."""
+        """Return the health and its evidence in the stored form."""
         results = [result for target in self.targets for result in target.results]
         ages = [
             target.max_age_seconds for target in self.targets if target.max_age_seconds is not None
@@ -150,24 +162,24 @@
                 result.to_dict()
                 for result in sorted(
                     results, key=lambda result: (not result.failed, -result.started_at)
-                )[:MAX_SHOWN_EVIDENCE]
+                )[:MAX_SHOWN_RESULTS]
             ],
         }
 
 
 @dataclass(slots=True, eq=False)
 class Evaluation:
-    """The outcome for the whole network and each of its zones.
+    """Evaluated health of the network and its zones.
 
     Attributes:
-        network: what the network is found to be.
-        reason: why, for people; empty where it is healthy.
-        down_weight: fraction of visitors in zones that are down.
-        stale_weight: fraction of visitors in zones that are stale.
-        weights_assumed: whether the weights are only assumed, since no visitors were counted yet.
-        zones: outcome of each zone by name.
-        gone_watches: fingerprints of derived watches whose object is gone, by name; set by the
-            aggregator.
+        network: health status of the network.
+        reason: human-readable reason; empty if healthy.
+        down_weight: traffic fraction of the zones that are down.
+        stale_weight: traffic fraction of the zones that are stale.
+        weights_assumed: True if all zones were weighted equally for lack of traffic data.
+        zones: health of each zone by name.
+        gone_watches: fingerprints of derived watches whose object no longer exists, by name; set
+            by the aggregator.
     """
 
     network: HealthStatus
@@ -179,7 +191,7 @@
     gone_watches: dict[str, str] = field(default_factory=dict)
 
     def to_dict(self) -> dict[str, object]:
-        """Return the outcome as maps and lists, as it is agreed on and shown."""
+        """Return the evaluation in the form that is committed and returned by the control API."""
         return {
             "network": self.network.value,
             "reason": self.reason,
--- a/packages/health/ryelock/health/history.py
+++ b/packages/health/ryelock/health/history.py
@@ -1,9 +1,8 @@
-"""Probe history of the aggregator: in memory, by target, for the time that verdicts look back.
+"""In-memory history of probe results, by target, and daily summaries by zone.
 
-A target is an edge and a watch as it was when it was fetched for: a watch that changes under its
-name is another one, and what was fetched for the old one proves nothing. It is soft state: probers
-send their results again to a new aggregator. What is older is rolled into one summary a day and
-zone, of which two weeks are kept.
+A target is an edge and one version of a watch, since results for a changed watch say nothing about
+the new version. The history is soft state: probers send their stored results again to a new
+aggregator.
 """
 
 from collections import deque
@@ -18,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetKey:
-    """An edge and a watch as it was when it was fetched for.
+    """An edge and one version of a watch.
 
     Attributes:
         zone: zone of the edge.
         edge: name of the edge.
         watch: name of the watch.
-        fingerprint: tells the watch from another of its name.
+        fingerprint: fingerprint of the watch, which identifies its version.
     """
 
     zone: str
@@ -34,43 +33,43 @@
 
 
 class DailySummary:
-    """One day's probes of one zone."""
+    """Summary of one day's probe results for one zone."""
 
     __slots__ = ("failed", "max_age_seconds", "results")
 
     def __init__(self) -> None:
-        """Create a summary without results."""
+        """Create an empty summary."""
         self.results = 0
         self.failed = 0
         self.max_age_seconds: float | None = None
 
     def add(self, result: ProbeResult) -> None:
-        """Count a result."""
+        """Add a result to the counts."""
         self.results += 1
         self.failed += result.failed
         if result.age_seconds is not None:
             self.max_age_seconds = max(self.max_age_seconds or 0.0, result.age_seconds)
 
     def to_dict(self) -> dict[str, object]:
-        """Return the summary as maps and lists."""
+        """Return the summary in the stored form."""
         return {"rows": self.results, "failed": self.failed, "oldest_seconds": self.max_age_seconds}
 
 
 class History:
-    """Results of all probers by target, and the daily summaries.
+    """Results of all probers by target, and daily summaries.
 
     Attributes:
         retention_seconds: how long results are kept.
-        results_by_target: the newest results of each target, in the order of their arrival.
-        probers: newest sequence number that is here of each prober.
-        fetched_watches: name and fingerprint of the watches that some probe fetched.
-        days: daily summaries by day since 1970 and zone.
+        results_by_target: the newest results of each target, in order of arrival.
+        probers: newest sequence number of each prober.
+        fetched_watches: name and fingerprint of each watch that a probe fetched successfully.
+        days: daily summaries by days since 1970 and by zone.
     """
 
     __slots__ = ("days", "fetched_watches", "probers", "results_by_target", "retention_seconds")
 
     def __init__(self, retention_seconds: float) -> None:
-        """Create an empty history that keeps results for so many seconds."""
+        """Create an empty history that keeps results for `retention_seconds`."""
         self.retention_seconds = retention_seconds
         self.results_by_target: dict[TargetKey, deque[ProbeResult]] = {}
         self.probers: dict[str, int] = {}
@@ -78,7 +77,7 @@
         self.days: dict[int, dict[str, DailySummary]] = {}
 
     def add(self, result: ProbeResult) -> bool:
-        """Take a result; False where it is here already."""
+        """Add a result; return False if it is a duplicate."""
         results = self.results_by_target.setdefault(
             TargetKey(result.zone, result.edge, result.watch, result.watch_fingerprint),
             deque(maxlen=MAX_RESULTS_PER_TARGET),
@@ -95,12 +94,12 @@
             self.fetched_watches.add((result.watch, result.watch_fingerprint))
         day = self.days.setdefault(int(result.wall_time // SECONDS_PER_DAY), {})
         day.setdefault(result.zone, DailySummary()).add(result)
-        for old in sorted(self.days)[:-RETAINED_DAYS]:
-            del self.days[old]
+        for expired_day in sorted(self.days)[:-RETAINED_DAYS]:
+            del self.days[expired_day]
         return True
 
     def expire(self, now: float) -> None:
-        """Drop results that are too old; `now` is monotonic time in seconds."""
+        """Drop results older than the retention time; `now` is monotonic time in seconds."""
         for key, results in list(self.results_by_target.items()):
             kept = deque(
                 (result for result in results if now - result.started_at <= self.retention_seconds),
@@ -114,13 +113,14 @@
     def window(
         self, target: TargetKey, now: float, count: int, own_zone_only: bool = False
     ) -> list[ProbeResult]:
-        """Return the last results of a target that are not too old, by when they began.
+        """Return the newest unexpired results of a target, ordered by start time.
 
         Args:
             target: the target.
             now: monotonic time in seconds.
-            count: most results.
-            own_zone_only: only of probers in the target's zone; others would take their room.
+            count: maximum number of results.
+            own_zone_only: omit cross-zone results, which would displace those of the probers
+                assigned to the target.
         """
         results = [
             result
@@ -132,8 +132,8 @@
         return results[-count:]
 
     def summary(self) -> dict[str, object]:
-        """Return the daily summaries as maps and lists, by day since 1970 and zone."""
+        """Return the daily summaries in the stored form, by days since 1970 and by zone."""
         return {
-            str(day): {zone: found.to_dict() for zone, found in sorted(zones.items())}
+            str(day): {zone: daily.to_dict() for zone, daily in sorted(zones.items())}
             for day, zones in sorted(self.days.items())
         }
--- a/packages/health/ryelock/health/probe.py
+++ b/packages/health/ryelock/health/probe.py
@@ -1,9 +1,9 @@
-"""One probe of one (zone, edge) target for one watch: steps in order, stop at the first failure.
+"""One probe of one edge for one watch, in two steps; the first failure ends the probe.
 
-The first step fetches the manifest with Cache-Control: no-cache, records the time to first
-byte and wants 200 and the marker within the first 64 bytes. The second fetches the first
-kilobyte of the object as any reader would, and wants 200 or 206; see `ages` for how its age is
-judged. Where servers seal their successes, one without a seal proves nothing and is invalid.
+The first step fetches the manifest with Cache-Control: no-cache, records the time to first byte,
+and expects status 200 and the marker within the first 64 bytes. The second step fetches the first
+kilobyte of the object like an ordinary client and expects 200 or 206; see `ages` for its age. Where
+the servers mark successful responses with a seal, a response without one is invalid.
 """
 
 from ryelock.health.ages import FetchedResponse, OutdatedTagTimer, object_age
@@ -21,23 +21,23 @@
 from ryelock.runtime import Connection, Network, Scheduler
 
 MARKED_BYTES = 64
-"""The marker stands within so many bytes of the manifest."""
+"""Length of the manifest's beginning that must contain the marker."""
 RANGE = b"bytes=0-1023"
 MAX_HEAD_BYTES = 65_536
 MAX_BODY_BYTES = 16_777_216
 OUTCOME_FIELD = b"x-ryelock-outcome"
 OVERLOADED_OUTCOME = b"crowded"
 OVERLOADED = "declined in a crowd"
-"""Error of a probe that was rejected since servers are full, which tells nothing of the edge."""
+"""Error of a probe rejected because of overload, which says nothing about the edge's health."""
 UNSEALED = "no server's seal"
 
 
 class ProbeStepError(HealthError):
-    """A step came to no answer; the text stands in the result."""
+    """A step failed without a usable response; the text becomes the result's error."""
 
 
 class Probe:
-    """Fetches through one edge for one watch."""
+    """A probe of one edge for one watch."""
 
     __slots__ = (
         "address",
@@ -65,10 +65,10 @@
             scheduler: clock and timers.
             network: where connections are opened.
             address: host:port of the edge.
-            watch: what to fetch and how to judge its age.
-            timeout_seconds: deadline of the whole probe.
-            prober_credentials: the prober's name and secret, which the edge checks.
-            profile: header field names of the deployment.
+            watch: the objects to fetch, and the method to determine their age.
+            timeout_seconds: timeout of both steps together.
+            prober_credentials: the prober's name and secret, which the edge verifies.
+            profile: HTTP profile of the deployment.
         """
         self.profile = profile
         self.scheduler = scheduler
@@ -79,31 +79,35 @@
         self.prober_credentials = prober_credentials
 
     async def run(self, result: ProbeResult, timer: OutdatedTagTimer) -> None:
-        """Fill in the result, in the order of the steps; a failed step ends the probe."""
+        """Run the steps and fill in the result; a failed step ends the probe."""
         result.started_at = self.scheduler.now()
-        until = result.started_at + self.timeout_seconds
+        deadline = result.started_at + self.timeout_seconds
         try:
-            manifest = await self.fetch_manifest(result, until)
+            manifest = await self.fetch_manifest(result, deadline)
             if manifest is not None:
-                await self.fetch_object(result, manifest, timer, until)
+                await self.fetch_object(result, manifest, timer, deadline)
         except ProbeStepError as error:
             result.error = str(error)
 
-    async def fetch_manifest(self, result: ProbeResult, until: float) -> FetchedResponse | None:
-        """Take the first step; None where the manifest is not valid."""
+    async def fetch_manifest(self, result: ProbeResult, deadline: float) -> FetchedResponse | None:
+        """Run the first step; return None if the manifest is invalid."""
         target = self.watch.manifest or self.watch.object
-        manifest = await self.fetch(target, [(b"Cache-Control", b"no-cache")], until)
+        manifest = await self.fetch(target, [(b"Cache-Control", b"no-cache")], deadline)
         result.reachable = True
         result.ttfb_ms = round((manifest.received_at - result.started_at) * 1000, 1)
-        result.error = self.manifest_fault(manifest)
+        result.error = self.manifest_error(manifest)
         result.manifest_valid = not result.error
         return manifest if result.manifest_valid else None
 
     async def fetch_object(
-        self, result: ProbeResult, manifest: FetchedResponse, timer: OutdatedTagTimer, until: float
+        self,
+        result: ProbeResult,
+        manifest: FetchedResponse,
+        timer: OutdatedTagTimer,
+        deadline: float,
     ) -> None:
-        """Take the second step."""
-        served = await self.fetch(self.watch.object, [(b"Range", RANGE)], until)
+        """Run the second step: fetch the object and determine its age."""
+        served = await self.fetch(self.watch.object, [(b"Range", RANGE)], deadline)
         if served.status not in (200, 206):
             result.error = status_error("object", served)
             return
@@ -114,8 +118,8 @@
         now = self.scheduler.now()
         result.age_seconds = object_age(self.watch, manifest, served, timer, now)
 
-    def manifest_fault(self, manifest: FetchedResponse) -> str:
-        """Return what is wrong with the manifest; empty where nothing is."""
+    def manifest_error(self, manifest: FetchedResponse) -> str:
+        """Return why the manifest is invalid; empty if it is valid."""
         if manifest.status != 200:
             return status_error("manifest", manifest)
         if not self.has_seal(manifest):
@@ -128,18 +132,24 @@
         return ""
 
     def has_seal(self, fetched: FetchedResponse) -> bool:
-        """Tell whether the answer bears the server's seal, where the deployment has one."""
+        """Return True if the response has the server's seal or the deployment uses none."""
         seal = self.profile.seal.lower()
         return not seal or field(fetched.fields, seal) is not None
 
-    async def fetch(self, target: str, fields: Fields, until: float) -> FetchedResponse:
-        """Fetch one target over a connection of its own; raises ProbeStepError."""
+    async def fetch(self, target: str, fields: Fields, deadline: float) -> FetchedResponse:
+        """Fetch one target over a new connection.
+
+        Raises:
+            ProbeStepError: there was no complete response.
+        """
         connection = self.network.connect(self.address)
         try:
-            if not await connection.wait_connected(max(0.0, until - self.scheduler.now())):
-                raise ProbeStepError("timeout" if self.scheduler.now() >= until else "no link")
-            send_request(connection, b"GET", target.encode(), self.fields_with(fields, until), b"")
-            return await self.read_fetched(connection, until)
+            if not await connection.wait_connected(max(0.0, deadline - self.scheduler.now())):
+                raise ProbeStepError("timeout" if self.scheduler.now() >= deadline else "no link")
+            send_request(
+                connection, b"GET", target.encode(), self.request_fields(fields, deadline), b""
+            )
+            return await self.read_fetched_response(connection, deadline)
         except IncompleteMessageError:
             raise ProbeStepError("answer cut") from None
         except ReadTimeoutError:
@@ -149,42 +159,44 @@
         finally:
             connection.close()
 
-    def fields_with(self, fields: Fields, until: float) -> Fields:
-        """Return the header fields of a request: the given ones and those every probe bears."""
+    def request_fields(self, fields: Fields, deadline: float) -> Fields:
+        """Return a request's header fields: the given ones and those common to all probes."""
         host = self.watch.host or self.address
-        found = [
+        request_fields = [
             (b"Host", host.encode()),
             (b"X-Ryelock-Probe", self.prober_credentials.encode()),
             *fields,
         ]
         if self.profile.deadline:
-            left = max(1, int((until - self.scheduler.now()) * 1000))
-            found.append((self.profile.deadline, b"%d" % left))
-        return [*found, (b"Connection", b"close")]
-
-    async def read_fetched(self, connection: Connection, until: float) -> FetchedResponse:
-        """Read an answer to its end; only the body's first bytes are kept."""
-        answer = await read_response(
-            Reader(self.scheduler, connection), b"GET", MAX_HEAD_BYTES, until
+            remaining_ms = max(1, int((deadline - self.scheduler.now()) * 1000))
+            request_fields.append((self.profile.deadline, b"%d" % remaining_ms))
+        return [*request_fields, (b"Connection", b"close")]
+
+    async def read_fetched_response(
+        self, connection: Connection, deadline: float
+    ) -> FetchedResponse:
+        """Read a response to its end, keeping only the first bytes of the body."""
+        response = await read_response(
+            Reader(self.scheduler, connection), b"GET", MAX_HEAD_BYTES, deadline
         )
-        if answer.is_error():
-            raise ProbeStepError(answer.error.reason)
-        head, body, at = answer.ok.head, answer.ok.body, self.scheduler.now()
-        start = b""
-        total = 0
+        if response.is_error():
+            raise ProbeStepError(response.error.reason)
+        head, body, received_at = response.ok.head, response.ok.body, self.scheduler.now()
+        body_start = b""
+        total_bytes = 0
         while True:
-            piece = await body.read_chunk(until)
-            if not piece and body.complete:
-                return FetchedResponse(head.status, head.fields, start, at)
-            total += len(piece)
-            if total > MAX_BODY_BYTES:
+            chunk = await body.read_chunk(deadline)
+            if not chunk and body.complete:
+                return FetchedResponse(head.status, head.fields, body_start, received_at)
+            total_bytes += len(chunk)
+            if total_bytes > MAX_BODY_BYTES:
                 raise ProbeStepError("body too large")
-            if len(start) < MARKED_BYTES:
-                start += piece[:MARKED_BYTES]
+            if len(body_start) < MARKED_BYTES:
+                body_start += chunk[:MARKED_BYTES]
 
 
 def status_error(step: str, response: FetchedResponse) -> str:
-    """Return the error of a step whose answer has another status than it should."""
+    """Return the error of a step whose response has an unexpected status."""
     if field(response.fields, OUTCOME_FIELD) == OVERLOADED_OUTCOME:
         return OVERLOADED
     return f"{step} status {response.status}"
--- a/packages/health/ryelock/health/prober.py
+++ b/packages/health/ryelock/health/prober.py
@@ -1,10 +1,9 @@
-"""The prober: probes every target of its zone at its interval, and keeps the results.
+"""The prober: probes its targets at their intervals and stores the results.
 
-Which edges there are comes from the control plane's members, which watches from the current
-configuration. A probe or two a round goes to an edge of another zone: it tells a prober whose
-own network is broken from one that sees a broken zone. Results wait in a bounded store until the
-present aggregator has acknowledged them, and go to a new aggregator from the start. A probe that
-was rejected because servers are full tells of the load, not of the edge: no result comes of it.
+Besides its assigned targets, the prober probes targets of other zones in turn. This distinguishes a
+prober whose own network is broken from a zone that is down. Results are kept in a bounded store, so
+that a new aggregator can be sent all of them. A probe rejected because of overload says nothing
+about the edge and yields no result.
 """
 
 import zlib
@@ -21,25 +20,26 @@
 
 MAX_STORED_RESULTS = 4000
 MAX_SENT_RESULTS = 200
-"""Results that are sent to the aggregator at once."""
+"""Results in one message to the aggregator."""
 CROSS_ZONE_KEY = ("", "", "")
-"""Key under which all targets of other zones together have their turn."""
+"""Schedule key shared by all cross-zone targets, which are probed in turn."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeTarget:
-    """An edge to be probed for a watch.
+    """An edge to probe for a watch.
 
     Attributes:
         zone: zone of the edge.
         edge: name of the edge.
-        address: host:port where the edge takes requests.
+        address: host:port of the edge's request server.
         watch_name: name of the watch.
-        watch: what to fetch.
-        cross_zone: whether the edge stands in another zone than the prober.
-        min_interval_seconds: least time between two probes; 0 where the prober's own
-            interval is meant.
-        watch_fingerprint: tells this watch from another of its name.
+        watch: the watch.
+        cross_zone: True if the prober is not assigned to the edge and probes it only in turn, for
+            comparison.
+        min_interval_seconds: minimum time between two probes, if longer than the prober's
+            interval.
+        watch_fingerprint: fingerprint of the watch.
     """
 
     zone: str
@@ -52,21 +52,21 @@
     watch_fingerprint: str = field(init=False)
 
     def __post_init__(self) -> None:
-        """Derive the fingerprint."""
+        """Compute the fingerprint of the watch."""
         object.__setattr__(self, "watch_fingerprint", watch_fingerprint(self.watch))
 
     @property
     def key(self) -> tuple[str, str, str]:
-        """What tells targets apart: edge, watch and the watch's fingerprint."""
+        """Identity of the target: edge, watch and the watch's fingerprint."""
         return self.edge, self.watch_name, self.watch_fingerprint
 
 
 class Prober:
-    """Runs the probes of one node and keeps their results."""
+    """Runs the probes of one node and stores their results."""
 
     __slots__ = (
         "credentials",
-        "cross_zone_turn",
+        "cross_zone_position",
         "free_slots",
         "interval_seconds",
         "list_targets",
@@ -101,21 +101,21 @@
         list_targets: Callable[[], list[ProbeTarget]],
         profile: ProtocolProfile | None = None,
     ) -> None:
-        """Create a prober; `start` makes it run.
+        """Create a prober; `start` starts its task.
 
         Args:
             scheduler: clock and timers.
             network: where connections are opened.
             name: name of this node.
-            secret: secret of this node's session, by which edges know its probes.
-            machine: machine this node runs on.
+            secret: secret of this node's session, by which edges authenticate its probes.
+            machine: machine on which this node runs.
             zone: zone of this node.
             interval_seconds: time between two probes of one target.
-            timeout_seconds: deadline of one probe.
-            max_in_flight: how many probes run at once.
-            retention_seconds: how long results are retained.
-            list_targets: returns the present targets.
-            profile: header field names of the deployment.
+            timeout_seconds: timeout of one probe.
+            max_in_flight: maximum number of concurrent probes.
+            retention_seconds: how long results are stored.
+            list_targets: returns the current targets.
+            profile: HTTP profile of the deployment.
         """
         self.profile = profile or ProtocolProfile()
         self.scheduler = scheduler
@@ -134,19 +134,19 @@
         self.tag_timers: dict[tuple[str, str, str], OutdatedTagTimer] = {}
         self.free_slots: Queue[bool] = Queue(scheduler)
         self.sequence = 0
-        self.cross_zone_turn = 0
+        self.cross_zone_position = 0
         self.tasks: list[Task] = []
 
     def start(self) -> None:
-        """Start probing."""
+        """Start the probe task."""
         for _ in range(self.max_in_flight):
             self.free_slots.put(True)
         self.tasks.append(self.scheduler.create_task(self.run(), name="prober"))
 
     def stop(self) -> None:
         """Cancel all probes."""
-        for running in self.tasks:
-            running.cancel()
+        for task in self.tasks:
+            task.cancel()
 
     async def run(self) -> None:
         """Probe each target when it is due, with at most `max_in_flight` probes at once."""
@@ -158,52 +158,53 @@
             await self.scheduler.sleep(min(1.0, self.interval_seconds / 10))
 
     def round_targets(self) -> list[ProbeTarget]:
-        """Return the targets of this zone and the one of another zone whose turn it is."""
+        """Return the targets assigned to this prober, and the next cross-zone target."""
         targets = self.list_targets()
-        self.forget_others({target.key for target in targets})
+        self.drop_removed_targets({target.key for target in targets})
         own_zone = [target for target in targets if not target.cross_zone]
         cross_zone = [target for target in targets if target.cross_zone]
         if cross_zone:
-            own_zone.append(cross_zone[self.cross_zone_turn % len(cross_zone)])
+            own_zone.append(cross_zone[self.cross_zone_position % len(cross_zone)])
         return own_zone
 
-    def forget_others(self, present: set[tuple[str, str, str]]) -> None:
-        """Drop what is kept of targets that are no more."""
+    def drop_removed_targets(self, current: set[tuple[str, str, str]]) -> None:
+        """Drop the schedule and ETag timers of targets that no longer exist."""
         for key in list(self.next_probe_at):
-            if key not in present and key != CROSS_ZONE_KEY:
+            if key not in current and key != CROSS_ZONE_KEY:
                 del self.next_probe_at[key]
                 self.tag_timers.pop(key, None)
 
     def is_due(self, target: ProbeTarget, now: float) -> bool:
-        """Tell whether a target is to be probed now; a new one gets its first time."""
+        """Return True if a target's next probe is due, after scheduling a new target."""
         key = schedule_key(target)
         if key not in self.next_probe_at:
-            self.next_probe_at[key] = now + self.phase_of(target)
+            self.next_probe_at[key] = now + self.initial_delay(target)
         return self.next_probe_at[key] <= now
 
     async def start_probe(self, target: ProbeTarget, now: float) -> None:
-        """Start a probe as soon as one of the slots is free; `now` is the start of the round."""
+        """Start a probe once a slot is free; `now` is the start of the round."""
         if target.cross_zone:
-            self.cross_zone_turn += 1
+            self.cross_zone_position += 1
         interval = max(self.interval_seconds, target.min_interval_seconds)
         self.next_probe_at[schedule_key(target)] = now + interval
         await self.free_slots.get()
-        self.tasks = [running for running in self.tasks if not running.done]
+        self.tasks = [task for task in self.tasks if not task.done]
         self.tasks.append(
             self.scheduler.create_task(self.probe(target), name=f"probe of {target.edge}")
         )
 
-    def phase_of(self, target: ProbeTarget) -> float:
-        """Return the seconds until a target is first probed: 0, or spread over a longer interval.
+    def initial_delay(self, target: ProbeTarget) -> float:
+        """Return the seconds until the first probe of a target.
 
-        Targets that are probed seldom, for the sake of their service, must not all come at once.
+        Targets with a longer interval than the prober's are spread over the difference by a hash,
+        to avoid bursts of probes to their service.
         """
-        extra = max(0.0, target.min_interval_seconds - self.interval_seconds)
-        spread = zlib.crc32(f"{self.name} {target.edge} {target.watch_name}".encode()) / 2**32
-        return extra * spread
+        extra_seconds = max(0.0, target.min_interval_seconds - self.interval_seconds)
+        fraction = zlib.crc32(f"{self.name} {target.edge} {target.watch_name}".encode()) / 2**32
+        return extra_seconds * fraction
 
     async def probe(self, target: ProbeTarget) -> None:
-        """Probe one target and keep the result, unless the service was only overloaded."""
+        """Probe one target and store the result, unless the probe was rejected for overload."""
         self.sequence += 1
         result = ProbeResult(
             self.name,
@@ -234,7 +235,7 @@
             self.store(result)
 
     def store(self, result: ProbeResult) -> None:
-        """Keep a result, and drop those that are too old."""
+        """Store a result, and drop those older than the retention time."""
         self.results.append(result)
         now = self.scheduler.now()
         while self.results and now - self.results[0].started_at > self.retention_seconds:
@@ -243,10 +244,10 @@
     def results_since(
         self, sequence: int, max_results: int = MAX_SENT_RESULTS
     ) -> list[ProbeResult]:
-        """Return the results that an aggregator which has up to a sequence lacks, oldest first.
+        """Return the results stored after the one with a sequence number, oldest first.
 
-        Results are stored when a probe ends, so sequences may stand out of order; the aggregator
-        has a result where it named that one or one that was stored later.
+        Results are stored as probes end, so sequence numbers may be out of order. All results are
+        returned if none has this number.
         """
         results = list(self.results)
         for position in range(len(results) - 1, -1, -1):
--- a/packages/health/ryelock/health/results.py
+++ b/packages/health/ryelock/health/results.py
@@ -1,4 +1,4 @@
-"""What one probe found, and its form on the wire."""
+"""The result of a probe, and its wire format."""
 
 import hashlib
 from dataclasses import dataclass
@@ -8,49 +8,49 @@
 FINGERPRINT_DIGITS = 12
 MAX_ERROR_LENGTH = 200
 MALFORMED_RESULT = "not a row"
-"""Text of the error, which a control node answers with."""
+"""Error text that a control node returns to the prober."""
 OBJECT_GONE_ERRORS = tuple(f"manifest status {status}" for status in (401, 403, 404, 410))
-"""Errors by which a server says that there is no such object, or no longer."""
+"""Errors that mean the server no longer offers the object."""
 
 
 class HealthError(Exception):
-    """Base of the errors of this package."""
+    """Base class of this package's errors."""
 
 
 class MalformedProbeResultError(HealthError, ValueError):
-    """Data from the wire is no probe result."""
+    """Data from the wire is not a valid probe result."""
 
 
 def watch_fingerprint(watch: Watch) -> str:
-    """Return what tells a watch from another of its name.
+    """Return a hash that identifies a version of a watch, since names are reused.
 
-    Results of one prove nothing about the other. It is taken from the watch's `repr`, so that all
-    nodes have to give its class and fields the same names.
+    It is derived from the watch's `repr`: the names of its class and fields must be the same on all
+    nodes.
     """
     return hashlib.sha256(repr(watch).encode()).hexdigest()[:FINGERPRINT_DIGITS]
 
 
 @dataclass(slots=True, eq=False)
 class ProbeResult:
-    """What one probe came to; the probe fills it in step by step.
+    """Result of one probe, filled in as its steps complete.
 
     Attributes:
         prober: name of the probing node.
-        machine: machine it runs on.
-        sequence: number of the probe at this prober.
+        machine: machine on which the prober runs.
+        sequence: sequence number of the probe at this prober.
         zone: zone of the edge.
         edge: name of the edge.
         watch: name of the watch.
-        cross_zone: whether the edge stands in another zone than the prober.
+        cross_zone: True if the prober is not assigned to the edge; see `ProbeTarget`.
         wall_time: seconds since 1970 by the prober's clock.
-        watch_fingerprint: tells this watch from another of its name, see `watch_fingerprint`.
-        started_at: monotonic time at which the probe began, by this process's clock, in seconds.
-        reachable: whether the edge answered.
-        manifest_valid: whether the first step succeeded.
-        object_fetchable: whether the second step succeeded.
-        age_seconds: age of the served object in seconds, None where unknown.
-        ttfb_ms: milliseconds to the first byte of the manifest, None without an answer.
-        error: why a step failed, empty where none did.
+        watch_fingerprint: fingerprint of the watch, see `watch_fingerprint`.
+        started_at: monotonic time in seconds at which the probe started, by this process's clock.
+        reachable: True if the edge responded.
+        manifest_valid: True if the first step succeeded.
+        object_fetchable: True if the second step succeeded.
+        age_seconds: age of the served object in seconds, None if unknown.
+        ttfb_ms: milliseconds to the first byte of the manifest, None without a response.
+        error: why a step failed, empty if none did.
     """
 
     prober: str
@@ -72,18 +72,18 @@
 
     @property
     def failed(self) -> bool:
-        """Whether a step of the probe failed."""
+        """True if a step of the probe failed."""
         return not (self.reachable and self.manifest_valid and self.object_fetchable)
 
     @property
     def gone(self) -> bool:
-        """Whether the server says that there is no such object, or no longer."""
+        """True if the server responded that it no longer offers the object."""
         return self.error in OBJECT_GONE_ERRORS
 
     def to_wire(self, now: float) -> list[object]:
         """Return the result as a list for the wire; see `decode_probe_result`.
 
-        When it began goes as seconds ago, since clocks of two nodes differ.
+        The start time is sent as an age in seconds, since the nodes' clocks differ.
         """
         return [
             self.prober,
@@ -105,7 +105,7 @@
         ]
 
     def to_dict(self) -> dict[str, object]:
-        """Return the result as the record of decisions shows it."""
+        """Return the result in the form stored as evidence in decisions."""
         return {
             "prober": self.prober,
             "machine": self.machine,
@@ -122,14 +122,14 @@
 
 
 def decode_probe_result(data: object, now: float) -> ProbeResult:
-    """Return a result from the list that `ProbeResult.to_wire` gives.
+    """Return the result encoded by `ProbeResult.to_wire`.
 
     Args:
-        data: the list.
-        now: monotonic time of this process, in seconds.
+        data: the decoded list.
+        now: monotonic time of this process in seconds.
 
     Raises:
-        MalformedProbeResultError: it has another form.
+        MalformedProbeResultError: the data has another shape.
     """
     match data:
         case [
@@ -140,27 +140,37 @@
             str(edge),
             str(watch),
             bool(cross_zone),
-            int() | float() as wall,
+            int() | float() as wall_time,
             int() | float() as seconds_ago,
             bool(reachable),
-            bool(valid),
-            bool(fetchable),
-            age,
-            ttfb,
+            bool(manifest_valid),
+            bool(object_fetchable),
+            age_seconds,
+            ttfb_ms,
             str(error),
             str(fingerprint),
         ]:
             result = ProbeResult(
-                prober, machine, sequence, zone, edge, watch, cross_zone, float(wall), fingerprint
+                prober,
+                machine,
+                sequence,
+                zone,
+                edge,
+                watch,
+                cross_zone,
+                float(wall_time),
+                fingerprint,
             )
             result.started_at = now - max(0.0, float(seconds_ago))
             result.reachable, result.manifest_valid, result.object_fetchable = (
                 reachable,
-                valid,
-                fetchable,
+                manifest_valid,
+                object_fetchable,
             )
-            result.age_seconds = float(age) if isinstance(age, int | float) else None
-            result.ttfb_ms = float(ttfb) if isinstance(ttfb, int | float) else None
+            result.age_seconds = (
+                float(age_seconds) if isinstance(age_seconds, int | float) else None
+            )
+            result.ttfb_ms = float(ttfb_ms) if isinstance(ttfb_ms, int | float) else None
             result.error = error[:MAX_ERROR_LENGTH]
             return result
         case _:
--- a/packages/health/ryelock/health/weights.py
+++ b/packages/health/ryelock/health/weights.py
@@ -1,9 +1,9 @@
-"""Each zone's share of visitors, from the requests that its edges report to have served.
+"""Each zone's share of the traffic, from the request counts that its edges report.
 
-Edges count requests of callers, probes left out, since their own start. The weights are the
-growth of those counts over a sliding window, so they follow the audience; a count that falls is a
-new start of that edge. Where nobody came yet all zones weigh the same, which is reported as an
-assumption.
+Edges count client requests, without probes, since their start. The weight of a zone is the growth
+of its edges' counts over a sliding window. Counts belong to one run of an edge, so a restarted edge
+starts a new counter. Without any traffic, all zones get the same weight, which is reported as
+assumed.
 """
 
 from collections import deque
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterSample:
-    """The requests that an edge had served at a moment.
+    """An edge's request count at one time.
 
     Attributes:
         taken_at: monotonic time in seconds.
-        served: requests since the edge's start.
+        served: requests served since the edge's start.
     """
 
     taken_at: float
@@ -28,12 +28,13 @@
 
 @dataclass(slots=True, eq=False)
 class EdgeCounter:
-    """Requests served by one run of one edge, sampled over the window.
+    """Request counts of one run of one edge, sampled over the window.
 
     Attributes:
         zone: zone of the edge.
-        total: requests since the edge's start.
-        samples: one at or before the start of the window, and those in it; oldest first.
+        total: requests served since the edge's start.
+        samples: the last sample at or before the start of the window, and those within it, oldest
+            first.
     """
 
     zone: str
@@ -41,18 +42,18 @@
     samples: deque[CounterSample] = field(default_factory=deque)
 
     def add(self, served: int, now: float) -> None:
-        """Take a count; an unchanged one needs no sample."""
+        """Add a count; an unchanged count adds no sample."""
         if not self.samples or served != self.total:
             self.samples.append(CounterSample(now, served))
         self.total = served
 
     def drop_before(self, start: float) -> None:
-        """Drop the samples that the window, which starts at `start`, no longer needs."""
+        """Drop samples that a window starting at `start` does not need."""
         while len(self.samples) > 1 and self.samples[1].taken_at <= start:
             self.samples.popleft()
 
     def is_unchanged_since(self, start: float) -> bool:
-        """Tell whether the edge served nothing in the window."""
+        """Return True if the edge has served no requests since `start`."""
         return self.samples[-1].taken_at < start
 
     def growth(self) -> int:
@@ -62,11 +63,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneShares:
-    """Each zone's share of visitors.
+    """Each zone's share of the traffic.
 
     Attributes:
-        weights: fractions that add up to one, by zone; empty where there is no zone.
-        assumed: whether they are only assumed, since no visitors were counted yet.
+        weights: fractions that add up to one, by zone; empty if there are no zones.
+        assumed: True if all zones were weighted equally for lack of traffic data.
     """
 
     weights: dict[str, float]
@@ -74,17 +75,17 @@
 
 
 class ZoneWeights:
-    """Counts of served requests by edge, from which each zone's fraction follows."""
+    """Computes each zone's share of the traffic from the edges' request counts."""
 
     __slots__ = ("counters", "window_seconds")
 
     def __init__(self, window_seconds: float) -> None:
-        """Create counters over a sliding window of so many seconds."""
+        """Create counters over a sliding window of `window_seconds`."""
         self.window_seconds = window_seconds
         self.counters: dict[str, EdgeCounter] = {}
 
     def sample(self, sessions: list[Session], now: float) -> None:
-        """Take the counts that edges' sessions report, and drop edges that left.
+        """Add the counts that edges' sessions report, and drop edges that left.
 
         Args:
             sessions: sessions of all members.
@@ -105,7 +106,7 @@
                     del self.counters[identity]
 
     def shares(self, zones: list[str]) -> ZoneShares:
-        """Return the share of each of the zones."""
+        """Return the traffic share of each of the zones."""
         if not zones:
             return ZoneShares({}, True)
         served = dict.fromkeys(zones, 0.0)
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -357,11 +357,11 @@
 
         def careless(target: Any, *arguments: Any) -> None:
             plain(target, *arguments)
-            target.failed = target.failures >= 1
+            target.failed = target.failure_count >= 1
 
         with (
             mock.patch.object(TargetHealth, "__init__", careless),
-            mock.patch("ryelock.health.evaluation.blind_probers", lambda *_rest: set()),
+            mock.patch("ryelock.health.evaluation.disconnected_probers", lambda *_rest: set()),
         ):
             scenario = standing(7)
             for other in scenario.edges:
