--- a/tests/edge/test_edge_catchup.py
+++ b/tests/edge/test_edge_catchup.py
@@ -1,4 +1,4 @@
-"""What an edge that was away is given: the smaller of the words it lacks and an image."""
+"""Catch-up of a returning edge: the leader sends the smaller of log commands and snapshot."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 def route_change(number: int, routes: int) -> dict[str, object]:
-    """A change that puts all routes anew, as large as the configuration itself."""
+    """Return a change that replaces all routes, as large as the configuration itself."""
     return {
         "id": f"c{number}",
         "base": number,
@@ -35,8 +35,8 @@
     consensus = lab.leader
     consensus.applier.state_machine = ReplicatedState()
     for number in range(changes):
-        word = encode_command("change", id=f"c{number}", change=route_change(number, routes))
-        assert consensus.applier.store([Entry(number + 1, 1, EntryKind.COMMAND, word)])
+        command = encode_command("change", id=f"c{number}", change=route_change(number, routes))
+        assert consensus.applier.store([Entry(number + 1, 1, EntryKind.COMMAND, command)])
         consensus.applier.advance(number + 1)
     assert isinstance(consensus.state_machine, ReplicatedState)
     assert consensus.state_machine.version == changes
@@ -44,65 +44,65 @@
 
 
 def updates_of(consensus: Consensus) -> ConfigurationUpdates:
-    """The leader's updates for edges, with nothing of it but consensus and replicated state."""
+    """Return the leader's updates for edges, over its consensus and replicated state only."""
     assert isinstance(consensus.state_machine, ReplicatedState)
     return ConfigurationUpdates(consensus, consensus.state_machine)
 
 
 class EdgeCatchUpTests(testtools.TestCase):
-    def test_many_large_words_give_way_to_an_image(self) -> None:
+    def test_a_snapshot_replaces_many_large_commands(self) -> None:
         updates = updates_of(leader_with(60, 50))
         since_one: Any = updates.update_since(1).to_wire()
         self.assertIn("image", since_one)
         edge = ReplicatedState()
         edge.restore(since_one["image"])
         self.assertEqual(60, edge.version)
-        words = updates.consensus.commands_since(1) or []
-        self.assertLess(len(cbor2.dumps(since_one)) * 10, sum(len(data) for _, data in words))
+        commands = updates.consensus.commands_since(1) or []
+        self.assertLess(len(cbor2.dumps(since_one)) * 10, sum(len(data) for _, data in commands))
 
-    def test_a_few_words_come_as_words(self) -> None:
+    def test_a_few_commands_are_sent_as_commands(self) -> None:
         updates = updates_of(leader_with(60, 50))
         self.assertIn("words", updates.update_since(59).to_wire())
         self.assertIn("image", updates.update_since(0).to_wire())
 
-    def test_many_small_words_come_as_words_where_the_image_is_larger(self) -> None:
+    def test_many_small_commands_are_sent_where_the_snapshot_is_larger(self) -> None:
         consensus = leader_with(1, 1500)
         for index in range(2, 900):
-            word = encode_command("drain", id=f"d{index}", target=f"edge{index % 2}", on=True)
-            self.assertTrue(consensus.applier.store([Entry(index, 1, EntryKind.COMMAND, word)]))
+            command = encode_command("drain", id=f"d{index}", target=f"edge{index % 2}", on=True)
+            self.assertTrue(consensus.applier.store([Entry(index, 1, EntryKind.COMMAND, command)]))
             consensus.applier.advance(index)
         updates = updates_of(consensus)
-        words = consensus.commands_since(1) or []
-        size = sum(len(data) for _, data in words)
+        commands = consensus.commands_since(1) or []
+        size = sum(len(data) for _, data in commands)
         self.assertTrue(MAX_COMMANDS_BYTES // 2 < size < len(updates.edge_snapshot()), size)
         self.assertIn("words", updates.update_since(1).to_wire())
 
-    def test_an_image_is_made_once_for_all_edges_that_return_together(self) -> None:
+    def test_one_snapshot_is_encoded_for_all_edges_that_return_together(self) -> None:
         updates = updates_of(leader_with(60, 50))
-        made = SimpleNamespace(count=0)
-        plain = ReplicatedState.edge_snapshot
+        encoded = SimpleNamespace(count=0)
+        original = ReplicatedState.edge_snapshot
 
         def counted(replicated_state: ReplicatedState) -> bytes:
-            made.count += 1
-            return plain(replicated_state)
+            encoded.count += 1
+            return original(replicated_state)
 
         with mock.patch.object(ReplicatedState, "edge_snapshot", counted):
             for _ in range(20):
                 self.assertIn("image", updates.update_since(1).to_wire())
             consensus = updates.consensus
-            note = encode_command("claim", key=b"key", order="order")
+            internal_command = encode_command("claim", key=b"key", order="order")
             self.assertTrue(
                 consensus.applier.store(
-                    [Entry(consensus.last_index + 1, 1, EntryKind.INTERNAL, note)]
+                    [Entry(consensus.last_index + 1, 1, EntryKind.INTERNAL, internal_command)]
                 )
             )
             consensus.applier.advance(consensus.last_index)
             answer = updates.update_since(1).to_wire()
-            self.assertEqual((1, consensus.applied_index), (made.count, answer["index"]))
-            word = encode_command("drain", id="d", target="edge", on=True)
+            self.assertEqual((1, consensus.applied_index), (encoded.count, answer["index"]))
+            command = encode_command("drain", id="d", target="edge", on=True)
             self.assertTrue(
                 consensus.applier.store(
-                    [Entry(consensus.last_index + 1, 1, EntryKind.COMMAND, word)]
+                    [Entry(consensus.last_index + 1, 1, EntryKind.COMMAND, command)]
                 )
             )
             consensus.applier.advance(consensus.last_index)
@@ -110,4 +110,4 @@
             answer = updates.update_since(1).to_wire()
             assert isinstance(answer["image"], bytes)
             edge.restore(answer["image"])
-        self.assertEqual((2, {"edge"}), (made.count, set(edge.drains)))
+        self.assertEqual((2, {"edge"}), (encoded.count, set(edge.drains)))
--- a/tests/edge/test_edge_lease.py
+++ b/tests/edge/test_edge_lease.py
@@ -1,4 +1,4 @@
-"""The lease under which an edge serves: it expires, is never shortened; a release is for good."""
+"""An edge's lease: it expires, is never shortened, and cannot be extended after its release."""
 
 import testtools
 
@@ -27,13 +27,13 @@
         self.assertFalse(self.lease.held)
         self.assertEqual(0.0, self.lease.seconds_left)
 
-    def test_an_answer_that_was_overtaken_does_not_shorten_it(self) -> None:
+    def test_a_response_out_of_order_does_not_shorten_it(self) -> None:
         now = self.node.scheduler.now()
         self.lease.extend(now + 2.0)
         self.lease.extend(now + 1.0)
         self.assertEqual(now + 2.0, self.lease.expires_at)
 
-    def test_a_released_lease_is_never_held_again(self) -> None:
+    def test_a_released_lease_cannot_be_extended(self) -> None:
         self.lease.extend(self.node.scheduler.now() + 1.0)
         self.lease.release()
         self.assertFalse(self.lease.held)
--- a/tests/edge/test_lapse.py
+++ b/tests/edge/test_lapse.py
@@ -1,4 +1,4 @@
-"""Serving after a term lapsed, both ways; coming back after all lost power; stopping; a SIGHUP."""
+"""Serving after the lease expired, recovery after a power loss, graceful stop, and SIGHUP."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 from ryelock.testing.scenario import Scenario
 
 
-def lapsing(seed: int, **settings: object) -> Scenario:
+def start_serve_lapsed(seed: int, **settings: object) -> Scenario:
     scenario = Scenario(
         seed,
         zones=2,
@@ -55,14 +55,14 @@
     return found.ok[0].status if found.is_ok() else 0
 
 
-class LapseTests(testtools.TestCase):
+class ServeLapsedTests(testtools.TestCase):
     def cut_off(self, scenario: Scenario, edge: str) -> None:
         for core in scenario.cores:
             scenario.world.cut(edge, core)
         scenario.world.run(6.0)
 
-    def test_an_edge_that_is_cut_off_goes_on_where_that_is_set(self) -> None:
-        scenario = lapsing(1)
+    def test_an_edge_that_is_cut_off_keeps_serving_with_serve_lapsed(self) -> None:
+        scenario = start_serve_lapsed(1)
         edge = scenario.edges[0]
         self.cut_off(scenario, edge)
         node = scenario.node(edge).traffic
@@ -73,15 +73,15 @@
             self.assertEqual(200, status_of(scenario, edge, f"/plain/{number}"))
         self.assertTrue(node.ready)
 
-    def test_an_edge_that_is_cut_off_declines_by_default(self) -> None:
-        scenario = lapsing(1, serve_lapsed=False)
+    def test_an_edge_that_is_cut_off_rejects_requests_by_default(self) -> None:
+        scenario = start_serve_lapsed(1, serve_lapsed=False)
         edge = scenario.edges[0]
         self.cut_off(scenario, edge)
         self.assertEqual(503, status_of(scenario, edge, "/plain/1"))
         self.assertFalse(scenario.node(edge).traffic.ready)
 
-    def test_an_edge_that_knows_no_configuration_declines(self) -> None:
-        scenario = lapsing(2)
+    def test_an_edge_without_a_configuration_rejects_requests(self) -> None:
+        scenario = start_serve_lapsed(2)
         edge = scenario.edges[0]
         scenario.world.kill(edge, True)
         for core in scenario.cores:
@@ -91,8 +91,8 @@
         self.assertEqual(503, status_of(scenario, edge, "/plain/1"))
         self.assertFalse(scenario.node(edge).traffic.ready)
 
-    def test_one_that_comes_back_follows_what_it_missed(self) -> None:
-        scenario = lapsing(3)
+    def test_a_returning_edge_applies_the_changes_that_it_missed(self) -> None:
+        scenario = start_serve_lapsed(3)
         edge = scenario.edges[0]
         self.cut_off(scenario, edge)
         changed = scenario.world.task(
@@ -104,8 +104,8 @@
         scenario.world.run(2.0)
         self.assertEqual(200, status_of(scenario, edge, "/later"))
 
-    def test_an_edge_that_is_cut_off_holds_no_change_up(self) -> None:
-        scenario = lapsing(4)
+    def test_an_edge_that_is_cut_off_does_not_delay_a_change(self) -> None:
+        scenario = start_serve_lapsed(4)
         for core in scenario.cores:
             scenario.world.cut(scenario.edges[0], core)
         before = scenario.world.time
@@ -116,16 +116,16 @@
         self.assertLess(scenario.world.time - before, 1.0)
 
 
-class PowerTests(testtools.TestCase):
-    def lose_all(self, scenario: Scenario) -> float:
-        """All lose power and come back; how long until every edge serves again."""
+class PowerLossTests(testtools.TestCase):
+    def recovery_seconds(self, scenario: Scenario) -> float:
+        """Cut and restore power of all nodes; return the seconds until every edge serves again."""
         for name in (*scenario.cores, *scenario.edges):
             scenario.world.kill(name, True)
         scenario.world.run(1.0)
         for name in (*scenario.cores, *scenario.edges):
             scenario.start(name)
         started = scenario.world.time
-        back = scenario.world.run_until(
+        recovered = scenario.world.run_until(
             lambda: all(
                 scenario.node(name).traffic.ready
                 and (quota := scenario.node(name).traffic.quota) is not None
@@ -134,35 +134,41 @@
             ),
             20,
         )
-        self.assertTrue(back)
+        self.assertTrue(recovered)
         return scenario.world.time - started
 
-    def test_all_are_back_before_an_election_of_the_usual_length_could_end(self) -> None:
-        found = [self.lose_all(lapsing(seed)) for seed in range(10, 16)]
-        self.assertLess(sorted(found)[len(found) // 2], 0.5, found)
+    def test_all_edges_serve_before_an_election_of_the_usual_length_could_end(self) -> None:
+        seconds = [self.recovery_seconds(start_serve_lapsed(seed)) for seed in range(10, 16)]
+        self.assertLess(sorted(seconds)[len(seconds) // 2], 0.5, seconds)
 
-    def test_where_terms_bind_shares_wait_for_a_term(self) -> None:
-        found = [self.lose_all(lapsing(seed, serve_lapsed=False)) for seed in range(10, 13)]
-        self.assertGreater(min(found), 1.5, found)
+    def test_without_serve_lapsed_shares_wait_for_a_lease(self) -> None:
+        seconds = [
+            self.recovery_seconds(start_serve_lapsed(seed, serve_lapsed=False))
+            for seed in range(10, 13)
+        ]
+        self.assertGreater(min(seconds), 1.5, seconds)
 
-    def test_the_usual_wait_before_an_election_costs_it(self) -> None:
-        """Take-out: with the first election as late as later ones, the return is late too."""
+    def test_the_usual_first_election_timeout_delays_recovery(self) -> None:
+        """Check the effect of the short first timeout by removing it."""
         reset = ElectionTimer.reset
 
-        def usual(timer: ElectionTimer) -> None:
-            heard_at = timer.state.leader_heard_at
-            timer.state.leader_heard_at = -1e6 if heard_at is None else heard_at
+        def reset_to_usual(timer: ElectionTimer) -> None:
+            leader_heard_at = timer.state.leader_heard_at
+            timer.state.leader_heard_at = -1e6 if leader_heard_at is None else leader_heard_at
             reset(timer)
-            timer.state.leader_heard_at = heard_at
+            timer.state.leader_heard_at = leader_heard_at
 
-        with mock.patch.object(ElectionTimer, "reset", usual):
-            found = [self.lose_all(lapsing(seed)) for seed in range(10, 16)]
-        self.assertGreater(sorted(found)[len(found) // 2], 0.7, found)
+        with mock.patch.object(ElectionTimer, "reset", reset_to_usual):
+            seconds = [self.recovery_seconds(start_serve_lapsed(seed)) for seed in range(10, 16)]
+        self.assertGreater(sorted(seconds)[len(seconds) // 2], 0.7, seconds)
 
 
 class SpareShareTests(testtools.TestCase):
-    def test_a_spare_share_fits_beside_what_others_hold(self) -> None:
-        """100 a second, held by one edge; nine that hold nothing, for 0.6 s, within 5 s x 1.1."""
+    def test_a_spare_share_stays_within_the_rate_that_others_hold(self) -> None:
+        """One edge holds the rate of 100/s; nine edges spend spare shares for 0.6 s.
+
+        All together stay within 110% of the rate over 5 s.
+        """
         allocator = QuotaAllocator()
         edges = [f"edge{number}" for number in range(10)]
         holder = QuotaRequest("s", 100.0, 0.2, "edge0", current_share=100.0)
@@ -176,14 +182,14 @@
         self.assertGreater(spare, 0.0)
         self.assertLessEqual(100.0 * 5 + spare * 0.6, 100.0 * 5 * 1.1)
 
-    def test_without_it_an_edge_that_holds_nothing_gets_nothing(self) -> None:
+    def test_without_spare_shares_an_edge_that_holds_nothing_gets_nothing(self) -> None:
         request = QuotaRequest("s", 100.0, 0.2, "a", current_share=0.0)
         self.assertEqual(0.0, QuotaAllocator().share(request, ["a"], 0.0, 1.5, False))
 
 
 class StopTests(testtools.TestCase):
-    def test_a_stopping_edge_takes_links_until_callers_know(self) -> None:
-        scenario = lapsing(5, linger_seconds=2.0, stop_seconds=5.0)
+    def test_a_stopping_edge_accepts_connections_while_it_lingers(self) -> None:
+        scenario = start_serve_lapsed(5, linger_seconds=2.0, stop_seconds=5.0)
         edge = scenario.edges[0]
         node = scenario.node(edge)
         node.scheduler.create_task(node.traffic.stop(), name="stop")
@@ -195,7 +201,7 @@
 
 
 class SignalTests(testtools.TestCase):
-    def test_a_hangup_ends_no_process(self) -> None:
+    def test_sighup_does_not_end_the_process(self) -> None:
         folder = Path(tempfile.mkdtemp())
         file = folder / "core.json"
         file.write_text(
@@ -225,7 +231,7 @@
         )
         try:
             assert process.stderr is not None
-            self.assertIn(b"process started", self.line(process))
+            self.assertIn(b"process started", self.read_log_line(process))
             os.kill(process.pid, signal.SIGHUP)
             os.kill(process.pid, signal.SIGTERM)
             self.assertEqual(0, process.wait(30))
@@ -233,9 +239,9 @@
             process.kill()
             process.communicate()
 
-    def line(self, process: "subprocess.Popen[bytes]") -> bytes:
+    def read_log_line(self, process: "subprocess.Popen[bytes]") -> bytes:
         assert process.stderr is not None
         with selectors.DefaultSelector() as selector:
             selector.register(process.stderr, selectors.EVENT_READ)
-            self.assertTrue(selector.select(30), "no line from the process")
+            self.assertTrue(selector.select(30), "the process wrote no log line")
         return process.stderr.readline()
--- a/tests/edge/test_session_messages.py
+++ b/tests/edge/test_session_messages.py
@@ -1,4 +1,4 @@
-"""Renewals on the wire: names and order of the keys, and answers that are not taken."""
+"""Wire format of renewals: names and order of the keys, and rejection of malformed responses."""
 
 import testtools
 
@@ -34,17 +34,17 @@
 
 
 class RequestTests(testtools.TestCase):
-    def test_a_renewal_has_its_keys_in_their_order(self) -> None:
+    def test_a_renewal_has_its_keys_in_order(self) -> None:
         expected = {"kind": "renew", "hold": 0.15, **REPORT_ON_THE_WIRE}
         self.assertEqual(list(expected.items()), list(renewal_request(REPORT, 0.15).items()))
 
-    def test_a_quorum_lease_has_its_keys_in_their_order(self) -> None:
+    def test_a_quorum_lease_request_has_its_keys_in_order(self) -> None:
         expected = {"kind": "council.promise", "seconds": 1.5, **REPORT_ON_THE_WIRE}
         self.assertEqual(list(expected.items()), list(quorum_lease_request(REPORT, 1.5).items()))
 
 
 class ResponseTests(testtools.TestCase):
-    def test_an_unconfirmed_answer_grants_no_lease_and_brings_no_state(self) -> None:
+    def test_an_unconfirmed_response_grants_no_lease_and_carries_no_state(self) -> None:
         answer = {"ok": True, "age": 0.5, "term": False, "words": [], "index": 3}
         response = decode(RenewalResponse, answer)
         self.assertFalse(response.confirmed)
@@ -52,9 +52,9 @@
         self.assertIsNone(response.shares)
         self.assertEqual((0.5, 3, []), (response.majority_age, response.index, response.entries))
 
-    def test_an_answer_with_a_part_of_another_type_is_malformed(self) -> None:
-        sound: dict[str, object] = {"ok": True, "age": 0.5, "term": True, "index": 3}
-        decode(RenewalResponse, sound)
+    def test_a_response_with_a_field_of_another_type_is_malformed(self) -> None:
+        valid: dict[str, object] = {"ok": True, "age": 0.5, "term": True, "index": 3}
+        decode(RenewalResponse, valid)
         for faulty in (
             {"age": "soon"},
             {"index": -1},
@@ -68,5 +68,5 @@
         ):
             with self.subTest(faulty=faulty):
                 self.assertRaises(
-                    MalformedMessageError, decode, RenewalResponse, {**sound, **faulty}
+                    MalformedMessageError, decode, RenewalResponse, {**valid, **faulty}
                 )
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -1,4 +1,4 @@
-"""The health design by real probes in the simulator: what is down, stale, unknown, and is not."""
+"""Health status from real probes in the simulator: down, stale, unknown and healthy zones."""
 
 from typing import Any
 from unittest import mock
@@ -12,10 +12,10 @@
 from ryelock.testing.checks import Findings, ProbeRecord, ZoneDown, check_downs
 from ryelock.testing.scenario import CONFIGURATION, Scenario
 
-Plain = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
-def verdict(scenario: Scenario) -> Plain:
+def verdict(scenario: Scenario) -> JsonObject:
     leader = scenario.leader()
     return dict(scenario.node(leader).core.replicated_state.verdict) if leader else {}
 
@@ -25,7 +25,7 @@
     return str(zones[zone]["verdict"]) if zones and zone in zones else ""
 
 
-def standing(seed: int, **arguments: Any) -> Scenario:
+def start_scenario(seed: int, **arguments: Any) -> Scenario:
     scenario = Scenario(seed, **arguments)
     scenario.set_up()
     scenario.start_callers(8, 3.0, 0)
@@ -43,12 +43,12 @@
 
 
 class HealthTests(testtools.TestCase):
-    def holds(self, scenario: Scenario) -> None:
+    def assert_no_violations(self, scenario: Scenario) -> None:
         self.assertEqual([], scenario.findings().violations)
 
-    def test_a_dead_zone_is_down_and_comes_back(self) -> None:
+    def test_a_failed_zone_is_down_and_recovers(self) -> None:
         for seed in (1, 2, 3):
-            scenario = standing(seed)
+            scenario = start_scenario(seed)
             self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
             for name in scenario.edges[:2]:
                 scenario.world.kill(name, seed % 2 == 0)
@@ -74,11 +74,11 @@
                     15,
                 )
             )
-            self.holds(scenario)
+            self.assert_no_violations(scenario)
 
-    def test_a_zone_that_dies_with_the_leader_is_found(self) -> None:
+    def test_a_zone_that_fails_with_the_leader_is_down(self) -> None:
         for seed in (19, 20, 21):
-            scenario = standing(seed)
+            scenario = start_scenario(seed)
             for name in [*scenario.edges[:2], scenario.leader()]:
                 scenario.world.kill(name, True)
             self.assertTrue(
@@ -90,29 +90,29 @@
                 ),
                 f"seed {seed}",
             )
-            self.holds(scenario)
+            self.assert_no_violations(scenario)
 
-    def test_an_edge_that_said_goodbye_is_not_missed(self) -> None:
-        scenario = standing(22)
+    def test_an_edge_that_left_is_not_lost(self) -> None:
+        scenario = start_scenario(22)
         node = scenario.node(scenario.edges[0])
         scenario.world.task(node, node.traffic.stop(), 20)
         scenario.world.kill(scenario.edges[0])
         scenario.world.run(8)
         for name in scenario.cores:
             self.assertEqual({}, scenario.node(name).core.membership.lost())
-        self.holds(scenario)
+        self.assert_no_violations(scenario)
 
-    def test_one_dead_edge_of_four_does_not_make_a_zone_down(self) -> None:
-        scenario = standing(4, zones=1, edges=4)
+    def test_one_failed_edge_of_four_does_not_make_a_zone_down(self) -> None:
+        scenario = start_scenario(4, zones=1, edges=4)
         scenario.world.kill(scenario.edges[0])
         for _ in range(20):
             scenario.world.run(1)
             self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
         self.assertIn(scenario.edges[0], verdict(scenario)["zones"]["zone0"]["reason"])
-        self.holds(scenario)
+        self.assert_no_violations(scenario)
 
     def test_a_wrong_watch_proves_nothing(self) -> None:
-        scenario = standing(5)
+        scenario = start_scenario(5)
         apply(
             scenario,
             watches={"wrong": {"route": "plain", "object": "/plain/none", "marker": "NEVER THERE"}},
@@ -129,19 +129,19 @@
         self.assertEqual(200, status)
         scenario.world.run(15)
         self.assertEqual("unknown", zone_verdict(scenario, "zone0"))
-        self.holds(scenario)
+        self.assert_no_violations(scenario)
 
-    def test_one_machine_is_never_enough(self) -> None:
-        scenario = standing(6, zones=1, probers=1)
+    def test_failures_seen_by_one_machine_make_no_zone_down(self) -> None:
+        scenario = start_scenario(6, zones=1, probers=1)
         for name in scenario.edges:
             scenario.world.kill(name)
         scenario.world.run(20)
         self.assertNotEqual("down", zone_verdict(scenario, "zone0"))
-        self.holds(scenario)
+        self.assert_no_violations(scenario)
 
-    def test_probers_elsewhere_stand_in_for_a_zone_that_lost_its_own(self) -> None:
+    def test_probers_of_other_zones_substitute_for_lost_ones(self) -> None:
         for seed in (17, 18):
-            scenario = standing(seed)
+            scenario = start_scenario(seed)
             for name in [*scenario.edges[:2], *scenario.probers[:2]]:
                 scenario.world.kill(name, True)
             self.assertTrue(
@@ -154,19 +154,19 @@
                 f"seed {seed}",
             )
             self.assertEqual("healthy", zone_verdict(scenario, "zone1"))
-            self.holds(scenario)
+            self.assert_no_violations(scenario)
 
-    def test_a_blind_prober_is_no_evidence(self) -> None:
-        scenario = standing(7)
-        blind = scenario.probers[0]
-        for other in scenario.edges:
-            scenario.world.cut(blind, other)
+    def test_failures_of_a_disconnected_prober_do_not_count(self) -> None:
+        scenario = start_scenario(7)
+        disconnected = scenario.probers[0]
+        for edge in scenario.edges:
+            scenario.world.cut(disconnected, edge)
         for _ in range(45):
             scenario.world.run(1)
             self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
         targets = verdict(scenario)["zones"]["zone0"]["targets"]
         self.assertEqual([], [target for target in targets if target["failing_machines"]])
-        self.holds(scenario)
+        self.assert_no_violations(scenario)
 
     def test_a_stale_zone_is_found_by_the_etag_and_by_the_servers_dates(self) -> None:
         for dating in ("etag", "date", "last-modified"):
@@ -206,7 +206,7 @@
             self.assertEqual("stale", verdict(scenario)["network"])
 
     def test_unknown_age_is_no_failure(self) -> None:
-        scenario = standing(9, settings={"stale_seconds": 2.0})
+        scenario = start_scenario(9, settings={"stale_seconds": 2.0})
         for server in scenario.servers.values():
             server.tagged = server.dated = False
         status, _ = scenario.ask_now(
@@ -217,10 +217,10 @@
         zone = verdict(scenario)["zones"]["zone0"]
         self.assertEqual("healthy", zone["verdict"])
         self.assertIsNone(zone["worst_age_seconds"])
-        self.holds(scenario)
+        self.assert_no_violations(scenario)
 
     def test_wrong_clocks_make_nothing_stale(self) -> None:
-        scenario = standing(10, settings={"stale_seconds": 20.0})
+        scenario = start_scenario(10, settings={"stale_seconds": 20.0})
         routes = dict(CONFIGURATION["routes"]["covers"])  # type: ignore[index]
         apply(
             scenario,
@@ -235,13 +235,13 @@
         for _ in range(15):
             scenario.world.run(1)
             self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
-        self.holds(scenario)
+        self.assert_no_violations(scenario)
 
     def test_weights_follow_visitors(self) -> None:
         scenario = Scenario(11)
         scenario.set_up()
-        near = scenario.edges[:2]
-        with mock.patch.object(Scenario, "ready_edges", lambda _scenario: near):
+        zone0_edges = scenario.edges[:2]
+        with mock.patch.object(Scenario, "ready_edges", lambda _scenario: zone0_edges):
             scenario.start_callers(8, 5.0, 0)
             scenario.world.run(6)
             self.assertFalse(verdict(scenario)["weights_assumed"])
@@ -255,19 +255,19 @@
 
     def test_the_aggregator_is_replaced_and_fenced(self) -> None:
         for seed in (12, 13, 14):
-            scenario = standing(seed)
+            scenario = start_scenario(seed)
             replicated_state = scenario.node(scenario.leader()).core.replicated_state
-            duty = replicated_state.singletons["aggregator"]
-            scenario.world.freeze(duty.owner, True)
+            role = replicated_state.singletons["aggregator"]
+            scenario.world.freeze(role.owner, True)
             self.assertTrue(
                 scenario.world.run_until(
                     lambda scenario=scenario,  # type: ignore
-                    epoch=duty.fencing_token: (
+                    fencing_token=role.fencing_token: (
                         scenario.leader() != ""
                         and scenario.node(scenario.leader())
                         .core.replicated_state.singletons["aggregator"]
                         .fencing_token
-                        > epoch
+                        > fencing_token
                     ),
                     20,
                 )
@@ -275,32 +275,32 @@
             scenario.world.run(5)
             self.assertEqual("healthy", zone_verdict(scenario, "zone0"))
             before = verdict(scenario)["epoch"]
-            old = scenario.node(duty.owner)
-            scenario.world.freeze(duty.owner, False)
+            former_owner = scenario.node(role.owner)
+            scenario.world.freeze(role.owner, False)
             scenario.world.run(0.2)
-            leads = scenario.node(scenario.leader())
-            found = scenario.world.task(
-                old,
-                old.core.decisions.submit(
+            leader = scenario.node(scenario.leader())
+            committed = scenario.world.task(
+                former_owner,
+                former_owner.core.decisions.submit(
                     {
-                        "clock": [leads.core.consensus.disk, leads.scheduler.now()],
+                        "clock": [leader.core.consensus.disk, leader.scheduler.now()],
                         "kind": "decision",
-                        "holder": duty.owner,
-                        "epoch": duty.fencing_token,
+                        "holder": role.owner,
+                        "epoch": role.fencing_token,
                         "verdict": {"network": "down", "zones": {}},
                     }
                 ),
                 10,
             )
-            self.assertFalse(found)
+            self.assertFalse(committed)
             scenario.world.run(3)
             self.assertGreaterEqual(verdict(scenario)["epoch"], before)
             self.assertNotEqual("down", verdict(scenario)["network"])
-            self.assertIn(ROLE_FENCED.number, [number for number, _ in old.log.records])
-            self.holds(scenario)
+            self.assertIn(ROLE_FENCED.number, [number for number, _ in former_owner.log.records])
+            self.assert_no_violations(scenario)
 
     def test_edges_of_a_down_zone_are_not_ready_while_another_serves(self) -> None:
-        scenario = standing(15)
+        scenario = start_scenario(15)
         servers = [name for name in scenario.world.nodes if name.startswith(("pages", "desks"))]
         for name in scenario.edges[:2]:
             for server in servers:
@@ -321,10 +321,10 @@
         )
         scenario.world.run(1)
         self.assertTrue(all(scenario.node(name).traffic.ready for name in scenario.edges))
-        self.holds(scenario)
+        self.assert_no_violations(scenario)
 
     def test_drain_declines_what_the_network_needs(self) -> None:
-        scenario = standing(16)
+        scenario = start_scenario(16)
         for name in scenario.edges[2:]:
             scenario.world.kill(name)
         self.assertTrue(
@@ -352,26 +352,26 @@
             ["drain", "recover", "drain"], [kind for kind in kinds if kind != "verdict"]
         )
 
-    def test_a_quorum_of_one_machine_breaks_the_rule(self) -> None:
-        plain = TargetHealth.__init__
+    def test_without_a_quorum_the_checker_finds_violations(self) -> None:
+        original = TargetHealth.__init__
 
-        def careless(target: Any, *arguments: Any) -> None:
-            plain(target, *arguments)
+        def without_quorum(target: Any, *arguments: Any) -> None:
+            original(target, *arguments)
             target.failed = target.failure_count >= 1
 
         with (
-            mock.patch.object(TargetHealth, "__init__", careless),
+            mock.patch.object(TargetHealth, "__init__", without_quorum),
             mock.patch("ryelock.health.evaluation.disconnected_probers", lambda *_rest: set()),
         ):
-            scenario = standing(7)
-            for other in scenario.edges:
-                scenario.world.cut(scenario.probers[0], other)
+            scenario = start_scenario(7)
+            for edge in scenario.edges:
+                scenario.world.cut(scenario.probers[0], edge)
             scenario.world.run(10)
         rules = {line.partition(":")[0] for line in scenario.findings().violations}
         self.assertIn("downs", rules)
 
-    def failed_in_a_crowd(self, seed: int) -> int:
-        """Readers come at six times a service's rate; nothing else is wrong."""
+    def failed_probes_under_overload(self, seed: int) -> int:
+        """Return the failed probes at six times a service's rate, without any other fault."""
         scenario = Scenario(seed, settings={"probe_seconds": 2.0, "probe_timeout": 1.9})
         scenario.service_rates = {"pages": 40.0, "desks": 20.0}
         scenario.set_up()
@@ -381,35 +381,37 @@
         since = scenario.world.time
         scenario.start_callers(80, 3.0, 0)
         scenario.world.run(25)
-        self.holds(scenario)
+        self.assert_no_violations(scenario)
         self.assertEqual([], scenario.downs)
         return sum(probe.failed and probe.at >= since for probe in scenario.probed())
 
-    def test_probes_go_before_a_crowd(self) -> None:
-        failed = sum(self.failed_in_a_crowd(seed) for seed in (1, 2, 3))
-        plain = AdmissionQueue.acquire
+    def test_probes_take_precedence_under_overload(self) -> None:
+        failed = sum(self.failed_probes_under_overload(seed) for seed in (1, 2, 3))
+        original = AdmissionQueue.acquire
 
-        async def enter(
-            gate: AdmissionQueue, route: str, share: float, queue_timeout: float, _first: bool
+        async def acquire_without_precedence(
+            queue: AdmissionQueue, route: str, share: float, queue_timeout: float, _first: bool
         ) -> Any:
-            return await plain(gate, route, share, queue_timeout, False)
+            return await original(queue, route, share, queue_timeout, False)
 
-        with mock.patch.object(AdmissionQueue, "acquire", enter):
-            behind = sum(self.failed_in_a_crowd(seed) for seed in (1, 2, 3))
-        self.assertGreater(behind, 5 * max(1, failed))
+        with mock.patch.object(AdmissionQueue, "acquire", acquire_without_precedence):
+            failed_without_precedence = sum(
+                self.failed_probes_under_overload(seed) for seed in (1, 2, 3)
+            )
+        self.assertGreater(failed_without_precedence, 5 * max(1, failed))
 
-    def test_only_a_members_probe_is_one(self) -> None:
-        scenario = standing(60)
+    def test_only_probes_with_a_members_secret_are_accepted(self) -> None:
+        scenario = start_scenario(60)
         node = scenario.node(scenario.edges[0]).traffic
         assert node.handler is not None
-        mark = scenario.node(scenario.probers[0]).traffic.session.probe_secret
+        secret = scenario.node(scenario.probers[0]).traffic.session.probe_secret
         name = scenario.probers[0].encode()
-        self.assertTrue(node.handler.router.is_probe(name + b" " + mark.encode()))
-        for said in (None, b"", b"x", name, name + b" ", name + b" 0123456789abcdef"):
-            self.assertFalse(node.handler.router.is_probe(said))
+        self.assertTrue(node.handler.router.is_probe(name + b" " + secret.encode()))
+        for credentials in (None, b"", b"x", name, name + b" ", name + b" 0123456789abcdef"):
+            self.assertFalse(node.handler.router.is_probe(credentials))
 
-    def test_the_checker_finds_planted_downs(self) -> None:
-        def rows(count: int, machines: int) -> list[ProbeRecord]:
+    def test_the_checker_finds_unjustified_down_statuses(self) -> None:
+        def failed_results(count: int, machines: int) -> list[ProbeRecord]:
             return [
                 ProbeRecord(
                     10.0 + number,
@@ -423,90 +425,98 @@
                 for number in range(count)
             ]
 
-        def named(probed: list[ProbeRecord], at: float) -> list[Plain]:
+        def evidence_of(probed: list[ProbeRecord], at: float) -> list[JsonObject]:
             return [
                 {
-                    "prober": row.prober,
-                    "machine": row.machine,
-                    "sequence": row.sequence,
-                    "seconds_ago": at - row.at,
+                    "prober": record.prober,
+                    "machine": record.machine,
+                    "sequence": record.sequence,
+                    "seconds_ago": at - record.at,
                 }
-                for row in probed
+                for record in probed
             ]
 
-        def broken(probed: list[ProbeRecord], evidence: list[Plain], at: float = 15.0) -> bool:
-            found = Findings()
+        def is_violation(
+            probed: list[ProbeRecord], evidence: list[JsonObject], at: float = 15.0
+        ) -> bool:
+            findings = Findings()
             check_downs(
-                found,
+                findings,
                 [ZoneDown(at, "z", ["e"], [{"edge": "e", "watch": "w", "failed_rows": evidence}])],
                 probed,
                 late=2.5,
             )
-            return bool(found.violations)
-
-        good = rows(4, 2)
-        self.assertFalse(broken(good, named(good, 15.0)))
-        self.assertTrue(broken(good, named(good[:2], 15.0)), "two fetches")
-        self.assertTrue(broken(rows(4, 1), named(rows(4, 1), 15.0)), "one machine")
-        self.assertTrue(broken(good[1:], named(good, 15.0)), "a fetch that was not")
-        self.assertTrue(broken(good, named([*good[:2], good[0]], 15.0)), "one twice")
-        self.assertTrue(broken(good, named(good, 15.0), 20.0), "a verdict that came late")
+            return bool(findings.violations)
+
+        good = failed_results(4, 2)
+        self.assertFalse(is_violation(good, evidence_of(good, 15.0)))
+        self.assertTrue(is_violation(good, evidence_of(good[:2], 15.0)), "only two failures")
+        self.assertTrue(
+            is_violation(failed_results(4, 1), evidence_of(failed_results(4, 1), 15.0)),
+            "only one machine",
+        )
+        self.assertTrue(
+            is_violation(good[1:], evidence_of(good, 15.0)), "a probe that did not take place"
+        )
+        self.assertTrue(
+            is_violation(good, evidence_of([*good[:2], good[0]], 15.0)), "the same probe twice"
+        )
+        self.assertTrue(is_violation(good, evidence_of(good, 15.0), 20.0), "an outdated verdict")
         good[3].failed = False
-        self.assertTrue(broken(good, named(good, 15.0)), "a fetch that did not fail")
+        self.assertTrue(is_violation(good, evidence_of(good, 15.0)), "a probe that did not fail")
 
-    def test_a_late_verdict_is_declined(self) -> None:
-        """The aggregator's word hangs on a cut path, within its epoch."""
-        for late, wanted in ((True, False), (False, True)):
+    def test_an_outdated_verdict_is_rejected(self) -> None:
+        """A decision is delayed by a network fault while its fencing token is still valid."""
+        for checked, expected in ((True, False), (False, True)):
             with mock.patch.object(
                 HealthDecisions,
                 "is_recent",
-                HealthDecisions.is_recent if late else lambda *_arguments: True,
+                HealthDecisions.is_recent if checked else lambda *_arguments: True,
             ):
-                broken = any(self.late_verdict(seed) for seed in range(30, 36))
-            self.assertEqual(wanted, broken)
+                violated = any(self.outdated_verdict_commits(seed) for seed in range(30, 36))
+            self.assertEqual(expected, violated)
 
-    def late_verdict(self, seed: int) -> bool:
-        scenario = standing(seed)
+    def outdated_verdict_commits(self, seed: int) -> bool:
+        """Delay a decision that a zone is down; return True if it violates the down rule."""
+        scenario = start_scenario(seed)
         scenario.late_most = 0.5
-        leads = scenario.leader()
-        holder = scenario.node(leads).core.replicated_state.singletons["aggregator"].owner
-        if holder == leads:
+        leader = scenario.leader()
+        owner = scenario.node(leader).core.replicated_state.singletons["aggregator"].owner
+        if owner == leader:
             return False
         for name in scenario.edges[:2]:
             scenario.world.kill(name)
-        aggregator = scenario.node(holder).core.aggregator
+        aggregator = scenario.node(owner).core.aggregator
         scenario.world.run_until(lambda: aggregator.evaluate().zones["zone0"].status == "down", 9)
-        scenario.world.cut(holder, leads, False)
+        scenario.world.cut(owner, leader, False)
         scenario.world.run(2.95)
         scenario.world.heal()
         scenario.world.run(4.0)
         return any(line.startswith("downs") for line in scenario.findings().violations)
 
-    def test_what_is_cut_off_makes_no_zone_down(self) -> None:
-        """Isolated edge, isolated prober, prober blind in one direction, one prober left, unknown
-        ages among failures, clocks off by minutes, a watch changed midway."""
-        for number, act in enumerate(
+    def test_partial_faults_make_no_zone_down(self) -> None:
+        for number, inject_fault in enumerate(
             (
                 isolated_edge,
                 isolated_prober,
-                blind_one_way,
-                one_prober,
-                undated_failures,
-                clocks_off,
-                watch_changed,
+                prober_cut_one_way,
+                one_prober_left,
+                failures_with_unknown_ages,
+                wrong_clocks,
+                changed_watch,
             )
         ):
-            scenario = standing(40 + number)
-            act(scenario)
+            scenario = start_scenario(40 + number)
+            inject_fault(scenario)
             for _ in range(16):
                 scenario.world.run(1)
                 for zone in scenario.zones:
-                    self.assertNotEqual("down", zone_verdict(scenario, zone), act.__name__)
-            self.holds(scenario)
+                    self.assertNotEqual("down", zone_verdict(scenario, zone), inject_fault.__name__)
+            self.assert_no_violations(scenario)
 
-    def test_the_sources_defaults_find_a_dead_zone_and_nothing_else(self) -> None:
+    def test_the_published_defaults_find_only_a_failed_zone(self) -> None:
         for seed in (50, 51):
-            scenario = standing(seed, settings={"probe_seconds": 30.0, "probe_timeout": 6.0})
+            scenario = start_scenario(seed, settings={"probe_seconds": 30.0, "probe_timeout": 6.0})
             scenario.world.run(130)
             for zone in scenario.zones:
                 self.assertEqual("healthy", zone_verdict(scenario, zone))
@@ -521,7 +531,7 @@
                 )
             )
             self.assertEqual("healthy", zone_verdict(scenario, "zone1"))
-            self.holds(scenario)
+            self.assert_no_violations(scenario)
 
 
 def isolated_edge(scenario: Scenario) -> None:
@@ -532,30 +542,30 @@
     scenario.world.isolate(scenario.probers[0])
 
 
-def blind_one_way(scenario: Scenario) -> None:
+def prober_cut_one_way(scenario: Scenario) -> None:
     for edge in scenario.edges:
         scenario.world.cut(edge, scenario.probers[0], False)
 
 
-def one_prober(scenario: Scenario) -> None:
-    """Edges die, one prober of their zone is left, and none elsewhere can stand in."""
+def one_prober_left(scenario: Scenario) -> None:
+    """Kill a zone's edges and all probers but one, so that no other can substitute."""
     for name in [*scenario.edges[:2], *scenario.probers[1:]]:
         scenario.world.kill(name)
 
 
-def undated_failures(scenario: Scenario) -> None:
+def failures_with_unknown_ages(scenario: Scenario) -> None:
     for server in list(scenario.servers.values())[::2]:
         server.tagged = server.dated = False
     scenario.world.kill(scenario.edges[0])
 
 
-def clocks_off(scenario: Scenario) -> None:
+def wrong_clocks(scenario: Scenario) -> None:
     for number, node in enumerate(scenario.world.nodes.values()):
         node.clock.error = [0.0, 400.0, -4000.0][number % 3]
     scenario.world.kill(scenario.edges[1])
 
 
-def watch_changed(scenario: Scenario) -> None:
+def changed_watch(scenario: Scenario) -> None:
     apply(
         scenario,
         watches={
