--- a/packages/edge/ryelock/edge/member.py
+++ b/packages/edge/ryelock/edge/member.py
@@ -109,7 +109,7 @@
         """Release an idempotency key; see `IdempotencyClaims.release`."""
         await self.claims.release(key, request)
 
-    def verdicts(self) -> dict[str, str]:
+    def zone_statuses(self) -> dict[str, str]:
         """Return the health status of each zone."""
         zones = self.replicated_state.verdict.get("zones")
         if not isinstance(zones, dict):
--- a/packages/edge/ryelock/edge/preview.py
+++ b/packages/edge/ryelock/edge/preview.py
@@ -23,7 +23,7 @@
         now = context.scheduler.now()
         request = Request("", method, target, host, now, context.scheduler.clock.wall())
         request.path = path_of(target)
-        request.zone_verdicts = context.member.verdicts()
+        request.zone_verdicts = context.member.zone_statuses()
         route = self.router.find_route(request)
         found = {**request.to_wire(), "serving": context.member.serving}
         if route is None:
--- a/packages/edge/ryelock/edge/readiness.py
+++ b/packages/edge/ryelock/edge/readiness.py
@@ -45,7 +45,7 @@
 
     def zone_is_down(self) -> bool:
         """Return True if the health status of the node's own zone is "down"."""
-        return self.member.verdicts().get(self.settings.zone) == "down"
+        return self.member.zone_statuses().get(self.settings.zone) == "down"
 
     def other_zone_serves(self) -> bool:
         """Return True if another zone that is not drained can take over this zone's traffic."""
@@ -54,7 +54,7 @@
             zone != self.settings.zone
             and status in SERVING_STATUSES
             and ZONE_PREFIX + zone not in drains
-            for zone, status in self.member.verdicts().items()
+            for zone, status in self.member.zone_statuses().items()
         )
 
     def report(self) -> Message:
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -47,7 +47,7 @@
         request.named_by_caller = bool(identity)
         request.is_probe = self.is_probe(field(head.fields, b"x-ryelock-probe"))
         request.peer = self.peer_origin(head.fields)
-        request.zone_verdicts = context.member.verdicts()
+        request.zone_verdicts = context.member.zone_statuses()
         return request
 
     def peer_origin(self, fields: Fields) -> PeerOrigin | None:
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -227,7 +227,7 @@
         self,
         service: str,
         tried: set[Identity],
-        verdicts: dict[str, str],
+        zone_statuses: dict[str, str],
         candidates: Candidates | None,
         edges: int = 1,
         connections: int = 0,
@@ -237,7 +237,7 @@
         Args:
             service: name of the service.
             tried: servers that the request was sent to already, picked only as a last resort.
-            verdicts: health status by zone.
+            zone_statuses: health status by zone.
             candidates: list to which explain's entries are appended; None if not wanted.
             edges: number of edges, which share a server's slots and connections.
             connections: connections that a server accepts, 0 if unlimited.
@@ -261,7 +261,7 @@
                 continue
             if candidates is not None:
                 candidates.append(candidate_entry(state))
-            rank = self.rank(state.server, tried, verdicts)
+            rank = self.rank(state.server, tried, zone_statuses)
             if best_rank is None or rank < best_rank:
                 best, best_rank = [], rank
             if rank == best_rank:
@@ -285,7 +285,7 @@
             return EXCLUDED_FULL
         return ""
 
-    def rank(self, server: Server, tried: set[Identity], verdicts: dict[str, str]) -> Rank:
+    def rank(self, server: Server, tried: set[Identity], zone_statuses: dict[str, str]) -> Rank:
         """Return a server's rank, best first: not tried yet, in this edge's zone, zone healthy.
 
         With `spread_region`, only servers in zones that are down rank behind the others.
@@ -294,7 +294,7 @@
         health = 0
         if other_zone:
             health = ZONE_STATUS_RANKS.get(
-                verdicts.get(server.zone, "unknown"), UNKNOWN_STATUS_RANK
+                zone_statuses.get(server.zone, "unknown"), UNKNOWN_STATUS_RANK
             )
         already_tried = 1 if server.identity in tried else 0
         if self.settings.spread_region:
