--- a/packages/edge/ryelock/edge/leader_discovery.py
+++ b/packages/edge/ryelock/edge/leader_discovery.py
@@ -24,7 +24,15 @@
 
 
 class LeaderDiscovery:
-    """The known control nodes, and the one currently assumed to be the leader."""
+    """Addresses of the control nodes, and of the one assumed to be the leader.
+
+    Attributes:
+        leader: address of the leader, empty if none is known.
+        unreachable: the last leader that did not respond.
+        unreachable_since: monotonic time of its first failure in a row, None after a success.
+        named_by_others: True if, in the last round, a control node named a leader that this node
+            avoids.
+    """
 
     __slots__ = (
         "leader",
@@ -72,28 +80,28 @@
         A leader that just failed to respond is skipped for a while, since the others may keep
         naming it until they detect the failure themselves.
         """
-        answers: Queue[str] = Queue(self.scheduler)
+        leaders: Queue[str] = Queue(self.scheduler)
         for address in candidates:
             self.scheduler.create_task(
-                self.query(address, answers), name="leader query", urgent=True
+                self.query(address, leaders), name="leader query", urgent=True
             )
         deadline = self.scheduler.now() + ROUND_SECONDS
         self.named_by_others = False
         for _ in candidates:
-            found = await answers.get(max(0.0, deadline - self.scheduler.now()))
-            if found is None:
+            leader = await leaders.get(max(0.0, deadline - self.scheduler.now()))
+            if leader is None:
                 return
-            avoided = self.is_avoided(found)
+            avoided = self.is_avoided(leader)
             self.named_by_others = self.named_by_others or avoided
-            if found and not avoided:
-                self.leader = found
+            if leader and not avoided:
+                self.leader = leader
                 return
 
-    async def query(self, address: str, answers: Queue[str]) -> None:
+    async def query(self, address: str, leaders: Queue[str]) -> None:
         """Query one control node and queue the leader's address, empty where it knows none."""
-        found = await self.rpc_clients.call(address, {"kind": LEADER_QUERY}, CALL_TIMEOUT_SECONDS)
-        leader = found.ok.get("leader_address") if found.is_ok() else ""
-        answers.put(leader if isinstance(leader, str) else "")
+        result = await self.rpc_clients.call(address, {"kind": LEADER_QUERY}, CALL_TIMEOUT_SECONDS)
+        leader = result.ok.get("leader_address") if result.is_ok() else ""
+        leaders.put(leader if isinstance(leader, str) else "")
 
     def is_avoided(self, address: str) -> bool:
         """Return True if the address is that of a leader that recently did not respond."""
--- a/packages/edge/ryelock/edge/lease_renewal.py
+++ b/packages/edge/ryelock/edge/lease_renewal.py
@@ -134,23 +134,23 @@
         self.unconfirmed = False
         hold_seconds = self.hold_seconds
         message = renewal_request(self.reporter.report(), hold_seconds)
-        found = await self.rpc_clients.call(
+        result = await self.rpc_clients.call(
             address, message, hold_seconds + RESPONSE_TIMEOUT_SECONDS
         )
-        if found.is_error() or found.ok.get("ok") is not True:
+        if result.is_error() or result.ok.get("ok") is not True:
             return False
         try:
-            return self.apply(found.ok, requested_at)
+            return self.apply(result.ok, requested_at)
         except (KeyError, TypeError, ValueError):
             return False
 
-    def apply(self, answer: Message, requested_at: float) -> bool:
+    def apply(self, message: Message, requested_at: float) -> bool:
         """Apply a response; return True if the leader sent it, which a stale response proves too.
 
         Raises:
             KeyError, TypeError, ValueError: a part of the response is malformed.
         """
-        response = decode(RenewalResponse, answer)
+        response = decode(RenewalResponse, message)
         if response.majority_age < 0:
             raise MalformedMessageError(
                 f"RenewalResponse: age must be 0 or more, got {response.majority_age}"
--- a/packages/edge/ryelock/edge/probe_reporting.py
+++ b/packages/edge/ryelock/edge/probe_reporting.py
@@ -86,8 +86,8 @@
         if not results or owner is None:
             return
         message = self.message(role, results)
-        found = await self.rpc_clients.call(owner.rpc_address, message, CALL_TIMEOUT_SECONDS)
-        acknowledged = found.is_ok() and found.ok.get("ok") is True
+        result = await self.rpc_clients.call(owner.rpc_address, message, CALL_TIMEOUT_SECONDS)
+        acknowledged = result.is_ok() and result.ok.get("ok") is True
         # The role may have moved during the call, and its new owner has none of these results.
         if acknowledged and role.fencing_token == self.fencing_token:
             self.sent_sequence = results[-1].sequence
--- a/packages/edge/ryelock/edge/quorum_lease.py
+++ b/packages/edge/ryelock/edge/quorum_lease.py
@@ -120,8 +120,8 @@
         self, address: str, message: Message, responses: Queue[Message | None]
     ) -> None:
         """Request one voter's vote and queue its response, None where the call failed."""
-        found = await self.rpc_clients.call(address, message, CALL_TIMEOUT_SECONDS)
-        responses.put(found.ok if found.is_ok() else None)
+        result = await self.rpc_clients.call(address, message, CALL_TIMEOUT_SECONDS)
+        responses.put(result.ok if result.is_ok() else None)
 
     def apply_server_list(self, response: Message, requested_at: float) -> None:
         """Apply a voter's server list; a malformed one is ignored and does not affect the lease."""
--- a/packages/edge/ryelock/edge/quorum_votes.py
+++ b/packages/edge/ryelock/edge/quorum_votes.py
@@ -33,9 +33,9 @@
     configuration: tuple[int, int]
 
 
-def decode_vote(answer: Message) -> QuorumLeaseVote | None:
+def decode_vote(response: Message) -> QuorumLeaseVote | None:
     """Return the vote in a voter's response; None where it was not granted or is malformed."""
-    match answer:
+    match response:
         case {
             "granted": True,
             "disk": str(disk),
--- a/packages/edge/ryelock/edge/server_list_view.py
+++ b/packages/edge/ryelock/edge/server_list_view.py
@@ -49,22 +49,22 @@
         now = self.scheduler.now()
         platform_requested_at = requested_at - update.request_age
         platform_answered_at = now - update.response_age
-        found = self.find(update.source, update.version)
+        server_list = self.find(update.source, update.version)
         if update.servers is not None:
             servers = servers_from_wire(update.servers)
-            found = ServerList(
+            server_list = ServerList(
                 update.source, update.version, servers, platform_requested_at, platform_answered_at
             )
-        if found is None:
+        if server_list is None:
             return None
-        found.confirm(platform_requested_at, platform_answered_at, self.validity_seconds)
-        if found is self.current:
+        server_list.confirm(platform_requested_at, platform_answered_at, self.validity_seconds)
+        if server_list is self.current:
             return None
-        if not self.supersedes_current(found, now):
-            self.pending = found
+        if not self.supersedes_current(server_list, now):
+            self.pending = server_list
             return None
-        self.current, self.pending = found, None
-        return found
+        self.current, self.pending = server_list, None
+        return server_list
 
     def find(self, source: str, version: int) -> ServerList | None:
         """Return the current or pending list if it has this source and version."""
@@ -76,12 +76,12 @@
                 return server_list
         return None
 
-    def supersedes_current(self, found: ServerList, now: float) -> bool:
+    def supersedes_current(self, server_list: ServerList, now: float) -> bool:
         """Return True if a list should replace the current one."""
         current = self.current
         return (
             current is None
-            or current.source == found.source
+            or current.source == server_list.source
             or now >= current.valid_until
-            or found.follows(current)
+            or server_list.follows(current)
         )
--- a/packages/edge/ryelock/edge/servers.py
+++ b/packages/edge/ryelock/edge/servers.py
@@ -361,7 +361,7 @@
         """Return a server for a trial where all servers of a service are ejected, if one is due.
 
         The interval grows with the number of edges, so that all edges together send a failing
-        service about one request a second.
+        service about one request per second.
         """
         ejected = [
             state for state in states if not state.server.leaving and not state.trial_in_flight
@@ -388,7 +388,7 @@
         """Record that a server rejected a request unprocessed, and pause sending to it.
 
         A server that is full pauses for `seconds`. Status 421 (Misdirected Request) means that
-        another server took over the address.
+        another server has taken over the address.
         """
         state.trial_in_flight = False
         pause = MISDIRECTED_PAUSE_SECONDS if status == MISDIRECTED_REQUEST else seconds
