--- a/packages/control_plane/ryelock/control_plane/aggregator.py
+++ b/packages/control_plane/ryelock/control_plane/aggregator.py
@@ -181,7 +181,7 @@
         evaluation.network,
         tuple(evaluation.gone_watches),
         *(
-            (zone, decided.verdict, *decided.failed)
+            (zone, decided.status, *decided.failed)
             for zone, decided in sorted(evaluation.zones.items())
         ),
     )
--- a/packages/edge/ryelock/edge/routing.py
+++ b/packages/edge/ryelock/edge/routing.py
@@ -47,7 +47,7 @@
         request.has_client_identity = bool(identity)
         request.is_probe = self.is_probe(field(head.fields, b"x-ryelock-probe"))
         request.peer = self.requesting_peer(head.fields)
-        request.zone_verdicts = context.member.verdicts()
+        request.zone_verdicts = context.member.zone_statuses()
         return request
 
     def requesting_peer(self, fields: Fields) -> RequestingPeer | None:
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -513,7 +513,7 @@
                     12.0,
                 )
                 .zones["a"]
-                .verdict
+                .status
             )
 
         self.assertEqual("down", found())
