--- a/tests/edge/test_lapse.py
+++ b/tests/edge/test_lapse.py
@@ -154,7 +154,9 @@
 
         def reset_to_usual(timer: ElectionTimer) -> None:
             last_leader_contact_at = timer.state.last_leader_contact_at
-            timer.state.last_leader_contact_at = -1e6 if last_leader_contact_at is None else last_leader_contact_at
+            timer.state.last_leader_contact_at = (
+                -1e6 if last_leader_contact_at is None else last_leader_contact_at
+            )
             reset(timer)
             timer.state.last_leader_contact_at = last_leader_contact_at
 
