--- a/packages/runtime/ryelock/runtime/reactor.py
+++ b/packages/runtime/ryelock/runtime/reactor.py
@@ -1,9 +1,9 @@
-"""The circuits component that drives a process: its sockets, its timers and its signals.
+"""The circuits component that drives a process: its sockets, timers and signals.
 
-One component owns every socket and uses circuits' epoll poller directly. circuits' own client is
-one component a connection: each registration empties the handler cache of the whole tree, and its
-timers read the wall clock. Here a socket is an entry in a table, the poller's events reach one
-handler, and the scheduler's next timer bounds the poll.
+One component owns all sockets and uses circuits' epoll poller directly. circuits' own client needs
+a component per connection, each registration of which invalidates the handler cache of the whole
+component tree, and its timers read the wall clock. Here a socket is an entry in a dictionary, one
+handler receives the poller's events, and the scheduler's next timer limits the poll timeout.
 """
 
 import errno
@@ -23,18 +23,18 @@
 from ryelock.runtime.tasks import Queue, Scheduler
 
 RECEIVE_BYTES = 65_536
-"""The most that one read of a socket returns."""
+"""Buffer size of one read from a socket."""
 BACKLOG = 1024
-"""Connections that the system queues until they are accepted."""
+"""Length of the kernel's queue of connections that are not yet accepted."""
 MAX_ACCEPTS = 64
-"""Connections accepted in one turn, so that a burst does not hold up the others."""
+"""Connections accepted per poll event, so that a burst does not delay established ones."""
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
-"""Value of SO_LINGER with which closing a socket resets its connection."""
+"""SO_LINGER with a timeout of 0: closing the socket resets the connection."""
 TEMPORARY_ERRORS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
 
 
 class SystemClock:
-    """The clock of this machine."""
+    """Clock of the machine; see Clock."""
 
     __slots__ = ()
 
@@ -43,12 +43,12 @@
         return time.monotonic()
 
     def wall(self) -> float:
-        """Return seconds since 1970."""
+        """Return wall-clock time in seconds since 1970."""
         return time.time()
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split host:port; raises ValueError where the port is no number."""
+    """Split host:port; raises ValueError if the port is not a number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -59,7 +59,7 @@
     __slots__ = ("closing", "reactor", "reading", "socket", "unsent_chunks", "writing")
 
     def __init__(self, reactor: "Reactor", sock: socket.socket, peer: str) -> None:
-        """Wrap a non-blocking socket; `peer` is the other side's host:port."""
+        """Wrap a non-blocking socket; `peer` is the remote host:port."""
         super().__init__(reactor.scheduler, peer)
         self.reactor = reactor
         self.socket = sock
@@ -69,7 +69,7 @@
         self.writing = False
 
     def write(self, data: bytes) -> None:
-        """Queue bytes and send at once what the socket takes."""
+        """Queue bytes and send as many as the socket accepts now."""
         if self.closed or self.closing or not data:
             return
         self.unsent_chunks.append(memoryview(data))
@@ -78,23 +78,23 @@
             self.flush()
 
     def flush(self) -> None:
-        """Send queued bytes, those of a bulk connection when its turn comes."""
+        """Send queued bytes; a bulk connection is paced if there is a pacer."""
         pacer = self.reactor.pacer
         if pacer is None:
             self.send_some(self.unsent_bytes)
         elif self.bulk and self.unsent_chunks:
-            self.want_write(False)
+            self.poll_writable(False)
             pacer.submit(self)
         else:
             pacer.count_unpaced(self.send_some(self.unsent_bytes))
 
     @property
     def has_more(self) -> bool:
-        """Whether bytes are queued that the socket would take now; see BulkSender."""
+        """True if bytes are queued and the socket is writable; see BulkSender."""
         return bool(self.unsent_chunks) and not self.writing and not self.closed
 
     def send_some(self, max_bytes: int) -> int:
-        """Send at most so many queued bytes; returns how many the socket took."""
+        """Send up to `max_bytes` queued bytes; return the number that the socket accepted."""
         if self.closed:
             return 0
         sent = 0
@@ -111,64 +111,65 @@
             full = full or count < len(chunk)
             sent += count
             self.unsent_bytes -= count
-            self.drop_sent(count)
-        self.want_write(full)
+            self.remove_sent(count)
+        self.poll_writable(full)
         if not self.unsent_chunks:
-            self.all_sent()
+            self.on_all_sent()
         return sent
 
-    def drop_sent(self, count: int) -> None:
-        """Drop so many bytes from the first queued chunk."""
+    def remove_sent(self, count: int) -> None:
+        """Remove `count` sent bytes from the first queued chunk."""
         chunk = self.unsent_chunks[0]
         if count < len(chunk):
             self.unsent_chunks[0] = chunk[count:]
         else:
             self.unsent_chunks.popleft()
 
-    def all_sent(self) -> None:
-        """End a connection that was closed; wake a writer that waits."""
+    def on_all_sent(self) -> None:
+        """Close the socket if `close` was called, else resume a waiting writer."""
         if self.closing:
             self.close_socket()
         elif len(self.writable) == 0:
             self.writable.put(True)
 
-    def want_write(self, wanted: bool) -> None:
-        """Watch or stop watching for room to send."""
-        if wanted and not self.writing:
+    def poll_writable(self, enabled: bool) -> None:
+        """Start or stop polling the socket for writability."""
+        if enabled and not self.writing:
             self.reactor.poller.addWriter(self.reactor, self.socket)
-        elif not wanted and self.writing:
+        elif not enabled and self.writing:
             self.reactor.poller.removeWriter(self.socket)
-        self.writing = wanted
+        self.writing = enabled
 
-    def want_read(self, wanted: bool) -> None:
-        """Watch or stop watching for received bytes."""
+    def poll_readable(self, enabled: bool) -> None:
+        """Start or stop polling the socket for received bytes."""
         if self.closed:
             return
-        if wanted and not self.reading:
+        if enabled and not self.reading:
             self.reactor.poller.addReader(self.reactor, self.socket)
-        elif not wanted and self.reading:
+        elif not enabled and self.reading:
             self.reactor.poller.removeReader(self.socket)
-        self.reading = wanted
+        self.reading = enabled
 
     def pause_reading(self) -> None:
         """Stop reading from the socket."""
-        self.want_read(False)
+        self.poll_readable(False)
 
     def resume_reading(self) -> None:
-        """Read from the socket again."""
-        self.want_read(True)
+        """Resume reading from the socket."""
+        self.poll_readable(True)
 
     def close(self) -> None:
-        """End after the queued bytes were sent, at once where there are none."""
+        """Close the socket once the queued bytes are sent, at once if there are none."""
         if self.unsent_chunks and self.connected and not self.closed:
             self.closing = True
         else:
             self.close_socket()
 
     def abort(self) -> None:
-        """Reset the connection: also what the system has buffered for it is dropped.
+        """Reset the connection, also dropping bytes in the kernel's send buffer.
 
-        After an orderly close it would arrive later, for instance once a network partition heals.
+        After an orderly close the kernel could still deliver them much later, for instance when a
+        network partition heals.
         """
         if not self.closed:
             with suppress(OSError):
@@ -176,7 +177,7 @@
             self.close_socket()
 
     def close_socket(self) -> None:
-        """Close the socket; what the system has buffered is still sent."""
+        """Close the socket; the kernel still sends what is in its send buffer."""
         if self.closed:
             return
         self.reactor.poller.discard(self.socket)
@@ -187,7 +188,7 @@
 
 
 class Reactor(BaseComponent):  # type: ignore[misc]
-    """The root component; also the Network of a daemon."""
+    """Root component of a process; also implements Network for daemons."""
 
     channel = "reactor"
 
@@ -199,9 +200,9 @@
         """Create a reactor.
 
         Args:
-            on_task_error: called with the name and error of a task that failed.
-            link_bytes_per_second: what the machine's link carries; 0 where it is not known, and
-                bulk connections are not paced.
+            on_task_error: called with the name and the exception of a task that raised one.
+            link_bytes_per_second: capacity of the machine's uplink; 0 if unknown, which disables
+                the pacing of bulk connections.
         """
         super().__init__()
         self.scheduler = Scheduler(SystemClock(), on_task_error)
@@ -227,20 +228,20 @@
         listener.setblocking(False)
         self.listeners[listener] = handler
         self.poller.addReader(self, listener)
-        found = listener.getsockname()
-        return f"{found[0]}:{found[1]}"
+        bound = listener.getsockname()
+        return f"{bound[0]}:{bound[1]}"
 
     def stop_listening(self, address: str) -> None:
         """Close the listener at an address; see Network."""
         for listener in list(self.listeners):
-            found = listener.getsockname()
-            if f"{found[0]}:{found[1]}" == address:
+            bound = listener.getsockname()
+            if f"{bound[0]}:{bound[1]}" == address:
                 self.poller.discard(listener)
                 del self.listeners[listener]
                 listener.close()
 
     def connect(self, address: str) -> Connection:
-        """Start to connect; a connection that cannot be started is returned ended."""
+        """Start to connect; if that fails, the returned connection has ended already."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -254,11 +255,11 @@
             connection.connection_lost()
             return connection
         self.connections[sock] = connection
-        connection.want_write(True)
+        connection.poll_writable(True)
         return connection
 
     def accept(self, listener: socket.socket) -> None:
-        """Accept waiting connections, at most MAX_ACCEPTS a turn."""
+        """Accept pending connections, at most MAX_ACCEPTS."""
         for _ in range(MAX_ACCEPTS):
             try:
                 sock, peer = listener.accept()
@@ -269,12 +270,12 @@
             connection = SocketConnection(self, sock, f"{peer[0]}:{peer[1]}")
             connection.connected = True
             self.connections[sock] = connection
-            connection.want_read(True)
+            connection.poll_readable(True)
             self.listeners[listener](connection)
 
     @handler("_read")  # type: ignore[untyped-decorator]
     def on_readable(self, sock: socket.socket) -> None:
-        """Accept connections or receive bytes, as the poller reports."""
+        """Accept connections or receive bytes on a socket that the poller reports readable."""
         if sock in self.listeners:
             self.accept(sock)
             return
@@ -294,7 +295,7 @@
 
     @handler("_write")  # type: ignore[untyped-decorator]
     def on_writable(self, sock: socket.socket) -> None:
-        """Finish opening a connection or go on sending, as the poller reports."""
+        """Complete a connect or continue sending on a socket that is reported writable."""
         connection = self.connections.get(sock)
         if connection is None:
             return
@@ -303,7 +304,7 @@
                 connection.close_socket()
                 return
             connection.connected = True
-            connection.want_read(True)
+            connection.poll_readable(True)
             connection.writable.put(True)
         connection.flush()
 
@@ -316,17 +317,17 @@
 
     @handler("signal", channel="*")  # type: ignore[untyped-decorator]
     def on_signal(self, number: int, _: object) -> None:
-        """Queue a signal's number for the task that waits for signals."""
+        """Queue the number of a signal that the process received."""
         self.signals.put(number)
 
     @handler("generate_events", priority=10)  # type: ignore[untyped-decorator]
-    def on_turn(self, event: object) -> None:
-        """Run the tasks that are ready, and let the poll last until the next timer at most."""
+    def on_generate_events(self, event: object) -> None:
+        """Run ready tasks and limit the poll timeout to the next timer."""
         more = self.scheduler.run_ready()
         if more or not self.running:
             event.reduce_time_left(0)  # type: ignore[attr-defined]
             return
-        due = self.scheduler.next_timer()
-        if due is not None:
-            left = max(0.0, due - self.scheduler.now())
+        next_timer = self.scheduler.next_timer()
+        if next_timer is not None:
+            left = max(0.0, next_timer - self.scheduler.now())
             event.reduce_time_left(left)  # type: ignore[attr-defined]
--- a/tests/edge/test_caller_leaves.py
+++ b/tests/edge/test_caller_leaves.py
@@ -175,7 +175,7 @@
         connection = SocketConnection(reactor, plain, "peer:1")
         connection.connected = True
         reactor.connections[plain] = connection
-        connection.want_read(True)
+        connection.poll_readable(True)
         connection.write(b"a request")
         getattr(connection, method)()
         with peer:
