--- a/packages/runtime/ryelock/runtime/__init__.py
+++ b/packages/runtime/ryelock/runtime/__init__.py
@@ -1,9 +1,12 @@
 """Event loop: coroutine tasks, queues, timers and connections.
 
-Everything above is written against Scheduler, Queue, Connection and Network, so that the same code
-runs on circuits in a daemon and on a seeded clock and network in the simulator. `tasks` has the
-scheduler, `network` the interface of connections, `egress` the pacing of bulk responses. `reactor`,
-which is not exported here, has the connections of a daemon: only a daemon loads circuits.
+Higher layers use only Scheduler, Queue, Connection and Network, so that the same code runs on
+circuits in a daemon and on a seeded clock and network in the simulator.
+
+- `tasks`: the scheduler.
+- `network`: the interface of connections.
+- `egress`: pacing of bulk responses.
+- `reactor`: sockets of a daemon. Not exported here, so that only a daemon imports circuits.
 """
 
 from ryelock.runtime.network import Connection, ConnectionHandler, Network, NetworkError
--- a/packages/runtime/ryelock/runtime/egress.py
+++ b/packages/runtime/ryelock/runtime/egress.py
@@ -1,9 +1,9 @@
-"""Pacing of bulk answers, so that their queue forms in this process and not in the machine's link.
+"""Pacing of bulk responses, so that they queue in this process and not on the machine's uplink.
 
-A link carries packets in the order in which they were sent. Where answers are sent as fast as the
-sockets take them, a heartbeat or a request to a server waits behind all of them, on a slow link
-for a second and more. Bulk connections therefore take turns at a rate a little below the link's;
-everything else is sent at once and only counted.
+The uplink sends packets first in, first out. If bulk responses are sent as fast as the sockets
+accept them, a heartbeat or a request to a server waits behind all of them: on a slow uplink for
+more than a second. Bulk connections are therefore served round-robin at a rate slightly below the
+uplink's. All other data is sent immediately and only charged to the token bucket.
 """
 
 from typing import Protocol
@@ -11,30 +11,30 @@
 from ryelock.runtime.tasks import Queue, Scheduler
 
 USED_LINK_FRACTION = 0.92
-"""Part of the link's rate that is used; the rest is for headers and acknowledgements."""
+"""The rest of the uplink's rate is left to packet headers and acknowledgements."""
 TURN_SECONDS = 0.008
-"""A connection's turn is what the link carries in this time, in seconds."""
+"""A connection sends in one turn as many bytes as the uplink carries in this time."""
 MIN_TURN_BYTES = 2_800
-"""A turn is at least two full packets."""
+"""Two full packets."""
 MAX_DEBT_SECONDS = 0.2
-"""What is sent at once may use up so much of the bulk connections' time ahead, in seconds."""
+"""Limit on how long unpaced data can hold back bulk connections."""
 
 
 class BulkSender(Protocol):
     """A connection whose bytes are paced."""
 
     def send_some(self, max_bytes: int) -> int:
-        """Send at most so many of the queued bytes; returns how many the socket took."""
+        """Send up to `max_bytes` queued bytes; return the number that the socket accepted."""
         ...
 
     @property
     def has_more(self) -> bool:
-        """Whether bytes are queued that the socket would take now."""
+        """True if bytes are queued and the socket is writable."""
         ...
 
 
 class EgressPacer:
-    """Token bucket in bytes, from which bulk connections take turns."""
+    """Token bucket, in bytes, that bulk connections share round-robin."""
 
     __slots__ = (
         "bytes_per_second",
@@ -58,20 +58,20 @@
         scheduler.create_task(self.run(), name="egress", urgent=True)
 
     def refill(self) -> None:
-        """Add the bytes that the link carried since the last look."""
+        """Add the tokens earned since the last refill."""
         now = self.scheduler.now()
         earned = (now - self.refilled_at) * self.bytes_per_second
         self.tokens = min(float(self.turn_bytes), self.tokens + earned)
         self.refilled_at = now
 
     def count_unpaced(self, sent: int) -> None:
-        """Count bytes that were sent without waiting for a turn."""
+        """Charge bytes that were sent without pacing; the bucket may go into debt."""
         self.refill()
-        debt_most = self.bytes_per_second * MAX_DEBT_SECONDS
-        self.tokens = max(-debt_most, self.tokens - sent)
+        max_debt = self.bytes_per_second * MAX_DEBT_SECONDS
+        self.tokens = max(-max_debt, self.tokens - sent)
 
     def submit(self, sender: BulkSender) -> None:
-        """Let a connection with queued bytes send, now or when its turn comes."""
+        """Queue a connection with unsent bytes; it sends now or when its turn comes."""
         if sender in self.waiting_senders:
             return
         self.waiting_senders[sender] = None
@@ -80,7 +80,7 @@
             self.wakeups.put(True)
 
     def send_turns(self) -> None:
-        """Give turns to the waiting connections while there are tokens."""
+        """Let the waiting connections send, one turn each, while there are tokens."""
         self.refill()
         while self.waiting_senders and self.tokens > 0:
             sender = next(iter(self.waiting_senders))
@@ -90,7 +90,7 @@
                 self.waiting_senders[sender] = None
 
     async def run(self) -> None:
-        """Give turns as tokens come, for the life of the process."""
+        """Serve the waiting connections as tokens are refilled; never returns."""
         while True:
             if not self.waiting_senders:
                 await self.wakeups.get()
--- a/packages/runtime/ryelock/runtime/network.py
+++ b/packages/runtime/ryelock/runtime/network.py
@@ -1,7 +1,8 @@
-"""The interface of connections, whatever transports their bytes: sockets or the simulator.
+"""Transport-independent connections, implemented by sockets and by the simulator.
 
-A connection is a stream of bytes with a queue of received chunks. Reading pauses while the reader
-is behind, and a writer can wait until what it wrote was sent. An empty chunk is the end.
+A connection is a byte stream with a queue of received chunks; an empty chunk marks the end of the
+stream. Backpressure: reading pauses while too many bytes are unread, and a writer can wait until
+the send buffer drains.
 """
 
 from collections.abc import Callable
@@ -10,26 +11,26 @@
 from ryelock.runtime.tasks import Queue, Scheduler
 
 MAX_UNREAD_BYTES = 262_144
-"""Above so many received but unread bytes a connection stops reading."""
+"""A connection pauses reading while more received bytes than this are unread."""
 
 
 class NetworkError(Exception):
-    """An address cannot be listened on; the text names it and the reason."""
+    """Listening on an address failed; the message names the address and the reason."""
 
 
 class Connection:
-    """A connection as a stream of bytes; a subclass transports them.
+    """Base class of connections; a subclass provides the transport.
 
     Attributes:
-        peer: host:port of the other side.
-        bulk: whether what is written gives way to what is written to other connections.
-        connected: whether the connection is, or was, established.
-        closed: whether no more bytes can come or go.
-        received: chunks that were received; an empty one is the end.
-        writable: wakes a writer that waits; also when the connection is established or ends.
-        unread_bytes: bytes in `received`.
-        unsent_bytes: bytes that were written and not sent.
-        on_closed: called once, when the connection ends, whichever side ended it.
+        peer: host:port of the remote side.
+        bulk: True for low-priority data, which is paced; see EgressPacer.
+        connected: True once the connection has been established, also after it has ended.
+        closed: True once nothing more can be sent or received.
+        received: chunks received and not yet read; an empty one marks the end of the stream.
+        writable: resumes a waiting writer, also when the connection is established or ends.
+        unread_bytes: number of bytes in `received`.
+        unsent_bytes: number of bytes written and not yet sent.
+        on_closed: called once when the connection ends, whichever side ended it.
     """
 
     __slots__ = (
@@ -46,7 +47,7 @@
     )
 
     def __init__(self, scheduler: Scheduler, peer: str) -> None:
-        """Create a connection that is not yet open to a peer's host:port."""
+        """Create a connection to a peer's host:port; it is not established yet."""
         self.scheduler = scheduler
         self.peer = peer
         self.bulk = False
@@ -59,32 +60,32 @@
         self.on_closed: Callable[[], None] | None = None
 
     def write(self, data: bytes) -> None:
-        """Queue bytes for sending; they are dropped once the connection has ended."""
+        """Queue bytes for sending; does nothing once the connection has ended."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """End the connection after what was written is sent."""
+        """Close the connection once all written bytes are sent."""
         raise NotImplementedError
 
     def abort(self) -> None:
-        """Reset the connection: what has not arrived is lost."""
+        """Reset the connection, dropping bytes that are not yet delivered."""
         raise NotImplementedError
 
     def pause_reading(self) -> None:
         """Stop reading from the transport."""
 
     def resume_reading(self) -> None:
-        """Read from the transport again."""
+        """Resume reading from the transport."""
 
     def data_received(self, data: bytes) -> None:
-        """Take received bytes from the transport; pauses reading when too many are unread."""
+        """Queue bytes that the transport received; pause reading if too many are unread."""
         self.unread_bytes += len(data)
         self.received.put(data)
         if self.unread_bytes > MAX_UNREAD_BYTES:
             self.pause_reading()
 
     def connection_lost(self) -> None:
-        """Take from the transport that no more bytes can come or go."""
+        """Mark the connection as ended; called by the transport."""
         if not self.closed:
             self.closed = True
             self.unsent_bytes = 0
@@ -95,7 +96,7 @@
                 on_closed()
 
     async def receive(self, timeout: float | None) -> bytes | None:
-        """Return the next bytes; empty at the end, None after `timeout` seconds."""
+        """Return the next chunk: empty at the end of the stream, None after `timeout` seconds."""
         data = await self.received.get(timeout)
         if data:
             before = self.unread_bytes
@@ -103,50 +104,53 @@
             if before > MAX_UNREAD_BYTES >= self.unread_bytes:
                 self.resume_reading()
         elif data is not None:
-            # The end stays readable, however often it is read.
+            # Later reads return the end of the stream as well.
             self.received.put(b"")
         return data
 
     async def wait_connected(self, timeout: float) -> bool:
-        """Wait until established; False when the connection is not after `timeout` seconds."""
-        until = self.scheduler.now() + timeout
+        """Return True once established, False if it ends or `timeout` seconds pass before."""
+        deadline = self.scheduler.now() + timeout
         while not self.connected and not self.closed:
-            left = until - self.scheduler.now()
-            if left <= 0:
+            remaining = deadline - self.scheduler.now()
+            if remaining <= 0:
                 return False
-            await self.writable.get(left)
+            await self.writable.get(remaining)
         return self.connected and not self.closed
 
     async def drain(self, max_unsent_bytes: int, timeout: float) -> bool:
-        """Wait until at most so many bytes are unsent; False if not within `timeout` seconds."""
-        until = self.scheduler.now() + timeout
+        """Wait until at most `max_unsent_bytes` are unsent.
+
+        Returns False if the connection ends or `timeout` seconds pass before.
+        """
+        deadline = self.scheduler.now() + timeout
         while self.unsent_bytes > max_unsent_bytes and not self.closed:
-            left = until - self.scheduler.now()
-            if left <= 0:
+            remaining = deadline - self.scheduler.now()
+            if remaining <= 0:
                 return False
-            await self.writable.get(left)
+            await self.writable.get(remaining)
         return not self.closed
 
 
 ConnectionHandler = Callable[[Connection], None]
-"""Takes an accepted connection."""
+"""Called with each accepted connection."""
 
 
 class Network(Protocol):
-    """What opens and accepts connections: real sockets or the simulator."""
+    """Opens and accepts connections, over real sockets or in the simulator."""
 
     def listen(self, address: str, handler: ConnectionHandler) -> str:
-        """Listen on host:port and return the address, whose port the system chose where it was 0.
+        """Listen on host:port and return the bound address; port 0 selects a free port.
 
         Raises:
-            NetworkError: the address cannot be listened on.
+            NetworkError: listening on the address failed.
         """
         ...
 
     def connect(self, address: str) -> Connection:
-        """Return a connection that is being established; see Connection.wait_connected."""
+        """Start a connection and return it at once; see Connection.wait_connected."""
         ...
 
     def stop_listening(self, address: str) -> None:
-        """Stop accepting connections at an address that `listen` returned."""
+        """Stop accepting connections on an address that `listen` returned."""
         ...
--- a/packages/runtime/ryelock/runtime/tasks.py
+++ b/packages/runtime/ryelock/runtime/tasks.py
@@ -1,13 +1,14 @@
 """Coroutine tasks on a scheduler with an injected clock.
 
-Tasks are ordinary coroutines (`async def`), named as in asyncio: `Task`, `Queue`, `create_task`,
-`sleep`. asyncio itself is not used, for two reasons. The processes run on circuits' poller, whose
-tasks stand in a set, which neither repeats in the same order nor scales. And the simulator has to
-run the daemons' own code on a seeded clock, so that a seed repeats a run step by step.
-
-Ready tasks run in the order in which they became ready; a queue wakes the one task that reads it;
-a timer is an entry on a heap. A coroutine suspends by awaiting a `Wait`. Each wait is a loop that
-checks its condition again after it was woken, so a spurious wake-up does no harm.
+Tasks are ordinary coroutines (`async def`), and the names follow asyncio: `Task`, `Queue`,
+`create_task`, `sleep`. Neither asyncio nor circuits' own tasks are used. The processes run on
+circuits' poller; circuits keeps its tasks in a set, whose order is not reproducible and which does
+not scale. The simulator runs the daemons' code on a seeded clock, and a run with the same seed must
+execute the same steps.
+
+Ready tasks run in the order in which they became ready. A queue resumes the one task that reads it.
+Timers are kept in a heap. A coroutine suspends by awaiting a `Wait`, always in a loop that checks
+its condition again, so spurious wakeups are harmless.
 """
 
 import heapq
@@ -17,65 +18,65 @@
 
 Item = TypeVar("Item")
 STEPS_BETWEEN_CLOCK_READS = 4
-"""`run_ready` reads the clock after so many steps."""
-RUN_SECONDS = 0.06
-"""Tasks run for so long before connections are polled again."""
-RUN_STEPS = 1000
-"""Tasks run for so many steps before connections are polled again."""
+"""Steps that `run_ready` executes between two reads of the clock."""
+MAX_RUN_SECONDS = 0.06
+"""Maximum time that tasks run before connections are polled again."""
+MAX_RUN_STEPS = 1000
+"""Maximum number of steps before connections are polled again."""
 
 
 class Clock(Protocol):
-    """What tells the time: the machine's clock or the simulator's."""
+    """Source of time: the machine's clock or the simulator's."""
 
     def now(self) -> float:
-        """Seconds that only grow; their zero means nothing."""
+        """Return monotonic time in seconds, from an arbitrary origin."""
         ...
 
     def wall(self) -> float:
-        """Seconds since 1970 as this machine believes; may be wrong."""
+        """Return wall-clock time in seconds since 1970; may be off or jump."""
         ...
 
 
 class Wait:
-    """The awaitable that suspends a task until a queue has an item or a moment has come."""
+    """Awaitable that suspends a task until a queue has an item or a deadline passes."""
 
     __slots__ = ("queue", "until")
 
     def __init__(self, queue: "Queue[object] | None", until: float | None) -> None:
-        """Wait for a queue, until monotonic seconds; None leaves either out."""
+        """Wait for a queue, up to a time in monotonic seconds; each may be None."""
         self.queue = queue
         self.until = until
 
     def __await__(self) -> Generator["Wait", None, None]:
-        """Hand this object to the scheduler, which resumes the task later."""
+        """Yield this object to the scheduler, which resumes the task later."""
         yield self
 
 
 TaskCoroutine = Coroutine[Wait, None, Item]
-"""What an `async def` on this scheduler returns when it is called."""
+"""Type of the coroutines that the scheduler runs."""
 
 
 class Task:
     """A coroutine that the scheduler runs.
 
-    `ticket` grows each time the task becomes ready; a timer that was set under an older ticket is
-    stale and wakes nobody.
+    `generation` is incremented each time the task becomes ready. A timer set in an older generation
+    is stale and is ignored.
     """
 
-    __slots__ = ("coroutine", "done", "name", "queue", "queued", "ticket", "urgent")
+    __slots__ = ("coroutine", "done", "generation", "name", "queue", "queued", "urgent")
 
     def __init__(self, coroutine: TaskCoroutine[None], name: str, urgent: bool = False) -> None:
-        """Create a task that has not run yet; an urgent one goes before all others."""
+        """Create a task; an urgent one runs before all that are not."""
         self.coroutine = coroutine
         self.name = name
         self.urgent = urgent
         self.queue: Queue[object] | None = None
-        self.ticket = 0
+        self.generation = 0
         self.done = False
         self.queued = False
 
     def cancel(self) -> None:
-        """End the task; its `finally` blocks run."""
+        """Cancel the task; its `finally` blocks run."""
         if self.done:
             return
         self.done = True
@@ -86,30 +87,30 @@
 
 
 class Queue(Generic[Item]):
-    """A first-in, first-out queue with at most one task that reads it."""
+    """Unbounded FIFO queue with at most one reading task."""
 
     __slots__ = ("items", "reader", "scheduler")
 
     def __init__(self, scheduler: "Scheduler") -> None:
-        """Create an empty queue whose reader runs on this scheduler."""
+        """Create an empty queue; its reader runs on `scheduler`."""
         self.scheduler = scheduler
         self.items: deque[Item] = deque()
         self.reader: Task | None = None
 
     def put(self, item: Item) -> None:
-        """Append an item and wake the reader; never waits."""
+        """Append an item and resume the reader; never blocks."""
         self.items.append(item)
         self.wake()
 
     def wake(self) -> None:
-        """Make the waiting reader ready, if there is one."""
+        """Make the waiting reader, if any, ready to run."""
         if self.reader is not None:
             task, self.reader = self.reader, None
             task.queue = None
             self.scheduler.make_ready(task)
 
     async def get(self, timeout: float | None = None) -> Item | None:
-        """Return the next item, or None after `timeout` seconds; without one wait for ever."""
+        """Return the next item, or None after `timeout` seconds; None waits indefinitely."""
         until = None if timeout is None else self.scheduler.now() + timeout
         while not self.items:
             if until is not None and self.scheduler.now() >= until:
@@ -118,12 +119,12 @@
         return self.items.popleft()
 
     def __len__(self) -> int:
-        """Return how many items are queued."""
+        """Return the number of queued items."""
         return len(self.items)
 
 
 class Scheduler:
-    """Runs the tasks of one process in a repeatable order."""
+    """Runs the tasks of one process in a deterministic order."""
 
     __slots__ = ("clock", "on_task_error", "ready", "sequence", "timers", "urgent")
 
@@ -146,37 +147,39 @@
         return self.clock.now()
 
     def create_task(self, coroutine: TaskCoroutine[None], name: str, urgent: bool = False) -> Task:
-        """Schedule a coroutine; the name appears in the report of an error.
+        """Start a coroutine as a task; `name` identifies it in error reports.
 
-        An urgent task goes before all that are not: for the few whose delay under load would
-        cost more than a request's, such as the renewal of a lease.
+        An urgent task runs before all that are not. It is meant for the few whose delay under load
+        costs more than that of a request, such as the renewal of a lease.
         """
         task = Task(coroutine, name, urgent)
         self.make_ready(task)
         return task
 
     def make_ready(self, task: Task) -> None:
-        """Queue a task to run, once; earlier timers of it become stale."""
+        """Queue a task to run unless it is queued already; its earlier timers become stale."""
         if not task.queued and not task.done:
             task.queued = True
-            task.ticket += 1
+            task.generation += 1
             (self.urgent if task.urgent else self.ready).append(task)
 
     async def sleep(self, seconds: float) -> None:
-        """Suspend the calling task for so many seconds."""
+        """Suspend the calling task for `seconds`."""
         until = self.now() + seconds
         while self.now() < until:
             await Wait(None, until)
 
     @property
     def has_ready(self) -> bool:
-        """Whether a task is ready to run."""
+        """True if a task is ready to run."""
         return bool(self.urgent or self.ready)
 
-    def run_ready(self, max_steps: int = RUN_STEPS, max_seconds: float = RUN_SECONDS) -> bool:
-        """Run what is ready, at most so many steps or so long; return whether more is ready.
+    def run_ready(
+        self, max_steps: int = MAX_RUN_STEPS, max_seconds: float = MAX_RUN_SECONDS
+    ) -> bool:
+        """Run ready tasks up to both limits; return True if more are ready.
 
-        The bound in seconds lets the caller poll its connections while a crowd keeps tasks ready.
+        The time limit lets the caller poll its connections although tasks stay ready under load.
         """
         self.fire_due_timers()
         until = self.now() + max_seconds
@@ -192,18 +195,18 @@
         return self.has_ready
 
     def fire_due_timers(self) -> None:
-        """Make the tasks ready whose timers are due."""
+        """Make the tasks whose timers are due ready to run."""
         now = self.now()
         while self.timers and self.timers[0][0] <= now:
-            _, _, task, ticket = heapq.heappop(self.timers)
-            if task.ticket == ticket and not task.done:
+            _, _, task, generation = heapq.heappop(self.timers)
+            if task.generation == generation and not task.done:
                 if task.queue is not None:
                     task.queue.reader = None
                     task.queue = None
                 self.make_ready(task)
 
     def resume(self, task: Task) -> None:
-        """Run a task to its next wait and register what it waits for."""
+        """Run a task to its next `Wait` and register the queue and the timer it waits for."""
         try:
             wait = task.coroutine.send(None)
         except StopIteration:
@@ -224,13 +227,13 @@
             task.queue = wait.queue
         if wait.until is not None:
             self.sequence += 1
-            heapq.heappush(self.timers, (wait.until, self.sequence, task, task.ticket))
+            heapq.heappush(self.timers, (wait.until, self.sequence, task, task.generation))
 
     def next_timer(self) -> float | None:
-        """Return when the next timer is due; stale timers at the front are dropped."""
+        """Return when the next timer is due, or None; discards stale timers before it."""
         while self.timers:
-            when, _, task, ticket = self.timers[0]
-            if task.ticket == ticket and not task.done:
+            when, _, task, generation = self.timers[0]
+            if task.generation == generation and not task.done:
                 return when
             heapq.heappop(self.timers)
         return None
