--- a/packages/control_api/ryelock/control_api/errors.py
+++ b/packages/control_api/ryelock/control_api/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the control API; each knows the response that it comes to."""
+"""Errors of the control API, each with its HTTP response."""
 
 from ryelock.rpc import Message
 
@@ -7,15 +7,15 @@
     """Base of the errors of the control API.
 
     Attributes:
-        http_status: status of the response.
-        answer: JSON object of the response's body.
+        http_status: HTTP status of the response.
+        body: JSON object in the body of the response.
     """
 
-    def __init__(self, http_status: int, answer: Message) -> None:
-        """Create the error from the response that it comes to."""
-        super().__init__(str(answer.get("fault")))
+    def __init__(self, http_status: int, body: Message) -> None:
+        """Create the error from its response."""
+        super().__init__(str(body.get("fault")))
         self.http_status = http_status
-        self.answer = answer
+        self.body = body
 
 
 class UnknownPathError(ControlApiError):
@@ -27,7 +27,7 @@
 
 
 class MethodNotAllowedError(ControlApiError):
-    """The path is served, but not for this method."""
+    """The path is served, but not with this method."""
 
     def __init__(self) -> None:
         """Create the error."""
@@ -35,7 +35,7 @@
 
 
 class MalformedBodyError(ControlApiError):
-    """The body of a request is no JSON."""
+    """The body of a request is not JSON."""
 
     def __init__(self) -> None:
         """Create the error."""
--- a/packages/control_api/ryelock/control_api/server.py
+++ b/packages/control_api/ryelock/control_api/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of the control API, and how a request reaches the leader."""
+"""The HTTP server of the control API, and the forwarding of requests to the leader."""
 
 import json
 from collections.abc import Callable
@@ -28,16 +28,16 @@
 from ryelock.rpc import Message, RpcClients
 from ryelock.runtime import Network, Scheduler, TaskCoroutine
 
-LEADER_TIMEOUT_SECONDS = 6.0
-"""How long one node gets to answer a request that is passed on to it."""
+CALL_TIMEOUT_SECONDS = 6.0
+"""Timeout of a request forwarded to one node."""
 FORWARD_TIMEOUT_SECONDS = 3.0
-"""How long a leader is looked for."""
-FORWARD_PAUSE_SECONDS = 0.1
+"""How long to look for a leader before giving up with NOT_TAKEN."""
+FORWARD_RETRY_INTERVAL_SECONDS = 0.1
 MAX_BODY_BYTES = 33_554_432
 REQUEST_TIMEOUT_SECONDS = 30.0
 RETRY_AFTER_SECONDS = 1
 LOCAL_LEADER = "here"
-"""In place of an address: this node leads."""
+"""Returned in place of the leader's address if this node is the leader."""
 LIVE_PATH = "/fitness/live"
 READY_PATH = "/fitness/ready"
 EXPLAIN_PATH = "/explain"
@@ -61,30 +61,30 @@
     OutcomeStatus.FENCED: 409,
     OutcomeStatus.MALFORMED: 400,
 }
-"""HTTP status by outcome; 200 for any other answer."""
+"""HTTP status by outcome; 200 for a response without one of these."""
 FindLeader = Callable[[], str]
 FindControlNodes = Callable[[], list[str]]
-MessageResponder = Callable[[Message], TaskCoroutine[Message]]
+MessageHandler = Callable[[Message], TaskCoroutine[Message]]
 HealthState = Callable[[], Message]
-HttpAnswer = tuple[int, Message]
+StatusAndBody = tuple[int, Message]
 
 
 class ControlApi:
-    """Serves operators' requests and the node's own health on the control address.
+    """Serves operator requests and the node's own health on the control address.
 
-    Every node takes every request. What only the leader can answer is passed on to it; where a
-    request had no response, the answer says whether it may have been committed.
+    Every node accepts every request and forwards to the leader what only the leader can answer. If
+    the leader does not respond, the outcome tells whether the request may have been committed.
     """
 
     __slots__ = (
         "clients",
-        "control_nodes",
         "explain",
+        "find_control_nodes",
+        "find_leader",
         "health_state",
-        "leader",
         "listener",
-        "local_leader",
         "scheduler",
+        "serve_as_leader",
     )
 
     def __init__(
@@ -94,38 +94,38 @@
         log: Log,
         clients: RpcClients,
         address: str,
-        leader: FindLeader,
-        control_nodes: FindControlNodes,
-        local_leader: MessageResponder | None,
+        find_leader: FindLeader,
+        find_control_nodes: FindControlNodes,
+        serve_as_leader: MessageHandler | None,
         health_state: HealthState,
-        explain: MessageResponder | None,
+        explain: MessageHandler | None,
     ) -> None:
         """Listen on the control address.
 
         Args:
             scheduler: clock and tasks.
-            network: where to listen.
-            log: the process's log.
-            clients: connections to other processes.
+            network: the network to listen on.
+            log: log of the process.
+            clients: RPC clients for calls to other processes.
             address: the control address, host:port.
-            leader: returns the leader's address, LOCAL_LEADER, or "" while none is known.
-            control_nodes: returns the addresses of other control nodes.
-            local_leader: answers requests where this node leads; None where it never does.
-            health_state: returns the node's state; `ready` decides about readiness.
-            explain: answers /explain; None where nothing is served there.
+            find_leader: returns the leader's address, LOCAL_LEADER, or "" if unknown.
+            find_control_nodes: returns the addresses of other control nodes.
+            serve_as_leader: answers requests while this node is the leader; None if it never is.
+            health_state: returns the node's state; the node is ready if `ready` in it is True.
+            explain: answers /explain; None if the path is not served.
         """
         self.scheduler = scheduler
         self.clients = clients
-        self.leader = leader
-        self.control_nodes = control_nodes
-        self.local_leader = local_leader
+        self.find_leader = find_leader
+        self.find_control_nodes = find_control_nodes
+        self.serve_as_leader = serve_as_leader
         self.health_state = health_state
         self.explain = explain
         limits = Limits(body_bytes=MAX_BODY_BYTES, request_seconds=REQUEST_TIMEOUT_SECONDS)
         self.listener = HttpServer(scheduler, network, log, address, limits, self.serve)
 
     async def serve(self, exchange: HttpExchange) -> None:
-        """Serve one HTTP request; one whose body is cut off or too slow gets no response."""
+        """Serve one HTTP request; send no response if its body is incomplete or times out."""
         try:
             body = await exchange.read_body()
         except (IncompleteMessageError, ReadTimeoutError):
@@ -135,11 +135,11 @@
         try:
             status, answer = await self.respond(method, target, body)
         except ControlApiError as error:
-            status, answer = error.http_status, error.answer
+            status, answer = error.http_status, error.body
         await send_json(exchange, status, answer)
 
-    async def respond(self, method: str, target: str, body: bytes) -> HttpAnswer:
-        """Return status and body of the response; raises ControlApiError."""
+    async def respond(self, method: str, target: str, body: bytes) -> StatusAndBody:
+        """Return the status and the body of the response; raises ControlApiError."""
         parts = urlsplit(target)
         query = {key: values[-1] for key, values in parse_qs(parts.query).items()}
         if method in ("GET", "HEAD") and parts.path in (LIVE_PATH, READY_PATH):
@@ -155,24 +155,24 @@
         answer = await self.forward(request)
         return STATUSES.get(str(answer.get("status")), 200), answer
 
-    def respond_health(self, path: str) -> HttpAnswer:
-        """Return the node's state: alive in any case, ready only where the state says so."""
+    def respond_health(self, path: str) -> StatusAndBody:
+        """Return the node's state: always live, but ready only if `ready` in the state is True."""
         state = self.health_state()
         is_healthy = path == LIVE_PATH or state.get("ready") is True
         return 200 if is_healthy else 503, state
 
     async def forward(self, request: OperatorRequest) -> Message:
-        """Return the leader's answer to a request, here or elsewhere.
+        """Return the leader's answer to a request; the leader may be this node.
 
-        Where the leader is out of reach from here, another control node may reach it. An answer of
-        NOT_TAKEN is certain; where the outcome is not, it is UNKNOWN.
+        If this node cannot reach the leader, another control node may. The status is NOT_TAKEN
+        only if the request certainly was not executed, and UNKNOWN if it may have been.
         """
         message = request.to_wire()
         until = self.scheduler.now() + FORWARD_TIMEOUT_SECONDS
         while True:
-            leader = self.leader()
-            if leader == LOCAL_LEADER and self.local_leader is not None:
-                return await self.local_leader(message)
+            leader = self.find_leader()
+            if leader == LOCAL_LEADER and self.serve_as_leader is not None:
+                return await self.serve_as_leader(message)
             answer = await self.call_nodes(leader, message, until)
             if answer is not None:
                 return answer
@@ -181,32 +181,33 @@
                     "status": OutcomeStatus.NOT_TAKEN,
                     "reason": "no leader is known; nothing was taken",
                 }
-            await self.scheduler.sleep(FORWARD_PAUSE_SECONDS)
+            await self.scheduler.sleep(FORWARD_RETRY_INTERVAL_SECONDS)
 
     async def call_nodes(self, leader: str, message: Message, until: float) -> Message | None:
-        """Ask the leader, then each other control node to pass the message on, up to a time.
+        """Call the leader, then the other control nodes, which may forward the message to it.
 
-        Returns None where the message certainly reached no leader.
+        Returns None if the message certainly was not executed by a leader. The other nodes are not
+        called after `until`, in monotonic seconds.
         """
         if leader and leader != LOCAL_LEADER:
-            answer = await self.call_leader(leader, message)
+            answer = await self.call_node(leader, message)
             if answer.get("status") != OutcomeStatus.ELSEWHERE:
                 return answer
-        for node in self.control_nodes():
+        for node in self.find_control_nodes():
             if node == leader or self.scheduler.now() >= until:
                 continue
-            answer = await self.call_leader(node, {**message, "through": True})
+            answer = await self.call_node(node, {**message, "through": True})
             if answer.get("status") != OutcomeStatus.ELSEWHERE:
                 return answer
         return None
 
-    async def call_leader(self, address: str, message: Message) -> Message:
-        """Call one node once.
+    async def call_node(self, address: str, message: Message) -> Message:
+        """Call one node once and return its answer.
 
-        Returns its answer; ELSEWHERE where the message certainly was not taken there, or has no
-        effect; UNKNOWN where it may have been taken.
+        Without a response, returns ELSEWHERE if the message certainly was not sent or has no side
+        effects, and UNKNOWN if it may have been executed.
         """
-        answer = await self.clients.call(address, message, LEADER_TIMEOUT_SECONDS)
+        answer = await self.clients.call(address, message, CALL_TIMEOUT_SECONDS)
         if answer.is_ok():
             return answer.ok
         if answer.error.sent and message["what"] not in READ_ONLY_ACTIONS:
@@ -225,7 +226,7 @@
 
 
 def parse_json(body: bytes) -> object:
-    """Return the JSON value of a request's body; raises MalformedBodyError."""
+    """Return the JSON value in a request's body; raises MalformedBodyError."""
     try:
         return json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -233,7 +234,7 @@
 
 
 async def send_json(exchange: HttpExchange, status: int, answer: object) -> None:
-    """Send a response with a JSON body; it must not be cached."""
+    """Send an uncacheable response with a JSON body."""
     fields: Fields = [(b"Content-Type", b"application/json"), (b"Cache-Control", b"no-store")]
     if status == 503:
         fields.append((b"Retry-After", b"%d" % RETRY_AFTER_SECONDS))
--- a/packages/control_plane/ryelock/control_plane/rpc_handlers.py
+++ b/packages/control_plane/ryelock/control_plane/rpc_handlers.py
@@ -152,7 +152,7 @@
         leader = leader_location(self.consensus)
         if not leader:
             return answer
-        return await self.control_api.call_leader(leader, {**message, "through": False})
+        return await self.control_api.call_node(leader, {**message, "through": False})
 
     def on_release(self, message: Message, reply: Reply) -> None:
         """Answer the release request of a control node that shuts down."""
