--- a/packages/control_api/ryelock/control_api/__init__.py
+++ b/packages/control_api/ryelock/control_api/__init__.py
@@ -1,7 +1,8 @@
-"""The HTTP API for operators and the platform on every process.
+"""The control API: HTTP for operators and the platform, served by every process.
 
-`server` serves it and passes on to the leader what only the leader can answer; `requests` has the
-requests and outcomes, `errors` what is wrong with a request.
+- `server`: the HTTP server, which forwards to the leader what only the leader can answer.
+- `requests`: operator requests and their outcomes.
+- `errors`: errors of a request, with the HTTP response to each.
 """
 
 from ryelock.control_api.errors import ControlApiError
--- a/packages/control_api/ryelock/control_api/requests.py
+++ b/packages/control_api/ryelock/control_api/requests.py
@@ -1,4 +1,4 @@
-"""Operators' requests as they are passed to the leader, and what becomes of them."""
+"""Operator requests, as forwarded to the leader, and their outcomes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -7,11 +7,11 @@
 from ryelock.rpc import Message
 
 OPERATOR_REQUEST = "operator"
-"""Kind of the message that carries an operator's request."""
+"""Kind of the RPC message that carries an operator request."""
 
 
 class OperatorAction(StrEnum):
-    """What an operator asks the leader for; the values are those on the wire."""
+    """Action that an operator requests; the values are used on the wire."""
 
     CHANGE = "change"
     PLAN = "plan"
@@ -26,7 +26,7 @@
 READ_ONLY_ACTIONS = frozenset(
     {OperatorAction.READ, OperatorAction.PLAN, OperatorAction.HEALTH, OperatorAction.MEMBERS}
 )
-"""Actions without effect: one without a response may be repeated elsewhere."""
+"""Actions without side effects: without a response, they may be retried on another node."""
 ACTIONS_WITH_PAYLOAD = frozenset(
     {
         OperatorAction.CHANGE,
@@ -39,10 +39,10 @@
 
 
 class OutcomeStatus(StrEnum):
-    """What became of a request; the values are those on the wire and in responses.
+    """Outcome of a request; the values are used on the wire and in responses.
 
-    NOT_TAKEN is certain: the request has no effect and will have none. UNKNOWN says that it may
-    have been committed. ELSEWHERE: this node does not lead.
+    NOT_TAKEN is definite: the request has not been executed and will not be. UNKNOWN: it may have
+    been committed. ELSEWHERE: this node is not the leader.
     """
 
     ACCEPTED = "accepted"
@@ -59,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorRequest:
-    """One operator's request.
+    """An operator request.
 
     Attributes:
-        action: what is asked for, None where the sender named something unknown.
+        action: requested action, None if its name on the wire is unknown.
         payload: JSON value of the request's body, None for actions without one.
-        query: the last value of each name in the URL's query.
+        query: last value of each parameter in the URL's query.
     """
 
     action: OperatorAction | None
@@ -72,7 +72,7 @@
     query: Mapping[str, str] = field(default_factory=dict)
 
     def to_wire(self) -> Message:
-        """Return the message that carries the request."""
+        """Return the request as an RPC message."""
         message: Message = {
             "kind": OPERATOR_REQUEST,
             "what": str(self.action),
@@ -84,7 +84,7 @@
 
     @classmethod
     def from_wire(cls, message: Message) -> "OperatorRequest":
-        """Return the request in a message; the query is of no use to the leader."""
+        """Return the request in an RPC message; the query, unused by the leader, is left out."""
         name = message.get("what")
         action = next((known for known in OperatorAction if known.value == name), None)
         return cls(action, message.get("given"))
--- a/packages/control_client/ryelock/control_client/__init__.py
+++ b/packages/control_client/ryelock/control_client/__init__.py
@@ -1,6 +1,6 @@
-"""The operator's side of the control API: requests to a node, and exit codes for what came of them.
+"""Client of the control API: operator requests, and the exit codes of their outcomes.
 
-`client` sends a request, `errors` has the exit codes and what can go wrong.
+`client` sends a request; `errors` has the exit codes and the errors.
 """
 
 from ryelock.control_client.client import (
--- a/packages/control_client/ryelock/control_client/client.py
+++ b/packages/control_client/ryelock/control_client/client.py
@@ -16,13 +16,13 @@
 from ryelock.runtime import Network, Scheduler
 
 TIMEOUT_SECONDS = 25.0
-"""Longer than a node waits for the outcome of a change, which it answers with 504 by itself."""
+"""Longer than a node waits for the outcome of a change before it responds with 504."""
 
 JsonObject = dict[str, object]
 
 
 class ControlResponse(NamedTuple):
-    """What a node answered: the HTTP status and the JSON object of its body."""
+    """Response of a node: the HTTP status and the JSON object in the body."""
 
     status: int
     body: JsonObject
@@ -44,13 +44,13 @@
         address: the node's control address, host:port.
         method: GET to read, POST to change something.
         target: path and query.
-        json_body: what is sent as JSON; None sends no body.
+        json_body: value sent as JSON; None sends no body.
 
     Returns:
-        The response, whatever its status, or why there is none.
+        The response with any status, or the reason for having none.
     """
     body = b"" if json_body is None else json.dumps(json_body).encode()
-    found = await fetch(
+    result = await fetch(
         scheduler,
         network,
         address,
@@ -60,12 +60,12 @@
         body,
         TIMEOUT_SECONDS,
     )
-    if found.is_error():
-        # A read that was sent can simply be repeated; a change may have been executed.
-        outcome_unknown = found.error.sent and method == "POST"
+    if result.is_error():
+        # A GET can safely be retried; a POST that was sent may have been executed.
+        outcome_unknown = result.error.sent and method == "POST"
         error = OutcomeUnknownError if outcome_unknown else RequestNotSentError
-        return Error(error(address, found.error.reason))
-    head, content = found.ok
+        return Error(error(address, result.error.reason))
+    head, content = result.ok
     try:
         decoded = json.loads(content)
     except ValueError:
--- a/packages/control_client/ryelock/control_client/errors.py
+++ b/packages/control_client/ryelock/control_client/errors.py
@@ -1,23 +1,23 @@
-"""Exit codes of the operator's commands, and the errors that end one."""
+"""Exit codes of the operator commands, and the errors that end them."""
 
 import enum
 from http import HTTPStatus
 
 
 class ExitCode(enum.IntEnum):
-    """Exit code of an operator's command; scripts rely on the values."""
+    """Exit code of an operator command; scripts rely on the values."""
 
     DONE = 0
     REJECTED = 1
     """Rejected, invalid, or superseded by another change."""
     BAD_INPUT = 2
-    """Settings or a file of the operator's have faults; nothing was sent."""
+    """The settings or the operator's file are invalid; nothing was sent."""
     NOT_TAKEN = 3
-    """Certainly not executed; to be sent again later."""
+    """Definitely not executed; retry later."""
     UNKNOWN = 4
-    """May have been executed; to be sent again with the same id."""
+    """May have been executed; retry with the same id."""
     UNREACHED = 5
-    """No node could be reached, or what answered is none."""
+    """No node could be reached, or the response is not of a control API."""
 
 
 EXIT_CODES: dict[int, ExitCode] = {
@@ -25,7 +25,7 @@
     HTTPStatus.SERVICE_UNAVAILABLE: ExitCode.NOT_TAKEN,
     HTTPStatus.GATEWAY_TIMEOUT: ExitCode.UNKNOWN,
 }
-"""Exit codes of the statuses that are not rejections."""
+"""Exit code by HTTP status; any other status is a rejection."""
 
 
 def exit_code_of(status: int) -> ExitCode:
@@ -34,10 +34,10 @@
 
 
 class OperatorError(Exception):
-    """An operator's request got no usable response; the text is for the operator.
+    """An operator request got no usable response; the message is shown to the operator.
 
     Attributes:
-        exit_code: how the command ends.
+        exit_code: exit code of the command.
     """
 
     def __init__(self, text: str, exit_code: ExitCode = ExitCode.UNREACHED) -> None:
@@ -47,24 +47,24 @@
 
 
 class RequestNotSentError(OperatorError):
-    """The request did not reach the node, or only reads and got no response."""
+    """The request was not sent, or it is read-only and got no response."""
 
     def __init__(self, address: str, reason: str) -> None:
-        """Create the error of a node's host:port."""
+        """Create the error for a node's host:port."""
         super().__init__(f"{address}: {reason}; not sent")
 
 
 class OutcomeUnknownError(OperatorError):
-    """The request may have reached the node, whose response did not come."""
+    """The request may have reached the node, but no response was received."""
 
     def __init__(self, address: str, reason: str) -> None:
-        """Create the error of a node's host:port."""
+        """Create the error for a node's host:port."""
         super().__init__(f"{address}: {reason}; outcome unknown", ExitCode.UNKNOWN)
 
 
 class MalformedResponseError(OperatorError):
-    """What answered is no control API: its body is no JSON object."""
+    """The response is not of a control API: its body is not a JSON object."""
 
     def __init__(self, address: str, reason: str) -> None:
-        """Create the error of a host:port."""
+        """Create the error for a node's host:port."""
         super().__init__(f"{address}: {reason}")
