--- a/packages/cli/ryelock/cli/__init__.py
+++ b/packages/cli/ryelock/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The program `ryelock`: its subcommands, and how a process is started and ended."""
+"""The program `ryelock`: its subcommands, and the start and stop of a process."""
--- a/packages/cli/ryelock/cli/__main__.py
+++ b/packages/cli/ryelock/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ryelock.cli`, the same as `ryelock`."""
+"""Entry point of `python -m ryelock.cli`, equivalent to `ryelock`."""
 
 from ryelock.cli.main import main
 
--- a/packages/cli/ryelock/cli/changes.py
+++ b/packages/cli/ryelock/cli/changes.py
@@ -1,4 +1,4 @@
-"""An operator's change: read from a file, given an id and a base version, and sent."""
+"""Configuration changes of operators: reading from a file, completing and sending."""
 
 import json
 import sys
@@ -12,7 +12,7 @@
 
 
 class ChangeError(Exception):
-    """Base of the errors of a change's file; the text is for the operator."""
+    """Base of the errors in a change file; the message is shown to the operator."""
 
 
 class UnreadableChangeError(ChangeError):
@@ -24,7 +24,7 @@
 
 
 class NotAChangeError(ChangeError):
-    """The file holds something else than a change."""
+    """The content of the file is not a change."""
 
     def __init__(self, file: str) -> None:
         """Create the error of a file's path."""
@@ -32,54 +32,56 @@
 
 
 class MissingBaseError(ChangeError):
-    """A JSON Patch came without the version that it was planned on."""
+    """A JSON Patch was given without its base version."""
 
     def __init__(self) -> None:
         """Create the error."""
         super().__init__("a patch needs --base, the version it was planned on")
 
 
-def show(value: object) -> None:
+def print_json(value: object) -> None:
     """Print a value as JSON."""
     sys.stdout.write(json.dumps(value, indent=2, ensure_ascii=False) + "\n")
 
 
 def read_change(file: str) -> JsonObject:
-    """Return the change in a JSON or TOML file; a list is taken for a JSON Patch (RFC 6902).
+    """Return the change in a JSON or TOML file; a list is read as a JSON Patch (RFC 6902).
 
     Raises:
         UnreadableChangeError: the file cannot be read or parsed.
-        NotAChangeError: it holds neither an object nor a list.
+        NotAChangeError: the content is neither an object nor a list.
     """
     try:
         text = Path(file).read_text()
-        given = tomllib.loads(text) if file.endswith(".toml") else json.loads(text)
+        content = tomllib.loads(text) if file.endswith(".toml") else json.loads(text)
     except (OSError, ValueError) as error:
         raise UnreadableChangeError(file, error) from error
-    if isinstance(given, list):
-        return {"patch": given}
-    if not isinstance(given, dict):
+    if isinstance(content, list):
+        return {"patch": content}
+    if not isinstance(content, dict):
         raise NotAChangeError(file)
-    return given
+    return content
 
 
-def change_of(given: JsonObject, identity: str, base: int | None, whole: bool) -> JsonObject:
-    """Return the change to send: with an id, and with the base where it is known.
+def prepare_change(
+    content: JsonObject, change_id: str, base: int | None, whole: bool
+) -> JsonObject:
+    """Return the change to send: the content of a file with an id and, if known, a base version.
 
     Args:
-        given: the content of the operator's file.
-        identity: the change's id; empty for the file's, or a new one where that has none.
-        base: the version it was made against; None for the file's, or the present one.
-        whole: whether the file is a complete configuration.
+        content: content of the operator's file.
+        change_id: id of the change; if empty, that in the file or else a new one.
+        base: version that the change was made against; if None, that in the file, if any.
+        whole: True if the file is a complete configuration.
 
     Raises:
-        MissingBaseError: a patch without a base.
+        MissingBaseError: the change is a JSON Patch without a base version.
     """
-    if "patch" in given and base is None and "base" not in given:
+    if "patch" in content and base is None and "base" not in content:
         raise MissingBaseError
-    change: JsonObject = {"put": given, "whole": True} if whole else dict(given)
-    if identity or "id" not in change:
-        change["id"] = identity or uuid.uuid4().hex
+    change: JsonObject = {"put": content, "whole": True} if whole else dict(content)
+    if change_id or "id" not in change:
+        change["id"] = change_id or uuid.uuid4().hex
     if base is not None:
         change["base"] = base
     return change
@@ -88,30 +90,30 @@
 async def send_change(reactor: Reactor, address: str, change: JsonObject) -> int:
     """Send a change and print the response.
 
-    A change without a base is made against the present version, which is read first.
+    If the change has no base version, the current version is read first and used.
 
     Args:
         reactor: opens the connections.
         address: control address of any control node or edge.
-        change: the change, with its id.
+        change: the change, including its id.
 
     Returns:
         The exit code.
     """
     if "base" not in change:
-        present = await call_control_api(
+        current = await call_control_api(
             reactor.scheduler, reactor, address, "GET", "/configuration"
         )
-        if present.is_error():
-            sys.stderr.write(f"ryelock: {present.error}\n")
+        if current.is_error():
+            sys.stderr.write(f"ryelock: {current.error}\n")
             return ExitCode.UNREACHED
-        if present.ok.status != HTTPStatus.OK:
-            show(present.ok.body)
-            return exit_code_of(present.ok.status)
-        change["base"] = present.ok.body["version"]
-    found = await call_control_api(reactor.scheduler, reactor, address, "POST", "/changes", change)
-    if found.is_error():
-        sys.stderr.write(f"ryelock: {found.error} (id {change['id']})\n")
-        return found.error.exit_code
-    show(found.ok.body)
-    return exit_code_of(found.ok.status)
+        if current.ok.status != HTTPStatus.OK:
+            print_json(current.ok.body)
+            return exit_code_of(current.ok.status)
+        change["base"] = current.ok.body["version"]
+    result = await call_control_api(reactor.scheduler, reactor, address, "POST", "/changes", change)
+    if result.is_error():
+        sys.stderr.write(f"ryelock: {result.error} (id {change['id']})\n")
+        return result.error.exit_code
+    print_json(result.ok.body)
+    return exit_code_of(result.ok.status)
--- a/packages/cli/ryelock/cli/command.py
+++ b/packages/cli/ryelock/cli/command.py
@@ -1,4 +1,4 @@
-"""Run one operator's command: a single task on a reactor of its own."""
+"""Run of one operator command: a single task on a new reactor."""
 
 import sys
 from collections.abc import Callable
@@ -6,13 +6,13 @@
 from ryelock.runtime import TaskCoroutine
 from ryelock.runtime.reactor import Reactor
 
-Work = Callable[[Reactor], TaskCoroutine[int]]
-"""Starts the command's task; its result is the exit code."""
-TASK_FAILED = 1
+Command = Callable[[Reactor], TaskCoroutine[int]]
+"""A command as a coroutine function that returns the exit code."""
+TASK_FAILED_EXIT_CODE = 1
 
 
-def run_once(work: Work) -> int:
-    """Run one task to its end and return its exit code, 1 where it ended by an exception."""
+def run_command(command: Command) -> int:
+    """Run a command to completion; return its exit code, or 1 if it raised an exception."""
     codes: list[int] = []
 
     def on_task_error(name: str, error: BaseException) -> None:
@@ -22,9 +22,9 @@
     reactor = Reactor(on_task_error)
 
     async def run() -> None:
-        codes.append(await work(reactor))
+        codes.append(await command(reactor))
         reactor.stop()
 
     reactor.scheduler.create_task(run(), name="command")
     reactor.run()
-    return codes[0] if codes else TASK_FAILED
+    return codes[0] if codes else TASK_FAILED_EXIT_CODE
--- a/packages/cli/ryelock/cli/daemon.py
+++ b/packages/cli/ryelock/cli/daemon.py
@@ -1,4 +1,4 @@
-"""Run one daemon on circuits until a signal ends it."""
+"""Run of one daemon on circuits until a signal stops it."""
 
 import signal
 import sys
@@ -17,14 +17,14 @@
 from ryelock.runtime.reactor import Reactor
 from ryelock.settings import NodeRole, Settings
 
-CANNOT_START = 1
-"""Exit code where the disk or an address cannot be used."""
-MAX_TRACE_LENGTH = 4000
-"""Characters of a traceback's end that one event carries."""
+START_FAILED_EXIT_CODE = 1
+"""The data folder or an address cannot be used."""
+MAX_TRACE_CHARACTERS = 4000
+"""An event carries the end of a traceback, up to this length."""
 
 
 class Node(Protocol):
-    """What a daemon runs: a control node or a traffic node."""
+    """The node that a daemon runs: a control node or a traffic node."""
 
     def start(self) -> None:
         """Start the node's tasks."""
@@ -35,50 +35,53 @@
         ...
 
     async def stop(self) -> None:
-        """Stop in an orderly way, within the node's own deadline."""
+        """Shut down gracefully, within the node's own deadline."""
         ...
 
 
 NodeFactory = Callable[[Reactor, Log, Random], Node]
-"""Creates a node on its reactor; raises FolderError or NetworkError where it cannot start."""
+"""Creates a node on its reactor; raises FolderError or NetworkError if it cannot start."""
 
 
 def open_control(settings: Settings, reactor: Reactor, log: Log, random: Random) -> ControlNode:
-    """Return a control node on its disk.
+    """Return a control node with the disk and journal in its data folder.
 
     Raises:
         FolderError: the data folder cannot be used.
-        NetworkError: an address cannot be listened on.
+        NetworkError: listening on an address failed.
     """
     folder = MachineFolder(settings.data_folder)
-    found = open_disk(folder, log, settings.segment_bytes, random)
-    if found.is_error():
-        raise FolderError(f"data folder {settings.data_folder}: {found.error.reason}")
-    disk, journal = found.ok
+    opened = open_disk(folder, log, settings.segment_bytes, random)
+    if opened.is_error():
+        raise FolderError(f"data folder {settings.data_folder}: {opened.error.reason}")
+    disk, journal = opened.ok
     return ControlNode(settings, reactor.scheduler, reactor, log, random, disk, journal)
 
 
 def run_daemon(role: NodeRole, settings: Settings) -> int:
-    """Run the daemon of a role until a signal ends it; return its exit code."""
+    """Run the daemon of a role until a signal stops it; return its exit code."""
 
-    def build(reactor: Reactor, log: Log, random: Random) -> Node:
+    def create_node(reactor: Reactor, log: Log, random: Random) -> Node:
         if role is NodeRole.CONTROL:
             return open_control(settings, reactor, log, random)
         return TrafficNode(role.value, settings, reactor.scheduler, reactor, log, random)
 
-    return run_node(role, settings, build)
+    return run_node(role, settings, create_node)
 
 
 def run_node(
-    role: str, settings: Settings, build: NodeFactory, watched: WatchedSettingsFile | None = None
+    role: str,
+    settings: Settings,
+    create_node: NodeFactory,
+    watched: WatchedSettingsFile | None = None,
 ) -> int:
-    """Run a node as a daemon until a signal ends it.
+    """Run a node as a daemon until a signal stops it.
 
     Args:
-        role: the name in messages to the operator.
-        settings: the settings to start with.
-        build: creates the node.
-        watched: a settings file that is read again whenever it changes.
+        role: name used in error messages.
+        settings: initial settings.
+        create_node: creates the node.
+        watched: settings file that is reloaded when it changes.
 
     Returns:
         The exit code.
@@ -86,15 +89,15 @@
     log = Log(settings.name)
 
     def on_task_error(name: str, error: BaseException) -> None:
-        trace = "".join(traceback.format_exception(error))[-MAX_TRACE_LENGTH:]
+        trace = "".join(traceback.format_exception(error))[-MAX_TRACE_CHARACTERS:]
         log.write(TASK_FAULT, task=name, fault=repr(error), trace=trace)
 
     reactor = Reactor(on_task_error, settings.link_bytes)
     try:
-        node = build(reactor, log, SystemRandom())
+        node = create_node(reactor, log, SystemRandom())
     except (FolderError, NetworkError) as error:
         sys.stderr.write(f"ryelock {role}: {error}\n")
-        return CANNOT_START
+        return START_FAILED_EXIT_CODE
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda number, _frame: reactor.signals.put(number))
     node.start()
@@ -108,7 +111,7 @@
 
 
 async def stop_at_signal(reactor: Reactor, node: Node) -> None:
-    """Wait for SIGTERM or SIGINT, stop the node, and end the reactor; SIGHUP is ignored."""
+    """Stop the node and the reactor at SIGTERM or SIGINT; ignore SIGHUP."""
     while True:
         number = await reactor.signals.get()
         if number in (signal.SIGTERM, signal.SIGINT):
--- a/packages/cli/ryelock/cli/daemon_commands.py
+++ b/packages/cli/ryelock/cli/daemon_commands.py
@@ -1,7 +1,7 @@
 """The subcommands that run a daemon: `core`, `edge` and `prober`.
 
-All three take the same kind of options: a settings file, flags for the settings that differ from
-process to process, and KEY=VALUE pairs for any other. Each is built from a table of its flags.
+All three take the same kinds of options: a settings file, flags for the settings that differ
+between processes, and KEY=VALUE pairs for all other settings. Each is built from a table of flags.
 """
 
 import inspect
@@ -17,7 +17,7 @@
 
 
 class Flag(NamedTuple):
-    """A setting that has a flag of its own."""
+    """Command-line flag of a setting."""
 
     key: str
     help: str
@@ -35,13 +35,13 @@
 
 
 def start_daemon(role: NodeRole, settings: str, flags: dict[str, object], sets: list[str]) -> int:
-    """Run a daemon until it is told to stop.
+    """Run a daemon until a signal stops it.
 
     Args:
-        role: what the process runs as.
+        role: role of the process.
         settings: path of a settings file, empty for none.
-        flags: settings by key; None where the flag was not given.
-        sets: settings as KEY=VALUE, which go before the flags.
+        flags: settings by key; None if the flag was not given.
+        sets: settings as KEY=VALUE, which override the flags.
 
     Returns:
         The exit code.
@@ -50,29 +50,29 @@
         key, _, value = pair.partition("=")
         flags[key] = value
     try:
-        found = read_settings(role, settings, flags)
+        checked = read_settings(role, settings, flags)
     except SettingsError as error:
         for fault in error.faults:
             sys.stderr.write(f"ryelock {role}: {fault}\n")
         return ExitCode.BAD_INPUT
-    return run_daemon(role, found)
+    return run_daemon(role, checked)
 
 
-def keyword(name: str, kind: object, default: object) -> inspect.Parameter:
-    """Return a parameter that defopt makes an option."""
+def option_parameter(name: str, kind: object, default: object) -> inspect.Parameter:
+    """Return a keyword-only parameter, which defopt turns into an option."""
     return inspect.Parameter(name, inspect.Parameter.KEYWORD_ONLY, default=default, annotation=kind)
 
 
 def daemon_command(role: NodeRole, summary: str, *own_flags: Flag) -> DaemonCommand:
-    """Return the subcommand of a daemon, as defopt reads it.
+    """Return the function that defopt turns into the subcommand of a daemon.
 
-    defopt takes options, types and help from a function's signature and docstring. Written out,
-    each flag of each daemon would stand in three places; here both are made from its row.
+    defopt derives options, types and help from a function's signature and docstring. Both are
+    generated here from the table of flags, so that each flag is declared only once.
 
     Args:
-        role: what the process runs as; its value is the subcommand's name.
-        summary: the first line of the help.
-        own_flags: flags behind those that all daemons have.
+        role: role of the process; its value is the name of the subcommand.
+        summary: first line of the help.
+        own_flags: flags that follow those common to all daemons.
     """
     flags = (*COMMON_FLAGS, *own_flags)
 
@@ -80,9 +80,9 @@
         return start_daemon(role, settings, values, sets or [])
 
     parameters = [
-        keyword("settings", str, ""),
-        *(keyword(flag.key, flag.type | None, None) for flag in flags),  # type: ignore[operator]
-        keyword("sets", list[str] | None, None),
+        option_parameter("settings", str, ""),
+        *(option_parameter(flag.key, flag.type | None, None) for flag in flags),  # type: ignore[operator]
+        option_parameter("sets", list[str] | None, None),
     ]
     helps = [
         ("settings", "settings file, TOML or JSON"),
--- a/packages/cli/ryelock/cli/main.py
+++ b/packages/cli/ryelock/cli/main.py
@@ -1,11 +1,11 @@
-"""Command line of `ryelock`, by defopt: three daemons and the operator's commands."""
+"""Command line of `ryelock`, parsed by defopt: three daemons and the operator commands."""
 
 import sys
 import warnings
 
 import defopt
 
-# circuits imports pkg_resources, which warns; an operator should not see that.
+# circuits imports pkg_resources, whose deprecation warning is of no use to an operator.
 warnings.filterwarnings("ignore", message="pkg_resources is deprecated")
 
 from ryelock.cli.daemon_commands import core, edge, prober  # noqa: E402
@@ -21,7 +21,7 @@
 
 
 def main() -> None:
-    """Run the subcommand that the command line names; exits with its code."""
+    """Run the subcommand named on the command line and exit with its code."""
     code = defopt.run(
         [core, edge, prober, apply, read, purge, drain, recover, verdicts, explain], short={}
     )
--- a/packages/cli/ryelock/cli/operator_commands.py
+++ b/packages/cli/ryelock/cli/operator_commands.py
@@ -1,33 +1,33 @@
-"""The subcommands of operators: each sends a request to a node and prints the response as JSON.
+"""The operator commands: each sends a request to a node and prints the response as JSON.
 
-defopt makes options and help of each function's signature and docstring, so the docstrings here
-are written for operators.
+defopt derives options and help from each function's signature and docstring, so the docstrings of
+the commands are the help texts that operators read.
 """
 
 import sys
 import uuid
 
-from ryelock.cli.changes import ChangeError, change_of, read_change, send_change, show
-from ryelock.cli.command import run_once
+from ryelock.cli.changes import ChangeError, prepare_change, print_json, read_change, send_change
+from ryelock.cli.command import run_command
 from ryelock.control_client import ExitCode, call_control_api, exit_code_of
 from ryelock.explain import explain_request, explain_url, format_explanation
 from ryelock.runtime.reactor import Reactor
 
 
-def call(address: str, method: str, target: str, json_body: object = None) -> int:
-    """Send one request to a control address and print the response; return the exit code."""
+def run_request(address: str, method: str, target: str, json_body: object = None) -> int:
+    """Send one request to a control address, print the response and return the exit code."""
 
-    async def work(reactor: Reactor) -> int:
-        found = await call_control_api(
+    async def command(reactor: Reactor) -> int:
+        result = await call_control_api(
             reactor.scheduler, reactor, address, method, target, json_body
         )
-        if found.is_error():
-            sys.stderr.write(f"ryelock: {found.error}\n")
-            return found.error.exit_code
-        show(found.ok.body)
-        return exit_code_of(found.ok.status)
+        if result.is_error():
+            sys.stderr.write(f"ryelock: {result.error}\n")
+            return result.error.exit_code
+        print_json(result.ok.body)
+        return exit_code_of(result.ok.status)
 
-    return run_once(work)
+    return run_command(command)
 
 
 def apply(
@@ -50,16 +50,18 @@
     :param plan: only show what the change would do, and to which version
     """
     try:
-        given = read_change(file)
+        content = read_change(file)
         if plan:
             if base is not None:
-                given["base"] = base
-            return call(at, "POST", "/plans", {"put": given, "whole": True} if whole else given)
-        change = change_of(given, id, base, whole)
+                content["base"] = base
+            return run_request(
+                at, "POST", "/plans", {"put": content, "whole": True} if whole else content
+            )
+        change = prepare_change(content, id, base, whole)
     except ChangeError as error:
         sys.stderr.write(f"ryelock apply: {error}\n")
         return ExitCode.BAD_INPUT
-    return run_once(lambda reactor: send_change(reactor, at, change))
+    return run_command(lambda reactor: send_change(reactor, at, change))
 
 
 def read(*, at: str) -> int:
@@ -67,7 +69,7 @@
 
     :param at: control address of any core or edge
     """
-    return call(at, "GET", "/configuration")
+    return run_request(at, "GET", "/configuration")
 
 
 def purge(
@@ -87,7 +89,7 @@
         for key, value in (("route", route), ("prefix", prefix), ("path", path), ("host", host))
         if value
     }
-    return call(at, "POST", "/purges", {"id": id or uuid.uuid4().hex, "scopes": [scope]})
+    return run_request(at, "POST", "/purges", {"id": id or uuid.uuid4().hex, "scopes": [scope]})
 
 
 def drain(target: str, *, at: str, force: bool = False, reason: str = "", id: str = "") -> int:
@@ -99,7 +101,7 @@
     :param reason: kept in the record
     :param id: id of the order
     """
-    return change_service(at, "/drains", id, target, force, reason)
+    return request_service_change(at, "/drains", id, target, force, reason)
 
 
 def recover(target: str, *, at: str, force: bool = False, reason: str = "", id: str = "") -> int:
@@ -111,15 +113,15 @@
     :param reason: kept in the record
     :param id: id of the order
     """
-    return change_service(at, "/recoveries", id, target, force, reason)
+    return request_service_change(at, "/recoveries", id, target, force, reason)
 
 
-def change_service(
-    address: str, path: str, identity: str, target: str, force: bool, reason: str
+def request_service_change(
+    address: str, path: str, request_id: str, target: str, force: bool, reason: str
 ) -> int:
-    """Send a drain or a recovery of an edge or zone; return the exit code."""
+    """Send a request to drain or recover an edge or zone; return the exit code."""
     request = {"target": target, "force": force, "reason": reason}
-    return call(address, "POST", path, {"id": identity or uuid.uuid4().hex, **request})
+    return run_request(address, "POST", path, {"id": request_id or uuid.uuid4().hex, **request})
 
 
 def verdicts(*, at: str) -> int:
@@ -127,7 +129,7 @@
 
     :param at: control address of any core or edge
     """
-    return call(at, "GET", "/verdicts")
+    return run_request(at, "GET", "/verdicts")
 
 
 def explain(what: str, url: str = "", *, at: str, plain: bool = False) -> int:
@@ -139,18 +141,18 @@
     :param plain: print JSON instead of words
     """
 
-    async def work(reactor: Reactor) -> int:
+    async def command(reactor: Reactor) -> int:
         if url:
-            found = await explain_url(reactor.scheduler, reactor, at, what, url)
+            result = await explain_url(reactor.scheduler, reactor, at, what, url)
         else:
-            found = await explain_request(reactor.scheduler, reactor, at, what)
-        if found.is_error():
-            sys.stderr.write(f"ryelock explain: {found.error}\n")
+            result = await explain_request(reactor.scheduler, reactor, at, what)
+        if result.is_error():
+            sys.stderr.write(f"ryelock explain: {result.error}\n")
             return ExitCode.UNREACHED
         if plain:
-            show(found.ok)
+            print_json(result.ok)
         else:
-            sys.stdout.write("\n".join(format_explanation(found.ok)) + "\n")
+            sys.stdout.write("\n".join(format_explanation(result.ok)) + "\n")
         return ExitCode.DONE
 
-    return run_once(work)
+    return run_command(command)
--- a/packages/cli/ryelock/cli/settings_file.py
+++ b/packages/cli/ryelock/cli/settings_file.py
@@ -1,4 +1,4 @@
-"""A settings file that is read again when it changes, while the daemon runs."""
+"""Reload of a daemon's settings file when it changes."""
 
 import os
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class FileVersion(NamedTuple):
-    """Tells one state of a file from another; zeros where there is no file."""
+    """Metadata that changes when a file is modified; zeros if there is no file."""
 
     modified_nanoseconds: int
     size: int
@@ -20,40 +20,40 @@
 
 
 class WatchedSettingsFile:
-    """A settings file that may change, and how its settings are read."""
+    """Polls a settings file for changes."""
 
     __slots__ = ("path", "read")
 
     def __init__(self, path: str, read: Callable[[], Settings]) -> None:
-        """Watch a settings file; `read` reads it and raises SettingsError for faults."""
+        """Create a watcher; `read` reads the file and raises SettingsError if it is invalid."""
         self.path = path
         self.read = read
 
     def version(self) -> FileVersion:
-        """Return what tells the file's present state from others."""
+        """Return the current version of the file."""
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError:
             return FileVersion(0, 0, 0)
-        return FileVersion(found.st_mtime_ns, found.st_size, found.st_ino)
+        return FileVersion(status.st_mtime_ns, status.st_size, status.st_ino)
 
     async def watch(
         self, scheduler: Scheduler, log: Log, apply: Callable[[Settings], None]
     ) -> None:
-        """Read the file whenever it has changed; a file with faults changes nothing.
+        """Reload the file whenever it changes; an invalid file leaves the settings unchanged.
 
         Args:
-            scheduler: runs this task, which does not end.
-            log: takes an event for each change.
-            apply: takes the changed settings.
+            scheduler: runs this task, which never ends.
+            log: receives an event for each change.
+            apply: called with the changed settings.
         """
-        known = self.version()
+        previous = self.version()
         while True:
             await scheduler.sleep(POLL_INTERVAL_SECONDS)
-            found = self.version()
-            if found == known:
+            current = self.version()
+            if current == previous:
                 continue
-            known = found
+            previous = current
             try:
                 apply(self.read())
                 log.write(SETTINGS_RELOADED)
--- a/packages/explain/ryelock/explain/__init__.py
+++ b/packages/explain/ryelock/explain/__init__.py
@@ -1,6 +1,8 @@
-"""Why a request went where it went: from the edge that served it, by the id in its answer.
+"""Explanations of how an edge routed a request, or would route one.
 
-client.py asks the edge, explanation.py is its typed answer, and text.py puts that into lines.
+- `client`: fetches an explanation from the edge.
+- `explanation`: its type.
+- `text`: formats it as lines of text.
 """
 
 from ryelock.explain.client import explain_request, explain_url
--- a/packages/explain/ryelock/explain/explanation.py
+++ b/packages/explain/ryelock/explain/explanation.py
@@ -1,4 +1,4 @@
-"""An edge's explanation of one request, as its control API answers it."""
+"""An edge's explanation of one request, as its control API returns it."""
 
 from dataclasses import dataclass, field
 from typing import Annotated
@@ -8,29 +8,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """What became of a request, or what would become of it now.
+    """How an edge routed a request, or would route it now.
 
-    Every field has a default: an edge that knows no route says nothing of servers, and one that
-    was asked what it would do has no status.
+    Every field has a default: without a matching route there are no servers, and an explanation of
+    how a request would be routed has no status.
 
     Attributes:
         method: HTTP method.
         target: path and query.
-        host: host that was asked for, empty where there was none.
-        route: name of the route, empty where none matched.
-        reason: why there is no answer of a server.
-        version: configuration version that the route is of.
+        host: requested host, empty if there was none.
+        route: name of the route, empty if none matched.
+        reason: why there is no response from a server.
+        version: configuration version of the route.
         service: name of the service.
         request_class: "once" (at most once) or "repeatable" (idempotent).
-        is_retry: whether it was taken for a client's retry.
-        cache: what the cache had for it.
-        admission: how it was let through, or what the admission queue holds.
+        is_retry: True if it was classified as a client's retry.
+        cache: result of the cache lookup.
+        admission: how it was admitted, or the state of the admission queue.
         verdicts: health verdict by zone.
-        candidates: what was known of each server at the first pick.
+        candidates: state of each server at the first selection.
         attempts: servers that it was sent to, with the result of each.
-        picked: where it would go now.
-        status: HTTP status of the answer, 0 where there was none.
-        outcome: how the answer ended.
+        picked: server that would be selected now.
+        status: HTTP status of the response, 0 if there was none.
+        outcome: how the response ended.
     """
 
     method: str | None = None
@@ -57,5 +57,5 @@
 
 
 def decode_explanation(body: dict[str, object]) -> Explanation:
-    """Return the explanation in a body; raises MalformedMessageError where it is none."""
+    """Return the explanation in a body; raises MalformedMessageError if it is invalid."""
     return decode(Explanation, body)
--- a/packages/explain/ryelock/explain/text.py
+++ b/packages/explain/ryelock/explain/text.py
@@ -1,13 +1,13 @@
-"""An explanation as lines to read."""
+"""Explanations formatted as lines of text."""
 
 from ryelock.explain.explanation import Explanation, decode_explanation
 
 
 def format_explanation(body: dict[str, object]) -> list[str]:
-    """Return the explanation in an edge's answer as lines of text.
+    """Return the explanation in the body of an edge's response as lines of text.
 
     Raises:
-        MalformedMessageError: the body is no explanation.
+        MalformedMessageError: the body is not a valid explanation.
     """
     explanation = decode_explanation(body)
     lines = [
@@ -50,7 +50,7 @@
 
 
 def result_lines(explanation: Explanation) -> list[str]:
-    """Return the lines on the answer, or on the server that would be picked."""
+    """Return the lines on the response, or on the server that would be selected."""
     lines: list[str] = []
     if explanation.picked:
         lines.append(f"would go to {explanation.picked}")
@@ -61,5 +61,5 @@
 
 
 def format_record(record: dict[str, object]) -> str:
-    """Return a record as key=value pairs."""
+    """Return a record as key=value pairs, separated by spaces."""
     return " ".join(f"{key}={value}" for key, value in record.items())
