--- a/packages/events/ryelock/events/__init__.py
+++ b/packages/events/ryelock/events/__init__.py
@@ -1,7 +1,6 @@
-"""Numbered log events, one JSON line each, and the catalogue the docs are made from.
+"""Numbered log events, one JSON line each, and their catalogue.
 
-A number never changes its meaning. The text says what happened and `operator_action` what, if
-anything, an operator should do; docs/events.md is printed from this table.
+docs/events.md is generated from the catalogue. A number must never be reused for another meaning.
 """
 
 import logging
@@ -14,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One kind of log event, with a number that never changes its meaning.
+    """A kind of log event.
 
     Attributes:
-        number: the stable number.
-        level: a level of the logging module.
-        text: what happened.
-        operator_action: what an operator should do, "nothing" where nothing.
+        number: stable number, never reused.
+        level: level of the logging module.
+        text: description of what happened.
+        operator_action: recommended action of an operator, or "nothing".
     """
 
     number: int
@@ -152,12 +151,12 @@
 
 
 class Log:
-    """Writes events of one process to one stream."""
+    """Writes the events of one process to a stream."""
 
     __slots__ = ("logger", "node")
 
     def __init__(self, node: str, stream: TextIO | None = None) -> None:
-        """Open a log of one node; the stream is stderr unless given."""
+        """Create the log of a node; the default stream is stderr."""
         self.node = node
         self.logger = logging.Logger(f"ryelock.{node}", logging.INFO)
         handler = logging.StreamHandler(stream or sys.stderr)
@@ -170,29 +169,29 @@
         self.logger.addHandler(handler)
 
     def write(self, event: Event, **fields: object) -> None:
-        """Write one event as a JSON line, with further fields."""
+        """Write one event as a JSON line with additional fields."""
         self.logger.log(
             event.level, event.text, extra={"event": event.number, "node": self.node, **fields}
         )
 
 
 class RecordingLog(Log):
-    """Keeps the numbers and fields of events, for tests and the simulator."""
+    """Records the numbers and fields of events, for tests and the simulator."""
 
     __slots__ = ("records",)
 
     def __init__(self, node: str) -> None:
-        """Create a log that writes nothing."""
+        """Create an empty log, which writes to no stream."""
         self.node = node
         self.records: list[tuple[int, dict[str, object]]] = []
 
     def write(self, event: Event, **fields: object) -> None:
-        """Keep the event's number and fields."""
+        """Record the event's number and fields."""
         self.records.append((event.number, fields))
 
 
 def catalogue_page() -> str:
-    """Return the text of docs/events.md, made of the catalogue."""
+    """Return the text of docs/events.md, generated from the catalogue."""
     lines = [
         "# Event catalogue",
         "",
--- a/packages/events/ryelock/events/__main__.py
+++ b/packages/events/ryelock/events/__main__.py
@@ -1,4 +1,4 @@
-"""Prints the event catalogue as docs/events.md holds it."""
+"""Entry point of `python -m ryelock.events`, which prints docs/events.md."""
 
 import sys
 
--- a/packages/metrics/ryelock/metrics/__init__.py
+++ b/packages/metrics/ryelock/metrics/__init__.py
@@ -1,8 +1,8 @@
 """Metrics of one process: counters and gauges, served in the Prometheus text format.
 
-A counter costs a dictionary entry where it is counted; everything else happens when the metrics are
-read. The library that writes the format is loaded at the first such request: it is larger than
-most of a node, and a node whose metrics nobody reads never loads it.
+Counting is one dictionary update; all other work is done when the metrics are read. The Prometheus
+library is imported at the first read, so that a node whose metrics are never read does not need the
+memory for it.
 """
 
 from collections import defaultdict
@@ -17,14 +17,14 @@
     from prometheus_client import Metric
 
 Labels = tuple[str, ...]
-"""Values of a metric's labels, in the order of their names."""
+"""Names of a metric's labels, or their values in the same order."""
 ReadGauge = Callable[[], Mapping[Labels, float]]
-"""Returns a gauge's present values by its labels' values."""
+"""Returns the current values of a gauge by label values."""
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class Counter:
-    """A sum that only grows, one for each combination of its labels' values."""
+    """A monotonically increasing sum for each combination of label values."""
 
     __slots__ = ("help", "labels", "name", "values")
 
@@ -32,9 +32,9 @@
         """Create a counter without values.
 
         Args:
-            name: the metric's name, without the ending `_total`.
-            help: one line that says what is counted, with its unit.
-            labels: the labels' names.
+            name: name of the metric, without the suffix `_total`.
+            help: one line that describes what is counted, with the unit.
+            labels: names of the labels.
         """
         self.name = name
         self.help = help
@@ -42,17 +42,17 @@
         self.values: defaultdict[Labels, float] = defaultdict(float)
 
     def add(self, *values: str, amount: float = 1.0) -> None:
-        """Add to the sum of these label values, given in the order of the labels' names."""
+        """Add `amount` to the sum for these label values, given in the order of the label names."""
         self.values[values] += amount
 
 
 class Gauge:
-    """A value that is read when the metrics are, for each combination of its labels' values."""
+    """A value for each combination of label values, evaluated when the metrics are read."""
 
     __slots__ = ("help", "labels", "name", "read")
 
     def __init__(self, name: str, help: str, labels: Labels, read: ReadGauge) -> None:
-        """Create a gauge; see Counter."""
+        """Create a gauge; see Counter. `read` returns the current values."""
         self.name = name
         self.help = help
         self.labels = labels
@@ -65,22 +65,22 @@
     __slots__ = ("counters", "gauges")
 
     def __init__(self) -> None:
-        """Create an empty collection."""
+        """Create a registry without metrics."""
         self.counters: list[Counter] = []
         self.gauges: list[Gauge] = []
 
     def counter(self, name: str, help: str, *labels: str) -> Counter:
-        """Add a counter; its name is shown with `ryelock_` before and `_total` behind."""
+        """Add a counter, exposed with the prefix `ryelock_` and the suffix `_total`."""
         counter = Counter(f"ryelock_{name}", help, labels)
         self.counters.append(counter)
         return counter
 
     def gauge(self, name: str, help: str, read: ReadGauge, *labels: str) -> None:
-        """Add a gauge; its name is shown with `ryelock_` before."""
+        """Add a gauge, exposed with the prefix `ryelock_`."""
         self.gauges.append(Gauge(f"ryelock_{name}", help, labels, read))
 
     def collect(self) -> "Iterator[Metric]":
-        """Yield the present values; prometheus_client calls this."""
+        """Yield the metrics with their current values; called by prometheus_client."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         for counter in self.counters:
@@ -95,15 +95,15 @@
             yield gauge_family
 
     def to_dict(self) -> dict[str, float]:
-        """Return all values by name and label values, as one line of the log has them."""
-        found: dict[str, float] = {}
+        """Return all current values by `name/label value/...`, as written to the log."""
+        result: dict[str, float] = {}
         for counter in self.counters:
             for values, amount in sorted(counter.values.items()):
-                found["/".join((counter.name, *values))] = amount
+                result["/".join((counter.name, *values))] = amount
         for gauge in self.gauges:
             for values, amount in sorted(gauge.read().items()):
-                found["/".join((gauge.name, *values))] = round(amount, 4)
-        return found
+                result["/".join((gauge.name, *values))] = round(amount, 4)
+        return result
 
     def exposition(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
@@ -115,19 +115,19 @@
 
 
 class MetricsServer:
-    """Serves the metrics of a process over HTTP, whatever the path."""
+    """HTTP server for the metrics of a process; it serves them at every path."""
 
     __slots__ = ("listener", "metrics")
 
     def __init__(
         self, scheduler: Scheduler, network: Network, log: Log, address: str, metrics: Metrics
     ) -> None:
-        """Listen at host:port; raises NetworkError where that is not possible."""
+        """Listen on host:port; raises NetworkError if that fails."""
         self.metrics = metrics
         self.listener = HttpServer(scheduler, network, log, address, Limits(), self.serve)
 
     async def serve(self, exchange: HttpExchange) -> None:
-        """Answer one request with all metrics."""
+        """Respond to one request with all metrics."""
         await exchange.read_body()
         fields = [(b"Content-Type", CONTENT_TYPE), (b"Cache-Control", b"no-store")]
         await exchange.respond(200, fields, self.metrics.exposition())
@@ -136,7 +136,7 @@
 async def log_metrics(
     scheduler: Scheduler, log: Log, metrics: Metrics, interval_seconds: float
 ) -> None:
-    """Write all metrics to the log, once in so many seconds, without end."""
+    """Write all metrics to the log at a fixed interval; never returns."""
     while True:
         await scheduler.sleep(interval_seconds)
         log.write(METRICS_LOGGED, figures=metrics.to_dict())
@@ -150,18 +150,18 @@
     address: str,
     log_interval_seconds: float,
 ) -> None:
-    """Serve and log the metrics of a process, as its settings say.
+    """Serve and log the metrics of a process as configured.
 
     Args:
         scheduler: runs the tasks.
-        network: what listens.
-        log: takes the lines.
-        metrics: what is served and logged.
-        address: host:port to serve at; empty for nowhere.
-        log_interval_seconds: seconds between two lines of the log; 0 for none.
+        network: network to listen on.
+        log: log of the process.
+        metrics: metrics that are served and logged.
+        address: host:port to listen on; empty disables the server.
+        log_interval_seconds: interval between two log events; 0 disables them.
 
     Raises:
-        NetworkError: the address cannot be listened on.
+        NetworkError: listening on the address failed.
     """
     if address:
         MetricsServer(scheduler, network, log, address, metrics)
--- a/packages/settings/ryelock/settings/__init__.py
+++ b/packages/settings/ryelock/settings/__init__.py
@@ -1,7 +1,9 @@
-"""Settings from a file and from flags, all checked before any port opens.
+"""Settings from a file and from flags, validated before any port is opened.
 
-`declaration` has every setting, `checks` what values are valid, `reading` puts file and flags
-together and reports every fault at once, one line each.
+- `declaration`: all settings.
+- `checks`: validators of their values.
+- `reading`: merges file and flags and reports all faults at once, one line each.
+- `page`: generates docs/settings.md.
 """
 
 from ryelock.settings.checks import parse_address
--- a/packages/settings/ryelock/settings/__main__.py
+++ b/packages/settings/ryelock/settings/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ryelock.settings` prints docs/settings.md."""
+"""Entry point of `python -m ryelock.settings`, which prints docs/settings.md."""
 
 import sys
 
--- a/packages/settings/ryelock/settings/checks.py
+++ b/packages/settings/ryelock/settings/checks.py
@@ -1,6 +1,6 @@
-"""Checks of values: each converts what a file or a flag gives, or raises InvalidValueError.
+"""Validators of settings: each returns the converted value or raises InvalidValueError.
 
-A flag gives text, a file the types of TOML or JSON; both forms are taken.
+Flags give text, files give the types of TOML or JSON; both forms are accepted.
 """
 
 from collections.abc import Callable
@@ -13,8 +13,8 @@
 MAX_SEEDS = 3
 
 
-def number(lowest: float, highest: float) -> Callable[[object], float]:
-    """Return a check for numbers within bounds, both included."""
+def number(minimum: float, maximum: float) -> Callable[[object], float]:
+    """Return a validator of numbers from `minimum` to `maximum`, inclusive."""
 
     def check(value: object) -> float:
         if isinstance(value, str):
@@ -24,28 +24,28 @@
                 raise InvalidValueError("not a number") from None
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise InvalidValueError("not a number")
-        if not lowest <= value <= highest:
-            raise InvalidValueError(f"not between {lowest:g} and {highest:g}")
+        if not minimum <= value <= maximum:
+            raise InvalidValueError(f"not between {minimum:g} and {maximum:g}")
         return float(value)
 
     return check
 
 
-def integer(lowest: int, highest: int) -> Callable[[object], int]:
-    """Return a check for integers within bounds, both included."""
-    check_number = number(lowest, highest)
+def integer(minimum: int, maximum: int) -> Callable[[object], int]:
+    """Return a validator of integers from `minimum` to `maximum`, inclusive."""
+    check_number = number(minimum, maximum)
 
     def check(value: object) -> int:
-        found = check_number(value)
-        if found != int(found):
+        converted = check_number(value)
+        if converted != int(converted):
             raise InvalidValueError("not a whole number")
-        return int(found)
+        return int(converted)
 
     return check
 
 
 def identifier(value: object) -> str:
-    """Check a name of letters, digits, '-', '_' and '.'."""
+    """Validate a name of letters, digits, '-', '_' and '.'."""
     if not isinstance(value, str) or not value or len(value) > MAX_NAME_LENGTH:
         raise InvalidValueError(f"not a name of 1 to {MAX_NAME_LENGTH} characters")
     if not all(character.isalnum() or character in "-_." for character in value):
@@ -54,19 +54,19 @@
 
 
 def optional_identifier(value: object) -> str:
-    """Check a name that may be empty."""
+    """Validate a name that may be empty."""
     return "" if value == "" else identifier(value)
 
 
 def text(value: object) -> str:
-    """Check that a value is text."""
+    """Validate text."""
     if not isinstance(value, str):
         raise InvalidValueError("not text")
     return value
 
 
 def parse_address(value: object) -> str:
-    """Check an IPv4 address with a port, like 10.0.0.1:8000."""
+    """Validate an IPv4 address with a port, such as 10.0.0.1:8000."""
     if not isinstance(value, str):
         raise InvalidValueError("not an address of the form 10.0.0.1:8000")
     try:
@@ -82,12 +82,12 @@
 
 
 def optional_address(value: object) -> str:
-    """Check an address that may be empty."""
+    """Validate an address that may be empty."""
     return "" if value == "" else parse_address(value)
 
 
 def seed_addresses(value: object) -> tuple[str, ...]:
-    """Check one to three different addresses, as a list or divided by commas."""
+    """Validate one to three distinct addresses, given as a list or separated by commas."""
     if isinstance(value, str):
         value = [part.strip() for part in value.split(",") if part.strip()]
     if not isinstance(value, list | tuple) or not 1 <= len(value) <= MAX_SEEDS:
@@ -99,7 +99,7 @@
 
 
 def regions_by_zone(value: object) -> dict[str, str]:
-    """Check the region of each zone, as a table or as zone=region divided by commas."""
+    """Validate the region of each zone, given as a table or as comma-separated zone=region."""
     if isinstance(value, str):
         value = dict(part.strip().partition("=")[::2] for part in value.split(",") if part.strip())
     if not isinstance(value, dict):
@@ -108,7 +108,7 @@
 
 
 def boolean(value: object) -> bool:
-    """Check a truth value."""
+    """Validate a boolean."""
     if value in (True, "true", "yes", "1"):
         return True
     if value in (False, "false", "no", "0"):
--- a/packages/settings/ryelock/settings/declaration.py
+++ b/packages/settings/ryelock/settings/declaration.py
@@ -1,4 +1,4 @@
-"""Every setting of the system: key, default, check and one line of help."""
+"""Declaration of all settings: key, default, validator and one line of help."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar, overload
@@ -16,22 +16,22 @@
     text,
 )
 
-Kind = TypeVar("Kind")
+Value = TypeVar("Value")
 
 
-class Setting(Generic[Kind]):
-    """One declared setting: a descriptor that gives the value when it is read from `Settings`.
+class Setting(Generic[Value]):
+    """A declared setting: a descriptor whose value is read from `Settings`.
 
     Attributes:
-        key: the setting's name in files and flags: the name of the attribute.
-        default: the value where the operator gives none.
-        check: converts a given value or raises InvalidValueError with the reason.
+        key: name of the setting in files and flags, which is the name of the attribute.
+        default: value used if the operator sets none.
+        check: returns the converted value or raises InvalidValueError with the reason.
         description: one line of help, as in docs/settings.md.
     """
 
     __slots__ = ("check", "default", "description", "key")
 
-    def __init__(self, default: Kind, check: Callable[[object], Kind], description: str) -> None:
+    def __init__(self, default: Value, check: Callable[[object], Value], description: str) -> None:
         """Declare a setting; see the attributes."""
         self.default = default
         self.check = check
@@ -39,15 +39,15 @@
         self.key = ""
 
     def __set_name__(self, owner: type, name: str) -> None:
-        """Take the attribute's name as the setting's key."""
+        """Set the key to the name of the attribute."""
         self.key = name
 
     @overload
-    def __get__(self, settings: None, owner: type) -> "Setting[Kind]": ...
+    def __get__(self, settings: None, owner: type) -> "Setting[Value]": ...
     @overload
-    def __get__(self, settings: "Settings", owner: type) -> Kind: ...
-    def __get__(self, settings: "Settings | None", owner: type) -> "Setting[Kind] | Kind":
-        """Return the value from a Settings; the setting itself where read from the class."""
+    def __get__(self, settings: "Settings", owner: type) -> Value: ...
+    def __get__(self, settings: "Settings | None", owner: type) -> "Setting[Value] | Value":
+        """Return the value in a Settings instance, or the setting itself if read from the class."""
         if settings is None:
             return self
         return settings.values[self.key]  # type: ignore[return-value]
@@ -56,7 +56,7 @@
 class Settings:
     """The settings of one process, as attributes; durations are in seconds, sizes in bytes.
 
-    The names and their texts are those of docs/settings.md, which operators' files use.
+    Operators' files use the names, and docs/settings.md is generated from names and descriptions.
     """
 
     __slots__ = ("values",)
@@ -188,10 +188,10 @@
     verdict_seconds = Setting(1.0, number(0.05, 600), "how often verdicts are worked out")
 
     def __init__(self, values: dict[str, object]) -> None:
-        """Create settings from a value for every key; `read_settings` checks them first."""
+        """Create settings from validated values, one for every key; see `read_settings`."""
         self.values = values
 
 
 def declared_settings(owner: type[Settings]) -> dict[str, Setting[object]]:
-    """Return the declared settings of a class by key."""
+    """Return the settings declared by a class, by key."""
     return {key: value for key, value in vars(owner).items() if isinstance(value, Setting)}
--- a/packages/settings/ryelock/settings/errors.py
+++ b/packages/settings/ryelock/settings/errors.py
@@ -1,30 +1,30 @@
-"""Errors of this package: one base, a class for each thing that can be wrong."""
+"""Errors of settings; all derive from SettingsError."""
 
 
 class SettingsError(Exception):
-    """Settings that a process cannot start with.
+    """Invalid settings, with which a process cannot start.
 
     Attributes:
-        faults: every fault found, one line each, for the operator.
+        faults: all faults found, one line each, shown to the operator.
     """
 
     def __init__(self, faults: list[str]) -> None:
-        """Create the error of these faults."""
+        """Create the error; see the attributes."""
         super().__init__("\n".join(faults))
         self.faults = faults
 
 
 class InvalidValueError(SettingsError, ValueError):
-    """A value that a setting does not take; the text is the reason."""
+    """A value that is invalid for a setting; the message is the reason."""
 
     def __init__(self, reason: str) -> None:
-        """Create the error with the reason, which names no key."""
+        """Create the error; the reason does not name the key."""
         super().__init__([reason])
 
 
 class SettingsFileError(SettingsError):
-    """A settings file that cannot be read, or holds no table of settings."""
+    """A settings file that cannot be read, or whose content is not a table of settings."""
 
     def __init__(self, file: str, reason: str) -> None:
-        """Create the error of a file's path."""
+        """Create the error for the path of a file."""
         super().__init__([f"settings file {file}: {reason}"])
--- a/packages/settings/ryelock/settings/reading.py
+++ b/packages/settings/ryelock/settings/reading.py
@@ -1,4 +1,4 @@
-"""Reading of a process's settings: all are checked, and every fault is reported at once."""
+"""Reading and validation of a process's settings; all faults are reported at once."""
 
 import enum
 import json
@@ -10,39 +10,39 @@
 from ryelock.settings.errors import InvalidValueError, SettingsError, SettingsFileError
 
 HEARTBEATS_PER_ELECTION = 3
-"""An election timeout covers at least so many heartbeats, so that one that is lost ends no term."""
+"""Minimum election timeout in heartbeats, so that one lost heartbeat does not end a term."""
 
 
 class NodeRole(enum.StrEnum):
-    """What a process runs as; the values are the names of the command line and of messages."""
+    """Role of a process; the values are used on the command line and in messages."""
 
     CONTROL = "core"
     EDGE = "edge"
     PROBER = "prober"
     CONTROL_API = "desk"
-    """A control API without a disk, which forwards operators' requests to the leader."""
+    """A process without a disk that serves the control API and forwards requests to the leader."""
 
 
-REQUIRED_OF_ALL = ("name", "zone", "seeds", "wire_address", "control_address")
+COMMON_REQUIRED = ("name", "zone", "seeds", "wire_address", "control_address")
 REQUIRED: dict[str, tuple[str, ...]] = {
-    NodeRole.CONTROL: (*REQUIRED_OF_ALL, "data_folder"),
-    NodeRole.EDGE: (*REQUIRED_OF_ALL, "order_address"),
-    NodeRole.PROBER: REQUIRED_OF_ALL,
-    NodeRole.CONTROL_API: REQUIRED_OF_ALL,
+    NodeRole.CONTROL: (*COMMON_REQUIRED, "data_folder"),
+    NodeRole.EDGE: (*COMMON_REQUIRED, "order_address"),
+    NodeRole.PROBER: COMMON_REQUIRED,
+    NodeRole.CONTROL_API: COMMON_REQUIRED,
 }
-"""The settings that have to be given, by role."""
+"""Keys of the settings that must be given, by role."""
 
 
 def read_settings(role: str, file: str, flags: Mapping[str, object]) -> Settings:
-    """Read the settings of one role from a file and from flags, which go first.
+    """Read the settings of one role from a file and from flags, which take precedence.
 
     Args:
         role: the value of a NodeRole.
         file: path of a JSON or TOML file, empty for none.
-        flags: values by key; None where a flag was not given.
+        flags: values by key; None if a flag was not given.
 
     Raises:
-        SettingsError: with every fault found.
+        SettingsError: with all faults found.
     """
     faults: list[str] = []
     given: dict[str, object] = {}
@@ -51,12 +51,12 @@
         given = read_file(file) if file else {}
         missing = REQUIRED[role]
     except SettingsFileError as error:
-        # What is missing is not reported: the file may have it.
+        # Missing settings are not reported: the unreadable file may contain them.
         faults += error.faults
     given.update({key: value for key, value in flags.items() if value is not None})
-    values = checked_values(given, faults)
+    values = validate_values(given, faults)
     faults += [f"{key}: needed by {role}" for key in missing if key not in given]
-    faults += inconsistencies(Settings(values))
+    faults += find_conflicts(Settings(values))
     if faults:
         raise SettingsError(faults)
     if not values["machine"]:
@@ -68,26 +68,26 @@
     """Return the table of settings in a JSON or TOML file.
 
     Raises:
-        SettingsFileError: the file cannot be read, or holds no table.
+        SettingsFileError: the file cannot be read, or its content is not a table.
     """
     try:
         content = Path(file).read_bytes()
-        found = json.loads(content) if file.endswith(".json") else tomllib.loads(content.decode())
+        table = json.loads(content) if file.endswith(".json") else tomllib.loads(content.decode())
     except OSError as error:
         raise SettingsFileError(file, str(error.strerror)) from error
     except ValueError as error:
         raise SettingsFileError(file, str(error)) from error
-    if not isinstance(found, dict):
+    if not isinstance(table, dict):
         raise SettingsFileError(file, "not a table of settings")
-    return found
+    return table
 
 
-def checked_values(given: Mapping[str, object], faults: list[str]) -> dict[str, object]:
-    """Return a value for every setting: the given one where it is valid, else the default.
+def validate_values(given: Mapping[str, object], faults: list[str]) -> dict[str, object]:
+    """Return a value for every setting: the given one if valid, else the default.
 
     Args:
-        given: values by key, unchecked.
-        faults: takes a line for each value that is not valid and each key that is unknown.
+        given: unvalidated values by key.
+        faults: receives a line for each invalid value and each unknown key.
     """
     declared = declared_settings(Settings)
     values: dict[str, object] = {key: setting.default for key, setting in declared.items()}
@@ -102,8 +102,8 @@
     return values
 
 
-def inconsistencies(settings: Settings) -> Iterator[str]:
-    """Yield a line for each setting that does not go with another."""
+def find_conflicts(settings: Settings) -> Iterator[str]:
+    """Yield a line for each setting that conflicts with another."""
     if settings.probe_timeout > settings.probe_seconds:
         yield "probe_timeout: longer than probe_seconds"
     if settings.election_seconds < HEARTBEATS_PER_ELECTION * settings.beat_seconds:
