--- a/tests/metrics/test_metrics.py
+++ b/tests/metrics/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a process: the text that is served, and what an edge counts of its refusals."""
+"""Metrics: the exposition format, and the rejections that an edge counts."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def read_metrics(deployment: Deployment, edge: str) -> str:
-    """Fetch the figures of an edge as the platform does."""
+    """Fetch the metrics of an edge over HTTP, as the platform does."""
     address = f"{deployment.node(edge).host}:{METRICS_PORT}"
 
     async def fetch() -> bytes:
@@ -19,9 +19,9 @@
         await connection.wait_connected(1.0)
         reader = Reader(deployment.outside.scheduler, connection)
         send_request(connection, b"GET", b"/metrics", [(b"Host", b"figures")], b"")
-        until = deployment.outside.scheduler.now() + 1.0
-        found = await read_response(reader, b"GET", 32_768, until)
-        body = await found.ok.body.read_all(1 << 20, until)
+        deadline = deployment.outside.scheduler.now() + 1.0
+        response = await read_response(reader, b"GET", 32_768, deadline)
+        body = await response.ok.body.read_all(1 << 20, deadline)
         connection.close()
         return body
 
@@ -29,7 +29,7 @@
 
 
 class MetricsTests(unittest.TestCase):
-    def test_counters_and_gauges_are_written_by_their_labels(self) -> None:
+    def test_counters_and_gauges_are_exposed_by_label_values(self) -> None:
         metrics = Metrics()
         refusals = metrics.counter("refusals", "Requests refused.", "service", "reason")
         refusals.add("pages", "over the rate")
@@ -45,15 +45,15 @@
         self.assertIn("# TYPE ryelock_refusals_total counter", lines)
         self.assertIn("# TYPE ryelock_share gauge", lines)
 
-    def test_an_edge_counts_why_it_rejected(self) -> None:
+    def test_an_edge_counts_rejections_by_reason(self) -> None:
         deployment = Deployment(41).set_up()
-        note = deployment.ask(SAFE, "GET", "/plain/a")
-        self.assertEqual(200, note.status)
-        for life in deployment.of_service("pages"):
-            deployment.platform.crash(life)
+        record = deployment.ask(SAFE, "GET", "/plain/a")
+        self.assertEqual(200, record.status)
+        for instance in deployment.of_service("pages"):
+            deployment.platform.crash(instance)
         deployment.world.run(8)
-        note = deployment.ask(SAFE, "GET", "/plain/b")
-        self.assertEqual(503, note.status)
+        record = deployment.ask(SAFE, "GET", "/plain/b")
+        self.assertEqual(503, record.status)
         lines = read_metrics(deployment, deployment.edges[0]).splitlines()
         self.assertIn(
             'ryelock_refusals_total{asked_by="client",reason="no server",service="pages"} 1.0',
