--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -18,7 +18,7 @@
 import deployment
 import settings
 from deployment import Deployment, lines_for, route
-from operators import Operators
+from operators import OperatorApi
 from ryelock import control_api
 from ryelock.edge.process import TrafficNode
 from ryelock.explain import format_explanation
@@ -53,14 +53,14 @@
 def start_control_api(site: Deployment, node: SimNode, lines: dict[str, str]) -> None:
     """Start the platform's control role on a machine without a disk."""
     told = settings.NodeSettings(lines)
-    process_settings = settings.product_settings("core", told)
+    process_settings = settings.translate_settings("core", told)
 
     def build() -> TrafficNode:
         control_api = TrafficNode(
             "desk", process_settings, node.scheduler, node.network, node.log, node.random
         )
         address = told.text("listen_addresses.control")
-        Operators(node.scheduler, node.network, node.log, control_api.control_api, told, address)
+        OperatorApi(node.scheduler, node.network, node.log, control_api.control_api, told, address)
         return control_api
 
     site.world.start_built(node, build)
--- a/tests/golden/test_golden_lists.py
+++ b/tests/golden/test_golden_lists.py
@@ -115,7 +115,7 @@
     """Return the product's settings for lines of the platform, or their faults."""
     try:
         return dict(
-            platform_settings.product_settings(role, platform_settings.NodeSettings(lines)).values
+            platform_settings.translate_settings(role, platform_settings.NodeSettings(lines)).values
         )
     except settings.SettingsError as error:
         return {"faults": error.faults}
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -24,7 +24,7 @@
 
 
 def env_of(role: str, plain: dict[str, str]) -> Settings:
-    return settings.product_settings(role, settings.NodeSettings(plain))
+    return settings.translate_settings(role, settings.NodeSettings(plain))
 
 
 class SettingsTests(testtools.TestCase):
@@ -38,8 +38,8 @@
             path.write_text("# a remark\n\nno equals here\n" + text)
             told = settings.read_node_settings(str(path))
             core, edge = (
-                settings.product_settings("core", told),
-                settings.product_settings("edge", told),
+                settings.translate_settings("core", told),
+                settings.translate_settings("edge", told),
             )
             path.write_bytes(b"zone=\xff\xfe")
             self.assertRaises(SettingsError, settings.read_node_settings, str(path))
--- a/tests/support/deployment.py
+++ b/tests/support/deployment.py
@@ -14,8 +14,8 @@
 
 import settings  # noqa: E402
 from header_fields import PROFILE  # noqa: E402
-from operators import Operators  # noqa: E402
-from readiness import Readiness  # noqa: E402
+from operators import OperatorApi  # noqa: E402
+from readiness import ReadinessServer  # noqa: E402
 from ryelock.control_plane.process import ControlNode  # noqa: E402
 from ryelock.edge.process import TrafficNode  # noqa: E402
 from ryelock.http import Fields, ProtocolProfile  # noqa: E402
@@ -316,14 +316,14 @@
         node = self.node(name)
         machine, _, role = name.rpartition(".")
         told = settings.NodeSettings(self.lines[machine])
-        process_settings = settings.product_settings(role, told)
+        process_settings = settings.translate_settings(role, told)
 
         def build() -> ControlNode | TrafficNode:
             if role == "core" and not process_settings.data_folder:
                 control_api = TrafficNode(
                     "desk", process_settings, node.scheduler, node.network, node.log, node.random
                 )
-                Operators(
+                OperatorApi(
                     node.scheduler,
                     node.network,
                     node.log,
@@ -337,7 +337,7 @@
                 core.platform.read_server_list = ServerListReader(
                     node.scheduler, node.network, process_settings.platform_address
                 ).read
-                Operators(
+                OperatorApi(
                     node.scheduler,
                     node.network,
                     node.log,
@@ -355,7 +355,7 @@
                 node.random,
                 PROFILE,
             )
-            Readiness(
+            ReadinessServer(
                 node.scheduler,
                 node.network,
                 node.log,
