--- a/packages/consensus/ryelock/consensus/election.py
+++ b/packages/consensus/ryelock/consensus/election.py
@@ -46,7 +46,7 @@
 
     Attributes:
         granted: True if the voter granted its vote.
-        reached: True if the addressed voter itself replied.
+        reached: True if a reply arrived and was not from another disk at the address.
     """
 
     granted: bool
--- a/packages/consensus/ryelock/consensus/log.py
+++ b/packages/consensus/ryelock/consensus/log.py
@@ -129,7 +129,7 @@
         term = self.term_at(index)
         return self.snapshot.index + 1 + bisect_left(self.entries, term, key=term_of)
 
-    def last_index_of_terms_until(self, term: int) -> int:
+    def last_index_up_to_term(self, term: int) -> int:
         """Return the last index with a term of at most `term`, or else the snapshot's index."""
         return self.snapshot.index + bisect_right(self.entries, term, key=term_of)
 
--- a/packages/consensus/ryelock/consensus/replicator.py
+++ b/packages/consensus/ryelock/consensus/replicator.py
@@ -229,7 +229,7 @@
             return max(follower.next_index, min(last_index, self.state.last_index) + 1)
         if reply.conflict_term is not None:
             log = self.state.replicated_log
-            agrees_until = log.last_index_of_terms_until(reply.conflict_term)
+            agrees_until = log.last_index_up_to_term(reply.conflict_term)
             last_index = agrees_until if agrees_until < follower.next_index - 1 else last_index
         return max(1, min(follower.next_index - 1, last_index + 1))
 
