--- a/packages/control_plane/ryelock/control_plane/identity.py
+++ b/packages/control_plane/ryelock/control_plane/identity.py
@@ -45,7 +45,7 @@
         folder.sync_names()
         disk = read_identity(folder)
         if disk and not has_journal(folder):
-            log.write(JOURNAL_DAMAGED, fault="the journal is gone", disk=disk)
+            log.write(JOURNAL_DAMAGED, fault="no journal file in the data folder", disk=disk)
         elif disk:
             opened = open_journal(folder, log, segment_bytes)
             if opened.is_ok():
--- a/packages/control_plane/ryelock/control_plane/platform.py
+++ b/packages/control_plane/ryelock/control_plane/platform.py
@@ -1,4 +1,4 @@
-"""Polling of the platform's server list, and exchange of its readings between control nodes.
+"""Polling of the platform's server list, and exchange of readings between control nodes.
 
 A control node polls the list and takes the readings of its peers, so that the reading of any one
 node reaches the leader; the servers are sent only if the receiver has others. Every reading has the
--- a/packages/control_plane/ryelock/control_plane/process.py
+++ b/packages/control_plane/ryelock/control_plane/process.py
@@ -35,10 +35,10 @@
 
 FINISH_SECONDS = 0.5
 """Minimum time for open requests on the control address to finish at shutdown."""
-MIN_SESSION_SECONDS = 3.0
+MIN_SESSION_TIMEOUT_SECONDS = 3.0
 """Lower bound of the session timeout, which is two leases otherwise."""
-MAINTENANCE_SECONDS = 0.4
-OWN_SESSION_SECONDS = 0.25
+MAINTENANCE_INTERVAL_SECONDS = 0.4
+OWN_SESSION_INTERVAL_SECONDS = 0.25
 
 
 class ControlNode:
@@ -127,8 +127,8 @@
         Args:
             source: name of this run of the node, under which peers keep its sessions.
         """
-        session_seconds = max(MIN_SESSION_SECONDS, 2 * self.settings.term_seconds)
-        return Membership(self.scheduler, source, session_seconds, self.settings.gone_seconds)
+        timeout_seconds = max(MIN_SESSION_TIMEOUT_SECONDS, 2 * self.settings.term_seconds)
+        return Membership(self.scheduler, source, timeout_seconds, self.settings.gone_seconds)
 
     def build_consensus(self, disk: str, journal: Journal, random: Random) -> Consensus:
         """Return this node's member of the consensus group."""
@@ -296,7 +296,7 @@
     async def maintain_cluster(self) -> None:
         """Assign roles and derive watches while this node leads."""
         while True:
-            await self.scheduler.sleep(MAINTENANCE_SECONDS)
+            await self.scheduler.sleep(MAINTENANCE_INTERVAL_SECONDS)
             if self.consensus.settled:
                 await self.role_assigner.assign_roles()
             # The node may have lost leadership while it waited for a commit.
@@ -310,7 +310,7 @@
             self.session.applied = self.consensus.applied_index
             self.membership.renew(replace(self.session))
             self.renewals.expire_sessions()
-            await self.scheduler.sleep(OWN_SESSION_SECONDS)
+            await self.scheduler.sleep(OWN_SESSION_INTERVAL_SECONDS)
 
     # Callbacks of other components.
 
--- a/packages/control_plane/ryelock/control_plane/voters.py
+++ b/packages/control_plane/ryelock/control_plane/voters.py
@@ -30,7 +30,7 @@
 ELECTION_GRACE_HEARTBEATS = 4
 """Heartbeat intervals after its election in which a leader counts no voter as lost."""
 MAX_CHANGES_PER_CHECK = 8
-CHECK_SECONDS = 0.2
+CHECK_INTERVAL_SECONDS = 0.2
 
 
 class VoterManager:
@@ -48,7 +48,7 @@
     async def run(self) -> None:
         """Check the voters periodically; only the leader changes them."""
         while True:
-            await self.scheduler.sleep(CHECK_SECONDS)
+            await self.scheduler.sleep(CHECK_INTERVAL_SECONDS)
             if self.consensus.settled:
                 await self.change_voters()
 
