--- a/packages/control_api/ryelock/control_api/requests.py
+++ b/packages/control_api/ryelock/control_api/requests.py
@@ -86,5 +86,5 @@
     def from_wire(cls, message: Message) -> "OperatorRequest":
         """Return the request in an RPC message; the query, unused by the leader, is left out."""
         name = message.get("what")
-        action = next((known for known in OperatorAction if known.value == name), None)
+        action = next((action for action in OperatorAction if action.value == name), None)
         return cls(action, message.get("given"))
--- a/packages/control_api/ryelock/control_api/server.py
+++ b/packages/control_api/ryelock/control_api/server.py
@@ -73,7 +73,7 @@
     """Serves operator requests and the node's own health on the control address.
 
     Every node accepts every request and forwards to the leader what only the leader can answer. If
-    the leader does not respond, the outcome tells whether the request may have been committed.
+    the leader does not respond, the outcome shows whether the request may have been committed.
     """
 
     __slots__ = (
@@ -133,10 +133,10 @@
         method = exchange.head.method.decode("latin-1")
         target = exchange.head.target.decode("latin-1")
         try:
-            status, answer = await self.respond(method, target, body)
+            status, content = await self.respond(method, target, body)
         except ControlApiError as error:
-            status, answer = error.http_status, error.body
-        await send_json(exchange, status, answer)
+            status, content = error.http_status, error.body
+        await send_json(exchange, status, content)
 
     async def respond(self, method: str, target: str, body: bytes) -> StatusAndBody:
         """Return the status and the body of the response; raises ControlApiError."""
@@ -207,11 +207,11 @@
         Without a response, returns ELSEWHERE if the message certainly was not sent or has no side
         effects, and UNKNOWN if it may have been executed.
         """
-        answer = await self.clients.call(address, message, CALL_TIMEOUT_SECONDS)
-        if answer.is_ok():
-            return answer.ok
-        if answer.error.sent and message["what"] not in READ_ONLY_ACTIONS:
-            return {"status": OutcomeStatus.UNKNOWN, "reason": f"outcome unknown: {answer.error}"}
+        result = await self.clients.call(address, message, CALL_TIMEOUT_SECONDS)
+        if result.is_ok():
+            return result.ok
+        if result.error.sent and message["what"] not in READ_ONLY_ACTIONS:
+            return {"status": OutcomeStatus.UNKNOWN, "reason": f"outcome unknown: {result.error}"}
         return {"status": OutcomeStatus.ELSEWHERE}
 
 
@@ -220,7 +220,7 @@
     action = PATHS.get((method, path))
     if action is not None:
         return action
-    if any(known == path for _, known in PATHS):
+    if any(served_path == path for _, served_path in PATHS):
         raise MethodNotAllowedError
     raise UnknownPathError
 
@@ -233,10 +233,10 @@
         raise MalformedBodyError from error
 
 
-async def send_json(exchange: HttpExchange, status: int, answer: object) -> None:
+async def send_json(exchange: HttpExchange, status: int, content: object) -> None:
     """Send an uncacheable response with a JSON body."""
     fields: Fields = [(b"Content-Type", b"application/json"), (b"Cache-Control", b"no-store")]
     if status == 503:
         fields.append((b"Retry-After", b"%d" % RETRY_AFTER_SECONDS))
-    body = json.dumps(answer, ensure_ascii=False, default=str).encode() + b"\n"
+    body = json.dumps(content, ensure_ascii=False, default=str).encode() + b"\n"
     await exchange.respond(status, fields, body)
--- a/packages/runtime/ryelock/runtime/tasks.py
+++ b/packages/runtime/ryelock/runtime/tasks.py
@@ -100,9 +100,9 @@
     def put(self, item: Item) -> None:
         """Append an item and resume the reader; never blocks."""
         self.items.append(item)
-        self.wake()
+        self.resume_reader()
 
-    def wake(self) -> None:
+    def resume_reader(self) -> None:
         """Make the waiting reader, if any, ready to run."""
         if self.reader is not None:
             task, self.reader = self.reader, None
