--- a/packages/testing/ryelock/testing/cases/__init__.py
+++ b/packages/testing/ryelock/testing/cases/__init__.py
@@ -1,6 +1,6 @@
-"""Simulated runs made for one rule or one fault each, by seed.
+"""Fault-injection cases, seeded simulated runs that aim at one invariant or one fault each.
 
-Tests run them with the mechanism that keeps the rule in its place, and taken out.
+Tests run a case with the mechanism that guards the invariant, and with it disabled.
 `python -m ryelock.testing case NAME` runs one over many seeds.
 """
 
@@ -30,13 +30,13 @@
 from ryelock.testing.cases.losses import LOSS_CASES
 from ryelock.testing.cases.mass_losses import MASS_LOSS_CASES
 from ryelock.testing.cases.traffic import (
-    crowd,
-    handed_address,
     lifetimes,
-    mean_servers,
-    narrow_control_apis,
+    low_rate_service,
+    misbehaving_servers,
+    overload,
     purge_flood,
     repeated_keys,
+    reused_address,
     unmarked_repeats,
 )
 from ryelock.testing.checks import Findings
@@ -45,12 +45,12 @@
 
 CASES: dict[str, Case] = {
     "unmarked-repeats": unmarked_repeats,
-    "narrow-desks": narrow_control_apis,
+    "narrow-desks": low_rate_service,
     "repeated-keys": repeated_keys,
-    "crowd": crowd,
-    "mean-servers": mean_servers,
+    "crowd": overload,
+    "mean-servers": misbehaving_servers,
     "cut-edges": cut_edges,
-    "handed-address": handed_address,
+    "handed-address": reused_address,
     "purge-flood": purge_flood,
     "all-power": all_power,
     "deposed-leader": deposed_leader,
@@ -73,4 +73,4 @@
     **LOSS_CASES,
     **MASS_LOSS_CASES,
 }
-"""Every case by the name that the command line takes."""
+"""Every case, by its name on the command line."""
--- a/packages/testing/ryelock/testing/cases/answers.py
+++ b/packages/testing/ryelock/testing/cases/answers.py
@@ -1,8 +1,9 @@
-"""Whose answer it is, and how often a request is sent: every kind, moment and event in turn.
+"""Responses of misbehaving upstream servers: their attribution to requests, and retries.
 
-`run_cell` plays one request through one misbehaving server and notes what was sent, what the
-caller was told and why; `faults_of` holds that against the servers' history. `table` plays all
-cells, as docs/answers.md shows them. The cases draw cells by seed.
+A cell combines a kind of request, a moment and an event. `run_cell` sends one request through a
+misbehaving server and records the attempts, the caller's answer and the attempts' errors;
+`Outcome.faults` compares them with the servers' histories. `table` formats the outcomes for
+docs/answers.md. The cases draw cells by seed.
 """
 
 from enum import Enum
@@ -25,17 +26,18 @@
     body_of,
 )
 
-PROMISES = (408, 421, 425, 429, 503)
-WARM_REQUESTS = 8
-WARM_TURNS = 50
+NOT_EXECUTED_STATUSES = (408, 421, 425, 429, 503)
+WARM_UP_REQUESTS = 8
+"""Concurrent requests of one round."""
+MAX_WARM_UP_ROUNDS = 50
 SETTLE_SECONDS = 0.05
-HELD_SLACK_SECONDS = 0.05
-CELLS_DRAWN = 30
+DEADLINE_SLACK_SECONDS = 0.05
+MAX_CELLS_PER_RUN = 30
 SILENT_REQUESTS = 12
 
 
 class Kind(Enum):
-    """What may be done with a request."""
+    """How a request may be retried or cached."""
 
     ONCE = "once"
     KEYED = "once, with a key"
@@ -49,202 +51,219 @@
     Kind.REPEATABLE: ("GET", "/plain"),
     Kind.CACHED: ("GET", "/covers"),
 }
-RUNS_ONCE = (Kind.ONCE, Kind.KEYED)
-SILENT = (Event.SILENCE, Event.RESET, Event.CLOSE, Event.LATE, Event.HALF)
-SPOKEN = tuple(event for event in Event if event not in SILENT)
+AT_MOST_ONCE_KINDS = (Kind.ONCE, Kind.KEYED)
+SILENT_EVENTS = (Event.SILENCE, Event.RESET, Event.CLOSE, Event.LATE, Event.HALF)
+ANSWERING_EVENTS = tuple(event for event in Event if event not in SILENT_EVENTS)
 
 
 class Cell:
-    """One combination that is played."""
+    """One combination of request kind, moment and event."""
 
     __slots__ = ("event", "kind", "moment")
 
     def __init__(self, kind: Kind, moment: Moment, event: Event) -> None:
-        """Name one cell of the table."""
+        """Create a cell of the table."""
         self.kind = kind
         self.moment = moment
         self.event = event
 
     def __str__(self) -> str:
-        """Return the cell's place in the table."""
+        """Return the cell's row and column labels."""
         return f"{self.kind.value} / {self.moment.value} / {self.event.value}"
 
 
-class Asked:
-    """One request as its caller and the servers saw it."""
+class RequestTrace:
+    """One request: its answer, its attempts and what the servers executed.
+
+    Attributes:
+        answer: the caller's answer.
+        send_count: attempts that reached a server.
+        server_count: servers that received an attempt.
+        run_count: executions by the servers.
+        retries_were_safe: whether every attempt but the last was rejected without execution.
+        body_is_expected: whether the answer has the body of its own target.
+        body_was_injected: whether the fault put foreign bytes into the declared length.
+        attempt_faults: errors of the attempts, in their order.
+    """
 
     __slots__ = (
-        "certain",
-        "injected",
+        "answer",
+        "attempt_faults",
+        "body_is_expected",
+        "body_was_injected",
         "kind",
         "name",
-        "right",
-        "runs",
-        "sends",
-        "servers",
-        "told",
-        "why",
+        "retries_were_safe",
+        "run_count",
+        "send_count",
+        "server_count",
     )
 
     def __init__(
-        self, fleet: AnswerFleet, kind: Kind, name: str, target: str, told: CallerAnswer
+        self, fleet: AnswerFleet, kind: Kind, name: str, target: str, answer: CallerAnswer
     ) -> None:
-        """Collect what the servers saw of a request that was answered."""
+        """Collect the servers' records of a request that was answered."""
         arrivals = fleet.arrivals(name)
         self.kind = kind
         self.name = name
-        self.told = told
-        self.sends = len(arrivals)
-        self.servers = len({arrival.address for arrival in arrivals})
-        self.runs = sum(arrival.ran for arrival in arrivals)
-        self.certain = all(arrival.turned_away for arrival in arrivals[:-1])
-        self.right = told.body == body_of(name, target.encode())
-        self.injected = False
+        self.answer = answer
+        self.send_count = len(arrivals)
+        self.server_count = len({arrival.address for arrival in arrivals})
+        self.run_count = sum(arrival.ran for arrival in arrivals)
+        self.retries_were_safe = all(arrival.turned_away for arrival in arrivals[:-1])
+        self.body_is_expected = answer.body == body_of(name, target.encode())
+        self.body_was_injected = False
         request = fleet.handler().context.recent_requests.by_identity.get(name)
         attempts = request.attempts if request is not None else []
-        self.why = [
+        self.attempt_faults = [
             attempt.fault
             for attempt in attempts
             if isinstance(attempt, Attempt) and attempt.fault is not None
         ]
 
     def faults(self) -> list[str]:
-        """What of the rules on this request is broken."""
+        """Return the violated invariants of this request, one text each."""
         found: list[str] = []
-        if self.kind in RUNS_ONCE and self.runs > 1:
-            found.append(f"once: {self.name} ran {self.runs} times")
-        if self.kind in RUNS_ONCE and not self.certain:
+        if self.kind in AT_MOST_ONCE_KINDS and self.run_count > 1:
+            found.append(f"once: {self.name} ran {self.run_count} times")
+        if self.kind in AT_MOST_ONCE_KINDS and not self.retries_were_safe:
             found.append(f"once: {self.name} was sent again though it may have run")
-        if self.kind in RUNS_ONCE and self.told.status in PROMISES and self.runs:
-            found.append(f"promises: {self.name} was told {self.told.status} and ran")
-        if self.told.status == 200 and not self.right and not self.injected:
-            found.append(f"bytes: {self.name} got another body: {self.told.body[:40]!r}")
-        if self.servers > ATTEMPTS:
-            found.append(f"servers: {self.name} reached {self.servers}")
-        if self.told.seconds > REQUEST_SECONDS + HELD_SLACK_SECONDS:
-            found.append(f"held: {self.name} was held for {self.told.seconds:.2f} s")
+        if (
+            self.kind in AT_MOST_ONCE_KINDS
+            and self.answer.status in NOT_EXECUTED_STATUSES
+            and self.run_count
+        ):
+            found.append(f"promises: {self.name} was told {self.answer.status} and ran")
+        if self.answer.status == 200 and not self.body_is_expected and not self.body_was_injected:
+            found.append(f"bytes: {self.name} got another body: {self.answer.body[:40]!r}")
+        if self.server_count > ATTEMPTS:
+            found.append(f"servers: {self.name} reached {self.server_count}")
+        if self.answer.seconds > REQUEST_SECONDS + DEADLINE_SLACK_SECONDS:
+            found.append(f"held: {self.name} was held for {self.answer.seconds:.2f} s")
         return found
 
 
 class Outcome:
-    """A played cell: its request, and the next one of the same kind at the same edge."""
+    """Result of a cell: its request, and a following one of the same kind at the same edge."""
 
-    __slots__ = ("asked", "cell", "following")
+    __slots__ = ("cell", "first", "following")
 
-    def __init__(self, cell: Cell, asked: Asked, following: Asked) -> None:
-        """Bytes within the declared length are the server's body, whatever they are."""
+    def __init__(self, cell: Cell, first: RequestTrace, following: RequestTrace) -> None:
+        """Create an outcome; bytes within the declared length count as the server's own body."""
         self.cell = cell
-        self.asked = asked
-        asked.injected = (
+        self.first = first
+        first.body_was_injected = (
             cell.moment is Moment.IN_BODY
-            and (cell.event in SPOKEN or cell.event is Event.HALF)
-            and len(asked.told.body) == BODY_BYTES
+            and (cell.event in ANSWERING_EVENTS or cell.event is Event.HALF)
+            and len(first.answer.body) == BODY_BYTES
         )
         self.following = following
 
     def faults(self) -> list[str]:
-        """Return what broke a rule, one text each; empty where nothing did."""
-        found = [*self.asked.faults(), *self.following.faults()]
+        """Return the violated invariants, one text each."""
+        found = [*self.first.faults(), *self.following.faults()]
         idle = self.cell.moment is Moment.IDLE
-        served_at_once = self.asked.told.status == 200 and self.asked.sends == 1
-        if idle and self.cell.event in SPOKEN and not served_at_once:
-            found.append(f"idle: {self.asked.name} met bytes of an idle connection")
-        mute = self.cell.event in (Event.SILENCE, Event.LATE) and self.cell.moment in (
+        served_at_once = self.first.answer.status == 200 and self.first.send_count == 1
+        if idle and self.cell.event in ANSWERING_EVENTS and not served_at_once:
+            found.append(f"idle: {self.first.name} met bytes of an idle connection")
+        answer_is_lost = self.cell.event in (Event.SILENCE, Event.LATE) and self.cell.moment in (
             Moment.IDLE,
             Moment.BEHIND,
         )
-        if self.following.told.status != 200 and not mute:
-            found.append(f"following: told {self.following.told.status} {self.following.why}")
+        if self.following.answer.status != 200 and not answer_is_lost:
+            found.append(
+                f"following: told {self.following.answer.status} {self.following.attempt_faults}"
+            )
         return [f"{line} ({self.cell})" for line in found]
 
     def text(self) -> str:
-        """What was sent and told, as a cell of the page shows it."""
-        asked = self.asked
-        sent = "not read" if not asked.sends else f"sent {asked.sends}"
-        if asked.servers > 1:
-            sent += f" (to {asked.servers})"
-        return f"{sent}, {asked.told.status or 'cut'}"
+        """Return the attempts and the status as shown in the page's table."""
+        first = self.first
+        sent = "not read" if not first.send_count else f"sent {first.send_count}"
+        if first.server_count > 1:
+            sent += f" (to {first.server_count})"
+        return f"{sent}, {first.answer.status or 'cut'}"
 
 
 def cells() -> list[Cell]:
-    """Every combination there is; only requests with a body are caught while it is sent."""
+    """Return every cell; only requests with a body can be interrupted while sending it."""
     return [
         Cell(kind, moment, event)
         for moment in Moment
         for event in Event
         for kind in Kind
-        if moment is not Moment.SENDING or kind in RUNS_ONCE
+        if moment is not Moment.SENDING or kind in AT_MOST_ONCE_KINDS
     ]
 
 
-def ask_one(fleet: AnswerFleet, kind: Kind, name: str) -> Asked:
+def trace_request(fleet: AnswerFleet, kind: Kind, name: str) -> RequestTrace:
     """Send one request of a kind and wait for its answer."""
     method, path = TARGETS[kind]
     target = f"{path}/{name}"
     more: Fields = [(b"Idempotency-Key", name.encode())] if kind is Kind.KEYED else []
-    return Asked(fleet, kind, name, target, fleet.ask_now(name, method, target, more))
+    return RequestTrace(fleet, kind, name, target, fleet.ask_now(name, method, target, more))
 
 
-def warm(fleet: AnswerFleet, stem: str) -> None:
-    """Requests at the same time, until the edge keeps a connection to every server."""
-    for turn in range(WARM_TURNS):
-        for number in range(WARM_REQUESTS):
-            name = f"{stem}-warm{turn}-{number}"
-            fleet.outside.scheduler.create_task(ignore(fleet, name), name="warm")
+def warm_up(fleet: AnswerFleet, stem: str) -> None:
+    """Send concurrent requests until the edge holds an idle connection to every server."""
+    for turn in range(MAX_WARM_UP_ROUNDS):
+        for number in range(WARM_UP_REQUESTS):
+            name = f"{stem}-warm_up{turn}-{number}"
+            fleet.outside.scheduler.create_task(send_ignoring_answer(fleet, name), name="warm")
         fleet.world.run(SETTLE_SECONDS)
         if all(
             state.idle_connections for state in fleet.handler().context.servers.by_service[SERVICE]
         ):
             return
-    raise AssertionError(f"no connection is kept to some servers after {WARM_TURNS} turns")
+    raise AssertionError(f"no connection is kept to some servers after {MAX_WARM_UP_ROUNDS} turns")
 
 
-async def ignore(fleet: AnswerFleet, name: str) -> None:
-    """Send a request whose answer nobody looks at."""
+async def send_ignoring_answer(fleet: AnswerFleet, name: str) -> None:
+    """Send a request and ignore its answer."""
     await fleet.ask(name, "GET", f"/plain/{name}")
 
 
 def run_cell(fleet: AnswerFleet, cell: Cell, stem: str) -> Outcome:
-    """Play one cell; `stem` begins the names of its requests."""
+    """Run one cell; `stem` prefixes the names of its requests."""
     fleet.script = None
     fleet.forget()
     fleet.world.run(SETTLE_SECONDS)
     name = f"{stem}-first"
     script = Script(name, cell.moment, cell.event)
     if cell.moment is not Moment.OPENING:
-        warm(fleet, stem)
+        warm_up(fleet, stem)
     if cell.moment is Moment.IDLE:
         script.done = True
         for server in fleet.servers:
             server.disturb_idle(script)
         fleet.world.run(SETTLE_SECONDS)
     fleet.script = script
-    asked = ask_one(fleet, cell.kind, name)
-    following = ask_one(fleet, cell.kind, f"{stem}-next")
+    first = trace_request(fleet, cell.kind, name)
+    following = trace_request(fleet, cell.kind, f"{stem}-next")
     fleet.world.run(LATE_SECONDS + 0.3 if cell.event is Event.LATE else SETTLE_SECONDS)
     fleet.script = None
     return Outcome(
         cell,
-        Asked(fleet, cell.kind, name, f"{TARGETS[cell.kind][1]}/{name}", asked.told),
-        Asked(
+        RequestTrace(fleet, cell.kind, name, f"{TARGETS[cell.kind][1]}/{name}", first.answer),
+        RequestTrace(
             fleet,
             cell.kind,
             following.name,
             f"{TARGETS[cell.kind][1]}/{following.name}",
-            following.told,
+            following.answer,
         ),
     )
 
 
-def play(kind: Kind, seed: int = 1, steady: bool = True) -> list[Outcome]:
-    """All cells of one kind of request, one after another in one fleet."""
+def run_cells(kind: Kind, seed: int = 1, steady: bool = True) -> list[Outcome]:
+    """Run all cells of one kind of request, one after another in one fleet."""
     fleet = AnswerFleet(seed, steady=steady)
     chosen = [cell for cell in cells() if cell.kind is kind]
     return [run_cell(fleet, cell, f"c{number}") for number, cell in enumerate(chosen)]
 
 
 def table(outcomes: list[Outcome]) -> str:
-    """The page's tables: one a moment, a row an event, a column a kind, and why."""
+    """Return Markdown tables: one per moment, a row per event, a column per kind, and errors."""
     found = {
         (outcome.cell.kind, outcome.cell.moment, outcome.cell.event): outcome
         for outcome in outcomes
@@ -257,10 +276,10 @@
         for event in Event:
             row = [found.get((kind, moment, event)) for kind in Kind]
             texts = ["-" if outcome is None else outcome.text() for outcome in row]
-            why: list[str] = []
+            errors: list[str] = []
             for outcome in row:
-                why += outcome.asked.why if outcome is not None else []
-            reasons = "; ".join(dict.fromkeys(why)) or "-"
+                errors += outcome.first.attempt_faults if outcome is not None else []
+            reasons = "; ".join(dict.fromkeys(errors)) or "-"
             lines.append(f"| {event.value} | " + " | ".join(texts) + f" | {reasons} |")
         lines.append("")
     return "\n".join(lines)
@@ -269,49 +288,49 @@
 # Cases.
 
 
-def drawn(seed: int, moments: tuple[Moment, ...], events: tuple[Event, ...]) -> Findings:
-    """Cells drawn by seed among some moments and events."""
+def run_drawn_cells(seed: int, moments: tuple[Moment, ...], events: tuple[Event, ...]) -> Findings:
+    """Run cells drawn by seed from some moments and events."""
     random = Random(f"cells {seed}")
     fleet = AnswerFleet(seed)
     found = Findings()
-    able = [cell for cell in cells() if cell.moment in moments and cell.event in events]
-    for number, cell in enumerate(random.sample(able, min(CELLS_DRAWN, len(able)))):
+    eligible = [cell for cell in cells() if cell.moment in moments and cell.event in events]
+    for number, cell in enumerate(random.sample(eligible, min(MAX_CELLS_PER_RUN, len(eligible)))):
         for line in run_cell(fleet, cell, f"s{seed}n{number}").faults():
             rule, _, text = line.partition(": ")
-            found.broken(rule, text)
-        found.look("once", cell.kind in RUNS_ONCE)
-        found.look("bytes")
+            found.add_violation(rule, text)
+        found.count_check("once", cell.kind in AT_MOST_ONCE_KINDS)
+        found.count_check("bytes")
     return found
 
 
 def foreign_answer(seed: int) -> Findings:
-    """Answers of other requests, of nobody and of another life; bytes that are no answer."""
-    return drawn(seed, tuple(Moment), SPOKEN)
+    """Run cells in which servers send foreign, unsolicited or malformed answers."""
+    return run_drawn_cells(seed, tuple(Moment), ANSWERING_EVENTS)
 
 
 def silent_server(seed: int) -> Findings:
-    """Servers fall silent, reset, close or answer late, and the owner of an object with them."""
-    found = drawn(seed, tuple(Moment), SILENT)
+    """Run cells in which servers are silent, reset, close or answer late; hang an owner edge."""
+    found = run_drawn_cells(seed, tuple(Moment), SILENT_EVENTS)
     fleet = AnswerFleet(1000 + seed, edges=3)
     fleet.always = Event.SILENCE
     for number in range(SILENT_REQUESTS):
         fleet.forget()
         name = f"silent{number}"
         target = f"/covers/{seed}-{number}"
-        told = fleet.ask_now(name, "GET", target, edge=number % 3)
-        asked = Asked(fleet, Kind.CACHED, name, target, told)
-        for line in asked.faults():
+        answer = fleet.ask_now(name, "GET", target, edge=number % 3)
+        first = RequestTrace(fleet, Kind.CACHED, name, target, answer)
+        for line in first.faults():
             rule, _, text = line.partition(": ")
-            found.broken(rule, text)
-        found.look("servers")
+            found.add_violation(rule, text)
+        found.count_check("servers")
     fleet.always = None
-    found.violations += swallowed(fleet, seed)
-    found.look("asks")
+    found.violations += check_hung_owner(fleet, seed)
+    found.count_check("asks")
     return found
 
 
-def swallowed(fleet: AnswerFleet, seed: int) -> list[str]:
-    """An edge that hangs swallows asks for its objects: nobody's request is lost by it."""
+def check_hung_owner(fleet: AnswerFleet, seed: int) -> list[str]:
+    """Pause an edge that owns objects; return the requests that failed or were sent twice."""
     fleet.forget()
     fleet.world.run(10.0)
     for number in (0, 2):
@@ -320,12 +339,12 @@
     lost: list[str] = []
     for number in range(SILENT_REQUESTS):
         name = f"swallowed{number}"
-        told = fleet.ask_now(name, "GET", f"/covers/s{seed}-{number}", edge=2 * (number % 2))
-        if told.status != 200:
-            lost.append(f"asks: {name} was told {told.status}")
+        answer = fleet.ask_now(name, "GET", f"/covers/s{seed}-{number}", edge=2 * (number % 2))
+        if answer.status != 200:
+            lost.append(f"asks: {name} was told {answer.status}")
     fleet.world.freeze(fleet.edges[1], False)
     fleet.world.run(2.0)
     for number in range(SILENT_REQUESTS):
         if len(fleet.arrivals(f"swallowed{number}")) > 1:
-            lost.append(f"asks: swallowed{number} was sent again by the edge that hung")
+            lost.append(f"asks: check_hung_owner{number} was sent again by the edge that hung")
     return lost
--- a/packages/testing/ryelock/testing/cases/cluster_faults.py
+++ b/packages/testing/ryelock/testing/cases/cluster_faults.py
@@ -1,17 +1,17 @@
-"""Cases of faults of the cluster: partitions, loss of power, lost disks, rolling restarts.
+"""Fault injection into the cluster: partitions, power loss, lost disks, rolling restarts.
 
-Each case takes a seed and returns what the checkers found; acknowledged changes and purges must
-outlive every fault.
+Each case takes a seed and returns the checkers' findings; acknowledged changes and purges must
+survive every fault.
 """
 
-from ryelock.testing.cases.traffic import stubborn
+from ryelock.testing.cases.traffic import poll_edge
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.simulated import SimNode
 
 
 def cut_edges(seed: int) -> Findings:
-    """An edge is cut off from the core while changes and purges are acknowledged."""
+    """Partition two edges from the control nodes while changes and purges are acknowledged."""
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(16, 4.0)
@@ -21,8 +21,8 @@
     for edge in scenario.edges[:2]:
         for core in scenario.cores:
             scenario.world.cut(edge, core)
-    # Callers know nothing of the cut.
-    scenario.outside.scheduler.create_task(stubborn(scenario, scenario.edges[0]), name="stubborn")
+    # Callers that don't notice the partition keep sending to the edge.
+    scenario.outside.scheduler.create_task(poll_edge(scenario, scenario.edges[0]), name="stubborn")
     scenario.world.run(10)
     scenario.world.heal()
     scenario.world.run(5)
@@ -30,7 +30,7 @@
 
 
 def all_power(seed: int) -> Findings:
-    """Every core loses power right after an acknowledgement, several times."""
+    """Cut the power of all control nodes right after an acknowledgement, four times."""
     scenario = Scenario(seed)
     scenario.set_up()
     version = 1
@@ -43,28 +43,28 @@
         scenario.world.run(0.5 + number)
         for name in scenario.cores:
             scenario.start(name)
-        back = scenario.world.run_until(lambda: bool(scenario.leader()), 15)
-        found.look("return")
-        if not back:
-            found.broken("return", "no leader 15 s after all cores lost power")
+        recovered = scenario.world.run_until(lambda: bool(scenario.leader()), 15)
+        found.count_check("return")
+        if not recovered:
+            found.add_violation("return", "no leader 15 s after all cores lost power")
             return found
-    day = end_version(scenario)
-    found.look("end of day")
-    if day < version:
-        found.broken("end of day", f"version {day} is left of {version}")
+    final_version = read_final_version(scenario)
+    found.count_check("end of day")
+    if final_version < version:
+        found.add_violation("end of day", f"version {final_version} is left of {version}")
     found.violations += scenario.findings().violations
     return found
 
 
-def end_version(scenario: Scenario) -> int:
-    """Return the version of the configuration that is in force; -1 where nobody answers."""
+def read_final_version(scenario: Scenario) -> int:
+    """Return the version of the configuration in force; -1 if the read fails."""
     status, answer = scenario.ask_now("GET", "/configuration")
     found = answer.get("version")
     return found if status == 200 and isinstance(found, int) else -1
 
 
 def deposed_leader(seed: int) -> Findings:
-    """The leader is cut off from its peers but not from edges and operators."""
+    """Partition the leader from its peers but not from edges and operators."""
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(12, 4.0)
@@ -85,13 +85,13 @@
 
 
 async def change_at(scenario: Scenario, name: str, turn: int) -> None:
-    """A change made through one node, against the version that node knows."""
+    """Send a change through one node, based on that node's own version."""
     base = scenario.node(name).core.replicated_state.version
     await scenario.add_route(f"gen-old-{turn}", base, name)
 
 
 async def read_from(scenario: Scenario, name: str, seconds: float) -> None:
-    """Read the configuration through one node for so many seconds, again and again."""
+    """Read the configuration through one node repeatedly for `seconds`."""
     until = scenario.world.time + seconds
     while scenario.world.time < until:
         started = scenario.world.time
@@ -103,58 +103,61 @@
 
 
 def scattered(seed: int) -> Findings:
-    """No two cores reach one another, but edges reach them all: promises carry the edges."""
+    """Partition all control nodes from each other; edges must serve on leases of a majority."""
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(12, 4.0)
     scenario.world.run(2)
-    for one in scenario.cores:
+    for first in scenario.cores:
         for other in scenario.cores:
-            if one < other:
-                scenario.world.cut(one, other)
-    cut_at = scenario.world.time
+            if first < other:
+                scenario.world.cut(first, other)
+    partitioned_at = scenario.world.time
     scenario.world.run(10)
-    served = sum(record.status == 200 and record.sent_at > cut_at + 5 for record in scenario.notes)
+    served = sum(
+        record.status == 200 and record.sent_at > partitioned_at + 5
+        for record in scenario.request_records
+    )
     scenario.world.heal()
-    scenario.mend_all()
-    mended = scenario.world.time
-    back = scenario.world.run_until(scenario.served_since(mended), 15)
+    scenario.clear_faults()
+    healed_at = scenario.world.time
+    recovered = scenario.world.run_until(scenario.served_since(healed_at), 15)
     found = scenario.findings()
-    found.look("promises")
+    found.count_check("promises")
     if served < 50:
-        found.broken("promises", f"only {served} orders were served without a leader")
-    if not back or not scenario.world.run_until(lambda: bool(scenario.leader()), 5):
-        found.broken("return", "no leader after the cut healed")
+        found.add_violation("promises", f"only {served} orders were served without a leader")
+    if not recovered or not scenario.world.run_until(lambda: bool(scenario.leader()), 5):
+        found.add_violation("return", "no leader after the cut healed")
     return found
 
 
 def lost_disk(seed: int) -> Findings:
-    """A voter's disk is lost just after an acknowledgement; an empty machine takes its place."""
+    """Lose a control node's disk right after an acknowledgement and restart it empty."""
     scenario = Scenario(seed, cores=5 if seed % 2 else 3)
     scenario.set_up()
     scenario.start_callers(8, 3.0)
     found = Findings()
     version = 1
     for turn in range(3):
-        scenario.world.run_until(lambda: voters_are_replaced(scenario), 30)
-        found.look("voters")
-        if not voters_are_replaced(scenario):
-            found.broken("voters", "the lost voter was not replaced")
+        scenario.world.run_until(lambda: voters_match_disks(scenario), 30)
+        found.count_check("voters")
+        if not voters_match_disks(scenario):
+            found.add_violation("voters", "the lost voter was not replaced")
         scenario.world.task(scenario.operators, scenario.add_route(f"gen-d-{turn}", version), 30)
         version = max(change.version for change in scenario.changes)
         lost = scenario.random.choice(scenario.cores)
         scenario.lose_disk(lost)
         scenario.world.run(1)
         scenario.start(lost)
-    scenario.world.run_until(lambda: voters_are_replaced(scenario), 30)
-    if end_version(scenario) < version:
-        found.broken("end of day", "an acknowledged change was lost with a disk")
+    scenario.world.run_until(lambda: voters_match_disks(scenario), 30)
+    if read_final_version(scenario) < version:
+        found.add_violation("end of day", "an acknowledged change was lost with a disk")
     found.violations += scenario.findings().violations
     return found
 
 
-def voters_are_replaced(scenario: Scenario) -> bool:
-    """Whether the voters are exactly the disks that are there."""
+def voters_match_disks(scenario: Scenario) -> bool:
+    """Return True if all control nodes run and the voters are exactly their disks."""
     leader = scenario.leader()
     if not leader or len(scenario.alive(scenario.cores)) < len(scenario.cores):
         return False
@@ -163,7 +166,7 @@
 
 
 def rolling(seed: int) -> Findings:
-    """Every process is stopped as the platform stops it and started again, under load."""
+    """Stop each process gracefully in turn, as the platform does, and restart it under load."""
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(16, 5.0)
@@ -184,14 +187,14 @@
         )
     scenario.world.run(2)
     found = scenario.findings()
-    for record in scenario.notes:
+    for record in scenario.request_records:
         if record.sent_at >= began and record.ending:
-            found.look("rolling")
+            found.count_check("rolling")
             if record.ending not in ("whole", "no link"):
-                found.broken("rolling", f"{record.identity} was cut: {record.ending}")
+                found.add_violation("rolling", f"{record.identity} was cut: {record.ending}")
     return found
 
 
 def is_ready(node: SimNode) -> bool:
-    """Return whether the process that runs on a node should get new callers."""
+    """Return True if the process on a node reports ready."""
     return node.inner is not None and node.inner.ready
--- a/packages/testing/ryelock/testing/cases/traffic.py
+++ b/packages/testing/ryelock/testing/cases/traffic.py
@@ -1,7 +1,7 @@
-"""Cases of traffic: crowds, servers that misbehave, purges, keys, retries and addresses.
+"""Fault injection in traffic: overload, misbehaving servers, purges, retries, reused addresses.
 
-Each case takes a seed, runs a simulated fleet under one kind of strain, and returns what the
-checkers found in the histories of callers and servers.
+Each case takes a seed, runs a simulated fleet under one kind of load or fault, and returns the
+findings of the checkers over the histories of callers and servers.
 """
 
 from random import Random
@@ -11,7 +11,7 @@
 from ryelock.testing.stand_ins.callers import Caller, RequestRecord
 from ryelock.testing.stand_ins.servers import ServerBehavior
 
-BODY_FAULTS = (
+MISBEHAVIORS = (
     ServerBehavior.LOST,
     ServerBehavior.CUT,
     ServerBehavior.SHORT,
@@ -21,8 +21,8 @@
 )
 
 
-def crowd(seed: int) -> Findings:
-    """Everybody arrives at once, and many ask again the instant something fails."""
+def overload(seed: int) -> Findings:
+    """Overload the services with callers of which many retry failures at once."""
     scenario = Scenario(seed)
     scenario.service_rates = {"pages": 40.0, "desks": 10.0}
     services = {
@@ -37,35 +37,37 @@
     scenario.history.clear()
     scenario.start_callers(60, 3.0, 40)
     scenario.world.run(6)
-    broken = next(iter(scenario.servers.values()))
-    broken.behavior = ServerBehavior.LOST
+    failing_server = next(iter(scenario.servers.values()))
+    failing_server.behavior = ServerBehavior.LOST
     scenario.world.run(6)
     scenario.world.kill(scenario.edges[0])
     scenario.world.run(2)
     scenario.start(scenario.edges[0])
-    broken.behavior = ServerBehavior.SOUND
+    failing_server.behavior = ServerBehavior.SOUND
     scenario.world.run(10)
     found = scenario.findings()
-    for record in scenario.notes:
+    for record in scenario.request_records:
         if record.status in (429, 503) and record.complete:
-            found.look("given up")
+            found.count_check("given up")
             if not record.retry_after:
-                found.broken("given up", f"{record.identity}: no Retry-After")
+                found.add_violation("given up", f"{record.identity}: no Retry-After")
             if record.seconds > 1.5:
-                found.broken("given up", f"{record.identity} held back {record.seconds:.2f} s")
-    served = {record.method for record in scenario.notes if record.status == 200}
+                found.add_violation(
+                    "given up", f"{record.identity} held back {record.seconds:.2f} s"
+                )
+    served = {record.method for record in scenario.request_records if record.status == 200}
     if "POST" not in served:
-        found.broken("given up", "no POST was served: cheap orders starve them")
+        found.add_violation("given up", "no POST was served: cheap orders starve them")
     return found
 
 
-def mean_servers(seed: int) -> Findings:
-    """Servers lose answers, cut them, lie about lengths, fall silent."""
+def misbehaving_servers(seed: int) -> Findings:
+    """Make servers lose, truncate or corrupt answers, misstate lengths, or stop reading."""
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(16, 4.0)
     servers = list(scenario.servers.values())
-    for behavior in BODY_FAULTS:
+    for behavior in MISBEHAVIORS:
         for server in servers[:4]:
             server.behavior = behavior
         scenario.world.run(3)
@@ -75,10 +77,13 @@
     return scenario.findings()
 
 
-async def stubborn(scenario: Scenario, edge: str) -> None:
-    """A caller that keeps asking one edge for marks and covers, ready or not."""
+async def poll_edge(scenario: Scenario, edge: str) -> None:
+    """Request marker paths and covers from one edge continuously, whether ready or not."""
     caller = Caller(
-        scenario.outside.scheduler, scenario.outside.network, scenario.random, scenario.notes
+        scenario.outside.scheduler,
+        scenario.outside.network,
+        scenario.random,
+        scenario.request_records,
     )
     count = 0
     while scenario.callers_on:
@@ -91,8 +96,8 @@
         await scenario.outside.scheduler.sleep(0.05)
 
 
-def handed_address(seed: int) -> Findings:
-    """Servers leave under load, one by one, and their addresses go to the other service."""
+def reused_address(seed: int) -> Findings:
+    """Remove servers under load one by one and reassign their addresses to the other service."""
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(16, 4.0)
@@ -113,7 +118,7 @@
 
 
 def purge_flood(seed: int) -> Findings:
-    """Purges alone and in floods against slow fills, and an edge that is cut."""
+    """Purge objects at a high rate during slow cache fills, and partition an edge."""
     scenario = Scenario(seed)
     scenario.set_up()
     for server in scenario.servers.values():
@@ -121,10 +126,10 @@
         server.lifetime = "max-age=60"
     scenario.start_callers(20, 5.0)
     for edge in scenario.edges:
-        scenario.outside.scheduler.create_task(stubborn(scenario, edge), name="stubborn")
+        scenario.outside.scheduler.create_task(poll_edge(scenario, edge), name="stubborn")
     scenario.world.run(3)
     for number in range(6):
-        scenario.operators.scheduler.create_task(flood(scenario, number, 8), name="flood")
+        scenario.operators.scheduler.create_task(purge_in_a_row(scenario, number, 8), name="flood")
     scenario.world.run(3)
     for core in scenario.cores:
         scenario.world.cut(scenario.edges[0], core)
@@ -134,15 +139,15 @@
     return scenario.findings()
 
 
-async def flood(scenario: Scenario, number: int, count: int) -> None:
-    """Purge eight objects in a row, so many times in all."""
+async def purge_in_a_row(scenario: Scenario, number: int, count: int) -> None:
+    """Change and purge `count` objects in turn, starting with object `number`."""
     for turn in range(count):
         target = f"/covers/{(number + turn) % 8}"
-        await scenario.renew_object(target, f"flood-{number}-{turn}")
+        await scenario.change_and_purge(target, f"flood-{number}-{turn}")
 
 
 def lifetimes(seed: int) -> Findings:
-    """Objects change and nobody purges: copies end with their lifetime."""
+    """Change objects without a purge: cached copies must expire with their lifetime."""
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(16, 5.0)
@@ -156,13 +161,13 @@
 
 
 def repeated_keys(seed: int) -> Findings:  # noqa: C901, PLR0912 - not split yet
-    """Reservations sent again under their key, at other edges, after lost answers, kills, cuts."""
+    """Retry POSTs under their idempotency key at other edges, amid lost answers and crashes."""
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(24, 3.0, 24)
-    control_apis = [server for server in scenario.servers.values() if server.service == "desks"]
+    desk_servers = [server for server in scenario.servers.values() if server.service == "desks"]
     for turn in range(4):
-        for server in control_apis:
+        for server in desk_servers:
             server.behavior = ServerBehavior.LOST if turn % 2 == 0 else ServerBehavior.SOUND
             server.delay = 0.3
         scenario.world.run(2)
@@ -181,34 +186,34 @@
     for name in scenario.cores:
         scenario.world.kill(name, True)
         scenario.start(name)
-    scenario.mend_all()
+    scenario.clear_faults()
     scenario.world.run(3)
     for name, server in scenario.servers.items():
         for other in scenario.edges if server.service == "desks" else ():
             scenario.world.cut(other, name)
     scenario.world.run(4.5)
-    scenario.mend_all()
+    scenario.clear_faults()
     scenario.world.run(6)
     found = scenario.findings()
     by_identity: dict[str, list[RequestRecord]] = {}
-    for record in scenario.notes:
+    for record in scenario.request_records:
         if record.method == "POST":
             by_identity.setdefault(record.identity, []).append(record)
-    again = [notes for notes in by_identity.values() if len(notes) > 1]
-    found.look("keys", len(again))
+    retried = [records for records in by_identity.values() if len(records) > 1]
+    found.count_check("keys", len(retried))
     if not any(
-        notes[-1].status == 200
-        and any(record.status == 502 and record.outcome == "not-run" for record in notes)
-        for notes in again
+        records[-1].status == 200
+        and any(record.status == 502 and record.outcome == "not-run" for record in records)
+        for records in retried
     ):
-        found.broken("keys", "no order went again after its claim was given back")
-    if not any(notes[-1].status == 409 for notes in again):
-        found.broken("keys", "no repeat was told that its key was sent before")
+        found.add_violation("keys", "no order went again after its claim was given back")
+    if not any(records[-1].status == 409 for records in retried):
+        found.add_violation("keys", "no repeat was told that its key was sent before")
     return found
 
 
-def narrow_control_apis(seed: int) -> Findings:
-    """A crowd before desks of fewer orders a second than there are edges; edges, leaders die."""
+def low_rate_service(seed: int) -> Findings:
+    """Overload a service whose rate is below the number of edges; crash edges and a leader."""
     rate = [1.0, 2.0, 5.0][seed % 3]
     scenario = Scenario(seed, edges=5, probers=0)
     scenario.service_rates = {"desks": rate}
@@ -230,36 +235,44 @@
         if turn == 1:
             scenario.world.kill(scenario.leader(), True)
         if turn == 2:
-            for one in scenario.cores:
+            for first in scenario.cores:
                 for other in scenario.cores:
-                    if one < other:
-                        scenario.world.cut(one, other)
+                    if first < other:
+                        scenario.world.cut(first, other)
         scenario.world.run(2.0)
         scenario.world.heal()
-        scenario.mend_all()
+        scenario.clear_faults()
         scenario.world.run(3.0)
     since = scenario.world.time
     scenario.world.run(10)
-    again = sum(request.service == "desks" and request.at >= since for request in scenario.history)
+    served_after_faults = sum(
+        request.service == "desks" and request.at >= since for request in scenario.history
+    )
     found = scenario.findings()
-    for count in (served, again):
-        found.look("goodput")
+    for count in (served, served_after_faults):
+        found.count_check("goodput")
         if count < 0.7 * rate * 10:
-            found.broken("goodput", f"{count} orders in 10 s at rate {rate:g}, in a crowd")
+            found.add_violation("goodput", f"{count} orders in 10 s at rate {rate:g}, in a crowd")
     return found
 
 
-def unmarked_repeats(seed: int, moving: bool = False, alike: bool = False) -> Findings:
-    """A service fails whole for a while; callers repeat at once and mark nothing.
+def unmarked_repeats(
+    seed: int, changes_edge: bool = False, shares_user_agent: bool = False
+) -> Findings:
+    """Fail every server of a service for a while; callers retry at once without marking retries.
 
-    They stay at their edge, or move from edge to edge; each has a client's name of its own, or
-    all are alike behind one address.
+    Args:
+        seed: seed of the run.
+        changes_edge: callers pick a random edge for each attempt.
+        shares_user_agent: all callers send the same User-Agent.
     """
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(16, 4.0, 0)
     for number in range(24):
-        scenario.outside.scheduler.create_task(phone(scenario, number, moving, alike), name="phone")
+        scenario.outside.scheduler.create_task(
+            retry_until_served(scenario, number, changes_edge, shares_user_agent), name="phone"
+        )
     scenario.world.run(6)
     for server in scenario.servers.values():
         if server.service == "pages":
@@ -271,23 +284,27 @@
     found = scenario.findings()
     late = [
         record
-        for record in scenario.notes
+        for record in scenario.request_records
         if record.target.startswith("/plain/")
         and record.ending
         and record.identity.startswith("c")
         and record.sent_at > scenario.world.time - 4.0
     ]
-    found.look("others", len(late))
+    found.count_check("others", len(late))
     if sum(record.status == 200 for record in late) < 0.9 * len(late):
-        found.broken("others", "first orders were declined 4 s after the service was back")
+        found.add_violation("others", "first orders were declined 4 s after the service was back")
     return found
 
 
-async def phone(scenario: Scenario, number: int, moving: bool, alike: bool) -> None:
-    """One caller that sends what failed again at once, as the same order, without a mark."""
+async def retry_until_served(
+    scenario: Scenario, number: int, changes_edge: bool, shares_user_agent: bool
+) -> None:
+    """Send requests, retrying failures almost at once without a retry header."""
     random = Random(f"phone {scenario.world.seed} {number}")
-    caller = Caller(scenario.outside.scheduler, scenario.outside.network, random, scenario.notes)
-    name = b"phone" if alike else b"phone %d" % number
+    caller = Caller(
+        scenario.outside.scheduler, scenario.outside.network, random, scenario.request_records
+    )
+    name = b"phone" if shares_user_agent else b"phone %d" % number
     count = 0
     edge = ""
     while scenario.callers_on:
@@ -296,7 +313,7 @@
         target = f"/plain/{random.randrange(50)}"
         for _ in range(200):
             edges = scenario.ready_edges()
-            if edges and (moving or edge not in edges):
+            if edges and (changes_edge or edge not in edges):
                 edge = random.choice(edges)
             record = await caller.request(
                 f"{scenario.node(edge).host}:3",
--- a/packages/testing/ryelock/testing/checks.py
+++ b/packages/testing/ryelock/testing/checks.py
@@ -13,8 +13,8 @@
 RATE_WINDOW_SECONDS = 5.0
 RATE_OVERSHOOT = 1.10
 RETRY_WINDOW_SECONDS = 10.0
-RETRY_SHARE_MOST = 0.2
-RETRY_RESERVE = 12
+MAX_RETRY_FRACTION = 0.2
+RETRY_BURST = 12
 
 
 class Findings:
@@ -27,11 +27,11 @@
         self.checked: dict[str, int] = {}
         self.violations: list[str] = []
 
-    def look(self, rule: str, count: int = 1) -> None:
+    def count_check(self, rule: str, count: int = 1) -> None:
         """Count what was looked at for a rule."""
         self.checked[rule] = self.checked.get(rule, 0) + count
 
-    def broken(self, rule: str, text: str) -> None:
+    def add_violation(self, rule: str, text: str) -> None:
         """Note a violation of a rule."""
         self.violations.append(f"{rule}: {text}")
 
@@ -53,19 +53,19 @@
         if record.method == "POST":
             sent.setdefault(record.identity, []).append(record)
     for identity, attempts in sent.items():
-        found.look("once")
+        found.count_check("once")
         if len(attempts) > 1:
-            found.look("once, sent again", len(attempts) - 1)
+            found.count_check("once, sent again", len(attempts) - 1)
         ran_for = runs.get(identity, [])
         if len(ran_for) > 1:
-            found.broken("once", f"{identity} ran {len(ran_for)} times")
+            found.add_violation("once", f"{identity} ran {len(ran_for)} times")
         for request in ran_for:
             if all(
                 record.complete and record.outcome == "not-run"
                 for record in attempts
                 if record.sent_at <= request.at
             ):
-                found.broken("once", f"{identity} ran after 'not run' was told")
+                found.add_violation("once", f"{identity} ran after 'not run' was told")
 
 
 def check_bytes(
@@ -80,14 +80,14 @@
         )
         if not service:
             continue
-        found.look("bytes")
+        found.count_check("bytes")
         known = objects[service]
         right = any(
             record.body == body_for(service, record.target, revision, known.size)
             for revision in range(known.revision(record.target) + 1)
         )
         if not right:
-            found.broken("bytes", f"{record.identity} {record.target}: {record.body[:60]!r}")
+            found.add_violation("bytes", f"{record.identity} {record.target}: {record.body[:60]!r}")
 
 
 def check_rates(found: Findings, history: list[ServedRequest], rates: dict[str, float]) -> None:
@@ -98,10 +98,10 @@
         for end, at in enumerate(times):
             while times[start] <= at - RATE_WINDOW_SECONDS:
                 start += 1
-            found.look("rate")
+            found.count_check("rate")
             count = end - start + 1
             if count > rate * RATE_WINDOW_SECONDS * RATE_OVERSHOOT:
-                found.broken("rate", f"{service}: {count} orders in 5 s at rate {rate:g}")
+                found.add_violation("rate", f"{service}: {count} orders in 5 s at rate {rate:g}")
                 break
 
 
@@ -122,10 +122,12 @@
             while sends[start][0] <= at - RETRY_WINDOW_SECONDS:
                 retries -= sends[start][1]
                 start += 1
-            found.look("repeats")
+            found.count_check("repeats")
             count = end - start + 1
-            if retries > RETRY_SHARE_MOST * count + RETRY_RESERVE:
-                found.broken("repeats", f"{service}: {retries} repeats among {count} in 10 s")
+            if retries > MAX_RETRY_FRACTION * count + RETRY_BURST:
+                found.add_violation(
+                    "repeats", f"{service}: {retries} repeats among {count} in 10 s"
+                )
                 break
 
 
@@ -179,9 +181,11 @@
         )
         if not service and request.target.startswith("/gen-"):
             service = "pages"
-        found.look("service")
+        found.count_check("service")
         if request.service != service:
-            found.broken("service", f"{request.target} ran at {request.service} {request.address}")
+            found.add_violation(
+                "service", f"{request.target} ran at {request.service} {request.address}"
+            )
 
 
 def check_leaving(
@@ -195,10 +199,10 @@
             (other[0] for other in shown[position + 1 :] if other[2] == address and not other[3]),
             default=math.inf,
         )
-        found.look("leaving")
+        found.count_check("leaving")
         for request in history:
             if request.address == address and at + 2.0 < request.at < until:
-                found.broken(
+                found.add_violation(
                     "leaving",
                     f"{address} got {request.target} {request.at - at:.2f} s "
                     "after it showed as leaving",
@@ -217,16 +221,16 @@
     by_path = {change.marker_path: change for change in changes if change.marker_path}
     versions = [change.version for change in accepted]
     if len(set(versions)) != len(versions):
-        found.broken("changes", "two changes got one version")
+        found.add_violation("changes", "two changes got one version")
     check_change_effects(found, notes, by_path)
     check_no_rollback(found, [record for record in notes if record.target in by_path])
     for started, _, version in reads:
         newest = max(
             (change.version for change in accepted if change.answered_before(started)), default=0
         )
-        found.look("reads")
+        found.count_check("reads")
         if version < newest:
-            found.broken("reads", f"read {version} after {newest} was acknowledged")
+            found.add_violation("reads", f"read {version} after {newest} was acknowledged")
 
 
 def check_change_effects(
@@ -237,17 +241,19 @@
         change = by_path.get(record.target)
         if change is None or not record.complete:
             continue
-        found.look("changes")
+        found.count_check("changes")
         if change.status == 200 and record.status == 404 and change.answered_at is not None:
             seconds = record.sent_at - change.answered_at
             if record.sent_at > change.answered_at + 2.0:
-                found.broken(
+                found.add_violation(
                     "changes",
                     f"{change.identity} ignored {seconds:.2f} s "
                     f"after its acknowledgement by {record.edge}",
                 )
         if change.status in (409, 422) and record.status == 200:
-            found.broken("changes", f"{change.identity} took effect though told {change.status}")
+            found.add_violation(
+                "changes", f"{change.identity} took effect though told {change.status}"
+            )
 
 
 def check_no_rollback(found: Findings, notes: list[RequestRecord]) -> None:
@@ -260,7 +266,7 @@
         if record.status == 200:
             seen.setdefault(key, record.sent_at + record.seconds)
         elif record.status == 404 and key in seen and record.sent_at > seen[key]:
-            found.broken("changes", f"{record.edge} slipped back on {record.target}")
+            found.add_violation("changes", f"{record.edge} slipped back on {record.target}")
 
 
 def check_purges(found: Findings, notes: list[RequestRecord], purges: list[PurgeRecord]) -> None:
@@ -273,10 +279,10 @@
                 continue
             if record.sent_at <= purge.acknowledged_at + 2.0:
                 continue
-            found.look("purges")
+            found.count_check("purges")
             revision = revision_of(record.body)
             if revision is not None and revision < purge.revision:
-                found.broken(
+                found.add_violation(
                     "purges",
                     f"{record.target} revision {revision} served by "
                     f"{record.edge} {record.sent_at - purge.acknowledged_at:.2f} s after the "
@@ -297,14 +303,14 @@
             or record.seconds > 1.0
         ):
             continue
-        found.look("lifetimes")
+        found.count_check("lifetimes")
         revision = revision_of(record.body)
         if (
             revision is not None
             and revision < objects.revision(record.target)
             and record.sent_at > changed_at + lifetime + 2.0
         ):
-            found.broken(
+            found.add_violation(
                 "lifetimes",
                 f"{record.target} revision {revision} served "
                 f"{record.sent_at - changed_at:.2f} s after it changed",
@@ -342,19 +348,19 @@
     failed: bool
 
 
-PROBES_LEAST = 3
-MACHINES_LEAST = 2
-EVALUATION_SECONDS_MOST = 5.0
-DELIVERY_SECONDS_MOST = 2.0
+MIN_PROBES = 3
+MIN_MACHINES = 2
+MAX_EVALUATION_SECONDS = 5.0
+MAX_DELIVERY_SECONDS = 2.0
 ROUNDING_SECONDS = 0.05
 
 
-def check_downs(
+def check_down_verdicts(
     found: Findings,
     downs: list[ZoneDown],
     probed: list[ProbeRecord],
     span: float = 600.0,
-    late: float = EVALUATION_SECONDS_MOST,
+    late: float = MAX_EVALUATION_SECONDS,
 ) -> None:
     """A zone is down only by fetches that really failed, as its own record names them.
 
@@ -368,17 +374,17 @@
     for row in probed:
         by_row.setdefault((row.prober, row.sequence, row.edge, row.watch), []).append(row)
     for down in downs:
-        found.look("downs")
+        found.count_check("downs")
         text = f"{down.zone} down at {down.at:.2f}"
         if not down.edges:
-            found.broken("downs", f"{text} without edges")
+            found.add_violation("downs", f"{text} without edges")
         for edge in down.edges:
             if not any(target.get("edge") == edge for target in down.targets):
-                found.broken("downs", f"{text}, but {edge} was never fetched from")
+                found.add_violation("downs", f"{text}, but {edge} was never fetched from")
         for target in down.targets:
             fault = target_fault(target, by_row, down.at, span, late)
             if fault:
-                found.broken("downs", f"{text}: {target.get('edge')} {fault}")
+                found.add_violation("downs", f"{text}: {target.get('edge')} {fault}")
 
 
 def target_fault(
@@ -401,7 +407,7 @@
             )
             if probe.failed
             and probe.machine == row["machine"]
-            and at - late - DELIVERY_SECONDS_MOST - ROUNDING_SECONDS
+            and at - late - MAX_DELIVERY_SECONDS - ROUNDING_SECONDS
             <= probe.at + ago
             <= at + ROUNDING_SECONDS
         ]
@@ -411,7 +417,7 @@
             return f"names a fetch of {ago} s before"
         matched.append(real[0])
     machines = {probe.machine for probe in matched}
-    if len(matched) < PROBES_LEAST or len(machines) < MACHINES_LEAST:
+    if len(matched) < MIN_PROBES or len(machines) < MIN_MACHINES:
         return f"has {len(matched)} failed fetches of {len(machines)} machines"
     if len({(probe.prober, probe.sequence) for probe in matched}) < len(matched):
         return "counts a fetch twice"
--- a/packages/testing/ryelock/testing/finals.py
+++ b/packages/testing/ryelock/testing/finals.py
@@ -11,7 +11,7 @@
 
 from ryelock.testing.checks import Findings
 from ryelock.testing.scenario import Scenario
-from ryelock.testing.schedules import RETURN_SECONDS, SIZES, end_of_day
+from ryelock.testing.schedules import RETURN_SECONDS, SIZES, check_final_configuration
 from ryelock.testing.stand_ins.callers import Caller, RequestRecord
 from ryelock.testing.stand_ins.servers import ServerBehavior
 
@@ -254,7 +254,11 @@
 ) -> None:
     """Send one request through an edge on a connection of its own."""
     caller = Caller(
-        scenario.outside.scheduler, scenario.outside.network, scenario.random, scenario.notes, 8.0
+        scenario.outside.scheduler,
+        scenario.outside.network,
+        scenario.random,
+        scenario.request_records,
+        8.0,
     )
     await caller.request(
         edge,
@@ -350,7 +354,7 @@
         seed, cores or random.choice([3, 5]), zones, edges, probers, {"spread_servers": True}
     )
     scenario.set_up()
-    scenario.ask_readiness()
+    scenario.poll_readiness()
     scenario.service_rates = {"pages": 120.0, "desks": 60.0}
     scenario.world.task(
         scenario.operators,
@@ -390,21 +394,21 @@
     judge_return(ended, since, asked)
     scenario.callers_on = False
     ended.findings.violations += scenario.findings().violations
-    end_of_day(scenario, ended.findings)
+    check_final_configuration(scenario, ended.findings)
     return ended
 
 
 def judge_return(ended: Final, since: float, asked: dict[str, list[float]]) -> None:
     """Note how long each kind was not served, and find what took longer than it may."""
-    notes = [record for record in ended.scenario.notes if record.ending]
+    notes = [record for record in ended.scenario.request_records if record.ending]
     for kind, (method, path) in KINDS.items():
         ended.back[kind] = return_of(notes, method, path, since, since + RETURN_SECONDS + LOOK_ON)
     for kind, times in asked.items():
         ended.back[kind] = times[0] - since if times else 1e9
     for kind, seconds in ended.back.items():
-        ended.findings.look("final")
+        ended.findings.count_check("final")
         if seconds > RETURN_SECONDS:
-            ended.findings.broken(
+            ended.findings.add_violation(
                 "final",
                 f"{kind} was not back {RETURN_SECONDS:g} s after "
                 f"{ended.happened[-1]} ({seconds:.1f})",
--- a/packages/testing/ryelock/testing/measure.py
+++ b/packages/testing/ryelock/testing/measure.py
@@ -6,9 +6,9 @@
 
 from collections.abc import Callable
 
-from ryelock.testing.cases.control import play_isolation
+from ryelock.testing.cases.control import run_isolation
 from ryelock.testing.cases.losses import LOSS_SETTINGS
-from ryelock.testing.cases.traffic import stubborn
+from ryelock.testing.cases.traffic import poll_edge
 from ryelock.testing.checks import Findings, check_rates
 from ryelock.testing.finals import request_once
 from ryelock.testing.scenario import Scenario
@@ -156,13 +156,13 @@
     for core in scenario.cores:
         scenario.world.cut(edge, core)
     since = scenario.world.time
-    scenario.outside.scheduler.create_task(stubborn(scenario, edge), name="stubborn")
+    scenario.outside.scheduler.create_task(poll_edge(scenario, edge), name="stubborn")
     scenario.world.run(10)
     scenario.world.heal()
     address = f"{scenario.node(edge).host}:3"
     told = [
         one
-        for one in scenario.notes
+        for one in scenario.request_records
         if one.edge == address
         and one.sent_at >= since
         and one.ending
@@ -241,7 +241,7 @@
     if what == "tail":
         times = sorted(
             told.seconds
-            for told in scenario.notes
+            for told in scenario.request_records
             if told.sent_at >= since and told.ending and told.identity.startswith("l")
         )
         return times[int(len(times) * 0.99)] if times else None
@@ -289,7 +289,7 @@
 
 def isolated(seed: int, leading: bool, way: str, figure: str) -> float | None:
     """Return one of the times of an isolation, in seconds."""
-    value: float = getattr(play_isolation(seed, leading, way), figure)
+    value: float = getattr(run_isolation(seed, leading, way), figure)
     return value
 
 
@@ -345,9 +345,9 @@
     for who, leading in (("leader", True), ("follower", False))
     for way in ("both ways", "outgoing", "incoming", "frozen", "full disk")
     for what, figure in (
-        ("others led", "succession"),
-        ("longest answer", "longest_answer"),
-        ("of use again", "returned"),
+        ("others led", "failover_seconds"),
+        ("longest answer", "longest_answer_seconds"),
+        ("of use again", "return_seconds"),
     )
 }
 
--- a/packages/testing/ryelock/testing/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -13,7 +13,7 @@
 from ryelock.health import ProbeResult
 from ryelock.http import fetch
 from ryelock.testing.checks import (
-    EVALUATION_SECONDS_MOST,
+    MAX_EVALUATION_SECONDS,
     ChangeRecord,
     Findings,
     ProbeRecord,
@@ -22,7 +22,7 @@
     check_at_most_once,
     check_bytes,
     check_changes,
-    check_downs,
+    check_down_verdicts,
     check_leaving,
     check_lifetimes,
     check_misrouted,
@@ -40,8 +40,8 @@
     ServerStandIn,
 )
 
-LIFETIME = 6.0
-DRAINED = ("drained", "its zone is drained")
+LIFETIME_SECONDS = 6.0
+DRAINED_REASONS = ("drained", "its zone is drained")
 CONFIGURATION: dict[str, object] = {
     "services": {
         "pages": {"rate": 120, "answer_seconds": 2},
@@ -52,7 +52,7 @@
             "path": "/covers",
             "service": "pages",
             "cached": True,
-            "lifetime_seconds": LIFETIME,
+            "lifetime_seconds": LIFETIME_SECONDS,
         },
         "plain": {"path": "/plain", "service": "pages"},
         "orders": {"path": "/orders", "service": "desks", "once": True},
@@ -74,27 +74,27 @@
     """One simulated fleet."""
 
     __slots__ = (
-        "asked_ready",
         "callers_on",
         "changes",
         "cores",
         "downs",
         "edges",
         "history",
-        "late_most",
-        "notes",
+        "max_evaluation_seconds",
         "objects",
         "operators",
         "outside",
-        "planned",
+        "planned_count",
         "plans",
         "platform",
         "platform_node",
+        "polled_ready",
+        "probe_stores",
         "probers",
         "purges",
         "random",
         "reads",
-        "row_stores",
+        "request_records",
         "servers",
         "service_rates",
         "settings",
@@ -125,19 +125,19 @@
             **settings,
         }
         self.history: list[ServedRequest] = []
-        self.notes: list[RequestRecord] = []
+        self.request_records: list[RequestRecord] = []
         self.changes: list[ChangeRecord] = []
         self.purges: list[PurgeRecord] = []
         self.reads: list[tuple[float, float, int]] = []
         self.downs: list[ZoneDown] = []
-        self.row_stores: list[tuple[SimNode, deque[ProbeResult]]] = []
+        self.probe_stores: list[tuple[SimNode, deque[ProbeResult]]] = []
         self.objects = {"pages": Objects(300), "desks": Objects(100)}
         self.servers: dict[str, ServerStandIn] = {}
         self.callers_on = True
-        self.asked_ready: set[str] | None = None
+        self.polled_ready: set[str] | None = None
         self.service_rates = {"pages": 120.0, "desks": 20.0}
-        self.planned = 0
-        self.late_most = EVALUATION_SECONDS_MOST
+        self.planned_count = 0
+        self.max_evaluation_seconds = MAX_EVALUATION_SECONDS
         self.plans: dict[str, tuple[str, dict[str, object]]] = {}
         self.outside = self.world.add("outside", "outside", "10.9.0.1")
         self.operators = self.world.add("operators", "operators", "10.9.0.2")
@@ -171,8 +171,8 @@
 
     def plan(self, role: str, name: str, zone: str) -> str:
         """Plan a process of a role in a zone; returns its name. `start` starts it."""
-        host = f"10.{1 + self.planned // 200}.0.{1 + self.planned % 200}"
-        self.planned += 1
+        host = f"10.{1 + self.planned_count // 200}.0.{1 + self.planned_count % 200}"
+        self.planned_count += 1
         node = self.world.add(name, name, host)
         node.alive = False
         node.clock.zero = node.random.random() * 1000
@@ -224,7 +224,7 @@
         if role == "prober" and node.alive:
             prober = node.traffic.prober
             assert prober is not None
-            self.row_stores.append((node, prober.results))
+            self.probe_stores.append((node, prober.results))
 
     def start_all(self) -> None:
         """Start all planned processes."""
@@ -353,9 +353,9 @@
                     self.reads.append((started, self.world.time, version))
             else:
                 target = f"/covers/{random.randrange(8)}"
-                await self.renew_object(target, f"purge-{name}")
+                await self.change_and_purge(target, f"purge-{name}")
 
-    async def renew_object(self, target: str, identity: str) -> None:
+    async def change_and_purge(self, target: str, identity: str) -> None:
         """An object changes and is purged; kept in the notes once that was acknowledged."""
         self.objects["pages"].change(target, self.world.time)
         purge = PurgeRecord(target, self.objects["pages"].revision(target))
@@ -372,7 +372,7 @@
         """One caller; `again` sends what failed once more at once, as an eager client does."""
         random = Random(f"caller {self.world.seed} {number}")
         scheduler = self.outside.scheduler
-        caller = Caller(scheduler, self.outside.network, random, self.notes, 8.0)
+        caller = Caller(scheduler, self.outside.network, random, self.request_records, 8.0)
         count = 0
         while self.callers_on:
             count += 1
@@ -419,9 +419,9 @@
                 )
         caller.close()
 
-    def ask_readiness(self) -> None:
+    def poll_readiness(self) -> None:
         """From now on readiness is what the platform finds by asking, over the network."""
-        self.asked_ready = set(self.edges)
+        self.polled_ready = set(self.edges)
         for name in self.edges:
             self.platform_node.scheduler.create_task(
                 self.ask_ready(name), name=f"readiness of {name}"
@@ -429,7 +429,7 @@
 
     async def ask_ready(self, name: str) -> None:
         """Ask one edge again and again whether it is ready, as the platform does."""
-        ready = self.asked_ready
+        ready = self.polled_ready
         assert ready is not None
         scheduler = self.platform_node.scheduler
         while True:
@@ -449,8 +449,8 @@
 
     def ready_edges(self) -> list[str]:
         """What the platform would hand callers: edges that say they are ready."""
-        if self.asked_ready is not None:
-            return sorted(self.asked_ready)
+        if self.polled_ready is not None:
+            return sorted(self.polled_ready)
         return [
             name
             for name in self.edges
@@ -505,22 +505,22 @@
             edges = {
                 f"{self.node(name).host}:3"
                 for name in self.alive(self.edges)
-                if self.node(name).traffic.readiness.not_ready_reason not in DRAINED
+                if self.node(name).traffic.readiness.not_ready_reason not in DRAINED_REASONS
             }
             fine = {
                 record.edge
-                for record in self.notes
+                for record in self.request_records
                 if record.sent_at >= since and record.status == 200 and record.complete
             }
             posted = any(
                 record.sent_at >= since and record.status == 200 and record.method == "POST"
-                for record in self.notes
+                for record in self.request_records
             )
             return bool(edges) and edges <= fine and posted
 
         return done
 
-    def mend_all(self) -> None:
+    def clear_faults(self) -> None:
         """The end of all faults: everything that was killed is started, every path healed."""
         self.world.heal()
         for name in self.cores:
@@ -547,23 +547,23 @@
                 row.sequence,
                 row.failed,
             )
-            for node, rows in self.row_stores
+            for node, rows in self.probe_stores
             for row in rows
         ]
 
     def findings(self) -> Findings:
         """Check all rules against the notes of callers and the histories of servers."""
         found = Findings()
-        check_at_most_once(found, self.notes, self.history)
-        check_bytes(found, self.notes, self.objects, SERVICE_OF)
+        check_at_most_once(found, self.request_records, self.history)
+        check_bytes(found, self.request_records, self.objects, SERVICE_OF)
         check_rates(found, self.history, self.service_rates)
         check_retry_budget(found, self.history)
         check_misrouted(found, self.history, SERVICE_OF)
         check_leaving(found, self.history, self.platform.shown_since)
-        check_changes(found, self.notes, self.changes, self.reads)
-        check_purges(found, self.notes, self.purges)
-        check_lifetimes(found, self.notes, self.objects["pages"], LIFETIME)
-        check_downs(found, self.downs, self.probed(), late=self.late_most)
+        check_changes(found, self.request_records, self.changes, self.reads)
+        check_purges(found, self.request_records, self.purges)
+        check_lifetimes(found, self.request_records, self.objects["pages"], LIFETIME_SECONDS)
+        check_down_verdicts(found, self.downs, self.probed(), late=self.max_evaluation_seconds)
         for fault in self.world.faults:
-            found.broken("faults", fault)
+            found.add_violation("faults", fault)
         return found
--- a/packages/testing/ryelock/testing/schedules.py
+++ b/packages/testing/ryelock/testing/schedules.py
@@ -18,14 +18,14 @@
 Fault = Callable[[Scenario, Random], str]
 
 
-def any_of(random: Random, names: list[str]) -> str:
+def choose_or_empty(random: Random, names: list[str]) -> str:
     """Draw one of some names; empty where there are none."""
     return random.choice(names) if names else ""
 
 
 def kill_core(scenario: Scenario, random: Random) -> str:
     """Kill a control node and start it again."""
-    name = any_of(random, scenario.alive(scenario.cores))
+    name = choose_or_empty(random, scenario.alive(scenario.cores))
     if name:
         scenario.world.kill(name)
         scenario.world.later(0.5 + random.random() * 3, lambda: scenario.start(name))
@@ -34,7 +34,7 @@
 
 def power_core(scenario: Scenario, random: Random) -> str:
     """Cut a control node's power and start it again."""
-    name = any_of(random, scenario.alive(scenario.cores))
+    name = choose_or_empty(random, scenario.alive(scenario.cores))
     if name:
         scenario.world.kill(name, True)
         scenario.world.later(0.5 + random.random() * 3, lambda: scenario.start(name))
@@ -45,15 +45,15 @@
     """One disk lost; never while another core is away, so a majority of disks is left."""
     if len(scenario.alive(scenario.cores)) < len(scenario.cores):
         return "nothing"
-    if not settled_voters(scenario):
+    if not voters_caught_up(scenario):
         return "nothing"
-    name = any_of(random, scenario.cores)
+    name = choose_or_empty(random, scenario.cores)
     scenario.lose_disk(name)
     scenario.world.later(0.5 + random.random() * 2, lambda: scenario.start(name))
     return f"disk of {name} lost"
 
 
-def settled_voters(scenario: Scenario) -> bool:
+def voters_caught_up(scenario: Scenario) -> bool:
     """Whether every core is a voter that has caught up."""
     leader = scenario.leader()
     if not leader:
@@ -73,7 +73,7 @@
 
 def kill_edge(scenario: Scenario, random: Random) -> str:
     """Kill an edge, perhaps with its power, and start it again."""
-    name = any_of(random, scenario.alive(scenario.edges))
+    name = choose_or_empty(random, scenario.alive(scenario.edges))
     if name:
         scenario.world.kill(name, random.random() < 0.5)
         scenario.world.later(0.2 + random.random() * 2, lambda: scenario.start(name))
@@ -82,7 +82,7 @@
 
 def kill_prober(scenario: Scenario, random: Random) -> str:
     """Kill a prober and start it again."""
-    name = any_of(random, scenario.alive(scenario.probers))
+    name = choose_or_empty(random, scenario.alive(scenario.probers))
     if name:
         scenario.world.kill(name)
         scenario.world.later(random.random() * 4, lambda: scenario.start(name))
@@ -105,7 +105,7 @@
 
 def isolate(scenario: Scenario, random: Random) -> str:
     """Cut one machine off from all others for some seconds."""
-    name = any_of(random, [*scenario.cores, *scenario.edges, *scenario.probers])
+    name = choose_or_empty(random, [*scenario.cores, *scenario.edges, *scenario.probers])
     scenario.world.isolate(name)
     scenario.world.later(0.5 + random.random() * 4, scenario.world.heal)
     return f"isolate {name}"
@@ -113,7 +113,7 @@
 
 def split_cores(scenario: Scenario, random: Random) -> str:
     """Cut one control node off from the other ones for some seconds, perhaps one way only."""
-    one = any_of(random, scenario.cores)
+    one = choose_or_empty(random, scenario.cores)
     both = random.random() < 0.5
     for other in scenario.cores:
         if other != one:
@@ -134,7 +134,7 @@
 
 def cut_edge(scenario: Scenario, random: Random) -> str:
     """Cut an edge off from each control node, both ways or one way."""
-    name = any_of(random, scenario.edges)
+    name = choose_or_empty(random, scenario.edges)
     for core in scenario.cores:
         scenario.world.cut(name, core, random.random() < 0.5)
     scenario.world.later(0.5 + random.random() * 4, scenario.world.heal)
@@ -143,7 +143,7 @@
 
 def freeze(scenario: Scenario, random: Random) -> str:
     """Freeze a control node or an edge for some seconds."""
-    name = any_of(random, scenario.alive([*scenario.cores, *scenario.edges]))
+    name = choose_or_empty(random, scenario.alive([*scenario.cores, *scenario.edges]))
     if name:
         scenario.world.freeze(name, True)
         scenario.world.later(0.3 + random.random() * 4, lambda: scenario.world.freeze(name, False))
@@ -180,7 +180,7 @@
 
 def crash_server(scenario: Scenario, random: Random) -> str:
     """A server vanishes; another of the same service comes up elsewhere."""
-    name = any_of(random, staying(scenario))
+    name = choose_or_empty(random, staying(scenario))
     if not name:
         return "nothing"
     server = scenario.servers[name]
@@ -198,7 +198,7 @@
 
 def hand_address(scenario: Scenario, random: Random) -> str:
     """A server leaves in order, and its address goes to the other service."""
-    name = any_of(random, staying(scenario))
+    name = choose_or_empty(random, staying(scenario))
     if not name:
         return "nothing"
     server = scenario.servers[name]
@@ -252,7 +252,9 @@
 
 def planned_stop(scenario: Scenario, random: Random) -> str:
     """A process is stopped with a warning, and started again once it has left."""
-    name = any_of(random, scenario.alive([*scenario.cores, *scenario.edges, *scenario.probers]))
+    name = choose_or_empty(
+        random, scenario.alive([*scenario.cores, *scenario.edges, *scenario.probers])
+    )
     if not name:
         return "nothing"
     node = scenario.node(name)
@@ -302,7 +304,7 @@
 
 def freeze_prober(scenario: Scenario, random: Random) -> str:
     """Freeze a prober for some seconds."""
-    name = any_of(random, scenario.alive(scenario.probers))
+    name = choose_or_empty(random, scenario.alive(scenario.probers))
     if name:
         scenario.world.freeze(name, True)
         scenario.world.later(1 + random.random() * 5, lambda: scenario.world.freeze(name, False))
@@ -322,7 +324,7 @@
 
 def full_disk(scenario: Scenario, random: Random) -> str:
     """Fill a control node's disk for some seconds."""
-    name = any_of(random, scenario.alive(scenario.cores))
+    name = choose_or_empty(random, scenario.alive(scenario.cores))
     folder = scenario.node(name).folder if name else None
     if folder is None:
         return "nothing"
@@ -337,8 +339,8 @@
 
 def damaged_tail(scenario: Scenario, random: Random) -> str:
     """Power goes in the middle of a write: bytes of no record behind the last one."""
-    name = any_of(random, scenario.alive(scenario.cores))
-    if not name or not settled_voters(scenario):
+    name = choose_or_empty(random, scenario.alive(scenario.cores))
+    if not name or not voters_caught_up(scenario):
         return "nothing"
     scenario.world.kill(name, True)
     folder = scenario.node(name).folder
@@ -354,7 +356,7 @@
 
 def core_elsewhere(scenario: Scenario, random: Random) -> str:
     """A core machine is gone for good; an empty one takes its place at another address."""
-    if len(scenario.alive(scenario.cores)) < len(scenario.cores) or not settled_voters(scenario):
+    if len(scenario.alive(scenario.cores)) < len(scenario.cores) or not voters_caught_up(scenario):
         return "nothing"
     name = random.choice(scenario.cores)
     place = str(scenario.plans[name][1]["zone"])
@@ -403,7 +405,7 @@
 
     async def whole(turn: int) -> None:
         for count in range(6):
-            await scenario.renew_object(
+            await scenario.change_and_purge(
                 f"/covers/{(turn + count) % 8}", f"flood-{number}-{turn}-{count}"
             )
 
@@ -516,7 +518,7 @@
         self.counts: dict[str, int] = {}
         self.false_downs = false_downs(
             scenario.downs,
-            scenario.notes,
+            scenario.request_records,
             {name: f"{scenario.node(name).host}:3" for name in scenario.edges},
         )
 
@@ -565,30 +567,30 @@
             counts[fault.__name__] = counts.get(fault.__name__, 0) + 1
         happened.append(f"{scenario.world.time:.2f} {said}")
     scenario.world.run(max(0.0, start + seconds - scenario.world.time))
-    scenario.mend_all()
+    scenario.clear_faults()
     mended = scenario.world.time
     back = scenario.world.run_until(scenario.served_since(mended), RETURN_SECONDS + 10)
     back_after = scenario.world.time - mended if back else None
     scenario.world.run(3.0)
     findings = scenario.findings()
-    findings.look("return")
+    findings.count_check("return")
     if back_after is None or back_after > RETURN_SECONDS:
-        findings.broken("return", f"service was not back: {back_after}")
-    end_of_day(scenario, findings)
+        findings.add_violation("return", f"service was not back: {back_after}")
+    check_final_configuration(scenario, findings)
     ended = ScheduleResult(scenario, findings, happened, back_after)
     ended.counts = counts
     return ended
 
 
-def end_of_day(scenario: Scenario, findings: Findings) -> None:
+def check_final_configuration(scenario: Scenario, findings: Findings) -> None:
     """The last read, through any node, has the newest acknowledged change."""
     told = [change for change in scenario.changes if change.status == 200]
     newest = max((change.version for change in told), default=0)
     status, answer = scenario.ask_now("GET", "/configuration")
     version = answer.get("version")
-    findings.look("end of day")
+    findings.count_check("end of day")
     if status != 200 or not isinstance(version, int) or version < newest:
-        findings.broken("end of day", f"read {status} version {version}, newest {newest}")
+        findings.add_violation("end of day", f"read {status} version {version}, newest {newest}")
         return
     configuration = answer.get("configuration")
     routes = configuration.get("routes") if isinstance(configuration, dict) else None
@@ -597,6 +599,6 @@
             continue
         there = change.identity in routes
         if change in told and not there:
-            findings.broken("end of day", f"{change.identity} is missing")
+            findings.add_violation("end of day", f"{change.identity} is missing")
         if change.status in (409, 422) and there:
-            findings.broken("end of day", f"{change.identity} took effect")
+            findings.add_violation("end of day", f"{change.identity} took effect")
--- a/tests/control_plane/test_finals.py
+++ b/tests/control_plane/test_finals.py
@@ -84,7 +84,7 @@
                 ),
                 10,
             )
-        answers = [note for note in scenario.notes if note.sent_at >= since]
+        answers = [note for note in scenario.request_records if note.sent_at >= since]
         self.assertEqual({(503, "not-run")}, {(note.status, note.outcome) for note in answers})
         self.assertTrue(all(note.retry_after and note.seconds < 0.5 for note in answers))
         status, _ = scenario.ask_now("POST", "/changes", {"id": "x", "base": 1, "put": {}})
--- a/tests/control_plane/test_loss_cases.py
+++ b/tests/control_plane/test_loss_cases.py
@@ -8,25 +8,25 @@
 
 from ryelock.control_plane.voters import VoterManager
 from ryelock.testing.cases import losses as loss_cases
-from ryelock.testing.cases.losses import every_loss, leaving_member, play_losses, second_loss
+from ryelock.testing.cases.losses import all_losses, leaving_member, run_losses, second_loss
 
 LEAVING_SEEDS = range(12)
 
 
 @pytest.mark.parametrize("disks", [3, 4, 5])
-@pytest.mark.parametrize("first", every_loss(), ids=lambda loss: f"{loss.kind}-{loss.role}")
+@pytest.mark.parametrize("first", all_losses(), ids=lambda loss: f"{loss.kind}-{loss.role}")
 def test_any_two_losses_in_sequence_are_tolerated(first: Any, disks: int) -> None:
-    for seed, second in enumerate(every_loss()):
-        found = play_losses(seed, disks, [[first], [second]])
+    for seed, second in enumerate(all_losses()):
+        found = run_losses(seed, disks, [[first], [second]])
         assert found.violations == [], second
 
 
-@pytest.mark.parametrize("first", every_loss(), ids=lambda loss: f"{loss.kind}-{loss.role}")
+@pytest.mark.parametrize("first", all_losses(), ids=lambda loss: f"{loss.kind}-{loss.role}")
 def test_eight_disks_tolerate_two_simultaneous_losses_twice(first: Any) -> None:
-    losses = every_loss()
+    losses = all_losses()
     for seed, second in enumerate(losses):
         third = losses[(seed * 5 + 3) % len(losses)]
-        found = play_losses(seed, 8, [[first, second], [third, first]])
+        found = run_losses(seed, 8, [[first, second], [third, first]])
         assert found.violations == [], (second, third)
 
 
--- a/tests/edge/test_answers.py
+++ b/tests/edge/test_answers.py
@@ -19,12 +19,12 @@
 from ryelock.edge.servers import Servers
 from ryelock.testing.cases import CASES
 from ryelock.testing.cases.answers import (
-    RUNS_ONCE,
+    AT_MOST_ONCE_KINDS,
     Cell,
     Kind,
     cells,
-    play,
     run_cell,
+    run_cells,
 )
 from ryelock.testing.scripted import DIALECT, AnswerFleet, Event, Moment
 
@@ -44,18 +44,18 @@
     def test_the_tables_do_not_depend_on_the_seed(self) -> None:
         page = PAGE.read_text()
         for seed in (2, 3):
-            outcomes = [outcome for kind in Kind for outcome in play(kind, seed)]
+            outcomes = [outcome for kind in Kind for outcome in run_cells(kind, seed)]
             self.assertEqual(with_tables(page, outcomes), page, f"seed {seed}")
 
     def test_no_cell_breaks_a_rule_if_messages_are_reordered(self) -> None:
         for kind in Kind:
-            outcomes = play(kind, seed=7, steady=False)
+            outcomes = run_cells(kind, seed=7, steady=False)
             self.assertEqual([], [line for outcome in outcomes for line in outcome.faults()])
 
     def test_cells_do_not_depend_on_earlier_ones(self) -> None:
         chosen = [
             Cell(kind, moment, event)
-            for kind in RUNS_ONCE
+            for kind in AT_MOST_ONCE_KINDS
             for moment in (Moment.OPENING, Moment.SENDING, Moment.SENT)
             for event in (Event.NAMELESS, Event.OTHER_LIFE, Event.FOREIGN)
         ]
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -9,7 +9,7 @@
 from ryelock.edge.admission_queue import AdmissionQueue
 from ryelock.events import ROLE_FENCED
 from ryelock.health.health_status import TargetHealth
-from ryelock.testing.checks import Findings, ProbeRecord, ZoneDown, check_downs
+from ryelock.testing.checks import Findings, ProbeRecord, ZoneDown, check_down_verdicts
 from ryelock.testing.scenario import CONFIGURATION, Scenario
 
 JsonObject = dict[str, Any]
@@ -440,7 +440,7 @@
             probed: list[ProbeRecord], evidence: list[JsonObject], at: float = 15.0
         ) -> bool:
             findings = Findings()
-            check_downs(
+            check_down_verdicts(
                 findings,
                 [ZoneDown(at, "z", ["e"], [{"edge": "e", "watch": "w", "failed_rows": evidence}])],
                 probed,
@@ -479,7 +479,7 @@
     def outdated_verdict_commits(self, seed: int) -> bool:
         """Delay a decision that a zone is down; return True if it violates the down rule."""
         scenario = start_scenario(seed)
-        scenario.late_most = 0.5
+        scenario.max_evaluation_seconds = 0.5
         leader = scenario.leader()
         owner = scenario.node(leader).core.replicated_state.singletons["aggregator"].owner
         if owner == leader:
--- a/tests/replicated_state/test_derived.py
+++ b/tests/replicated_state/test_derived.py
@@ -146,7 +146,7 @@
         self.scenario.world.run(seconds)
         records = [
             record
-            for record in self.scenario.notes
+            for record in self.scenario.request_records
             if record.sent_at >= since and record.target.startswith("/covers")
         ]
         return sum(record.status == 200 and record.complete for record in records) / max(
--- a/tests/rpc/test_bad_input.py
+++ b/tests/rpc/test_bad_input.py
@@ -211,7 +211,7 @@
         scenario.world.run(10)
         records = [
             record
-            for record in scenario.notes
+            for record in scenario.request_records
             if record.target.startswith("/plain/") and record.ending
         ]
         self.assertGreater(len(records), 20)
--- a/tests/support/answers_page.py
+++ b/tests/support/answers_page.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from ryelock.testing.cases.answers import Kind, Outcome, play, table
+from ryelock.testing.cases.answers import Kind, Outcome, run_cells, table
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "answers.md"
 BEGIN = "<!-- tables: written by tests/support/answers_page.py -->\n"
@@ -11,7 +11,7 @@
 
 def played() -> list[Outcome]:
     """Every cell, played anew."""
-    return [outcome for kind in Kind for outcome in play(kind)]
+    return [outcome for kind in Kind for outcome in run_cells(kind)]
 
 
 def with_tables(page: str, outcomes: list[Outcome]) -> str:
--- a/tests/support/simulated_runs.py
+++ b/tests/support/simulated_runs.py
@@ -15,7 +15,10 @@
 async def claims(scenario: Scenario) -> None:
     """Send the same request twice under one idempotency key, through different edges."""
     caller = Caller(
-        scenario.outside.scheduler, scenario.outside.network, scenario.random, scenario.notes
+        scenario.outside.scheduler,
+        scenario.outside.network,
+        scenario.random,
+        scenario.request_records,
     )
     for number, name in enumerate(scenario.edges[:2]):
         edge = f"{scenario.node(name).host}:3"
