--- a/packages/testing/ryelock/testing/__main__.py
+++ b/packages/testing/ryelock/testing/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ryelock.testing`: fleets of real processes, and simulated runs over many seeds."""
+"""Command line of `python -m ryelock.testing`: real fleets, simulated runs, measurements."""
 
 import sys
 import time
@@ -32,13 +32,13 @@
     faults: bool = False,
     keep: str = "",
 ) -> int:
-    """Bring up a fleet of real processes on loopback, run it, and print a report.
+    """Start a fleet of real processes on loopback, run traffic and print a report.
 
     :param shape: small, buchfalter or wanjiru
-    :param seconds: traffic before the first change
+    :param seconds: seconds of traffic before the first change
     :param seed: seed of the traffic
     :param faults: also kill the leader and a zone, and restart everything in turn
-    :param keep: folder for settings, data and logs; left out: a folder that is removed
+    :param keep: folder for settings, data and logs; by default a temporary one that is removed
     """
     return run_fleet(shape, seconds, seed, faults, keep)
 
@@ -46,24 +46,24 @@
 def simulate(
     *, seed: int = 1, runs: int = 1, faults: int = 8, size: str = "small", verbose: bool = False
 ) -> int:
-    """Run random schedules of faults in the simulator, one a seed.
+    """Run random schedules of faults in the simulator, one per seed.
 
-    :param seed: the first seed
-    :param runs: how many seeds
-    :param faults: faults in one schedule
+    :param seed: first seed
+    :param runs: number of seeds
+    :param faults: number of faults per schedule
     :param size: small, or the size of a deployment: buchfalter, wanjiru
-    :param verbose: tell what happened also where no rule was broken
+    :param verbose: print the faults of runs without a violation too
     """
     totals = SimulationTotals()
     started = time.monotonic()
     for number in range(seed, seed + runs):
-        ended = run_schedule(number, faults, size=size)
-        totals.add(ended)
-        if ended.findings.violations or verbose:
-            sys.stdout.write(f"seed {number}: back after {ended.back_after}\n")
-            sys.stdout.writelines(f"  {line}\n" for line in ended.happened)
-            sys.stdout.writelines(f"  BROKEN {line}\n" for line in ended.findings.violations[:10])
-        if ended.findings.violations:
+        result = run_schedule(number, faults, size=size)
+        totals.add(result)
+        if result.findings.violations or verbose:
+            sys.stdout.write(f"seed {number}: back after {result.recovery_seconds}\n")
+            sys.stdout.writelines(f"  {line}\n" for line in result.events)
+            sys.stdout.writelines(f"  BROKEN {line}\n" for line in result.findings.violations[:10])
+        if result.findings.violations:
             sys.stdout.write(
                 f"  again: python -m ryelock.testing simulate --seed {number} "
                 f"--faults {faults} --size {size}\n"
@@ -75,15 +75,15 @@
 
 @dataclass(slots=True)
 class SimulationTotals:
-    """What the runs of `simulate` came to, over all seeds.
+    """Totals of the runs of `simulate` over all seeds.
 
     Attributes:
-        runs: runs that ended.
-        failed: runs in which a rule was broken.
-        recovery_seconds: time from the last fault to service, of the runs that recovered.
-        fault_counts: faults that were fired, by name.
-        downs: zones that were declared down.
-        false_downs: those of them that served callers well at the time.
+        runs: completed runs.
+        failed: runs with a violation.
+        recovery_seconds: time from the last fault to service, of each run that recovered.
+        fault_counts: injected faults by name.
+        downs: down verdicts of zones.
+        false_downs: down verdicts of zones that served callers well.
     """
 
     runs: int = 0
@@ -93,18 +93,18 @@
     downs: int = 0
     false_downs: int = 0
 
-    def add(self, ended: ScheduleResult) -> None:
-        """Add one run."""
+    def add(self, result: ScheduleResult) -> None:
+        """Add the result of one run."""
         self.runs += 1
-        self.failed += bool(ended.findings.violations)
-        self.downs += len(ended.scenario.downs)
-        self.false_downs += ended.false_downs
-        self.fault_counts.update(ended.counts)
-        if ended.back_after is not None:
-            self.recovery_seconds.append(ended.back_after)
+        self.failed += bool(result.findings.violations)
+        self.downs += len(result.scenario.downs)
+        self.false_downs += result.false_downs
+        self.fault_counts.update(result.fault_counts)
+        if result.recovery_seconds is not None:
+            self.recovery_seconds.append(result.recovery_seconds)
 
     def report(self) -> str:
-        """Return the lines that end a run of the command."""
+        """Return the summary that the command prints last."""
         counts = sorted(self.fault_counts.items())
         lines = [
             "faults: " + ", ".join(f"{name} {count}" for name, count in counts),
@@ -121,23 +121,23 @@
 
 
 def case(name: str = "", *, seed: int = 1, runs: int = 1) -> int:
-    """Run one case over seeds; without a name, every case.
+    """Run one fault-injection case over seeds; without a name, every case.
 
     :param name: one of the cases in ryelock.testing.cases
-    :param seed: the first seed
-    :param runs: how many seeds
+    :param seed: first seed
+    :param runs: number of seeds
     """
     failed = 0
     names = [name] if name else list(CASES)
-    if any(one not in CASES for one in names):
+    if any(chosen not in CASES for chosen in names):
         sys.stderr.write(f"no case {name!r}; there are {', '.join(CASES)}\n")
         return 2
-    for one in names:
+    for chosen in names:
         for number in range(seed, seed + runs):
-            found = CASES[one](number)
+            found = CASES[chosen](number)
             failed += bool(found.violations)
             sys.stdout.writelines(
-                f"{one} seed {number}: BROKEN {line}\n" for line in found.violations[:10]
+                f"{chosen} seed {number}: BROKEN {line}\n" for line in found.violations[:10]
             )
     sys.stdout.write(f"{len(names) * runs - failed} passed, {failed} failed\n")
     return 1 if failed else 0
@@ -152,48 +152,50 @@
     before: int = 0,
     verbose: bool = False,
 ) -> int:
-    """Lose something for good, mend nothing, and see service return; without a name, each loss.
+    """Lose something for good and check that service recovers; without a name, each loss.
 
     :param name: one of the losses in ryelock.testing.finals
-    :param seed: the first seed
-    :param runs: how many seeds
+    :param seed: first seed
+    :param runs: number of seeds
     :param size: small, buchfalter or wanjiru
-    :param before: earlier faults that are mended before the loss
-    :param verbose: tell each run
+    :param before: number of earlier faults that are repaired before the loss
+    :param verbose: print each run
     """
     names = [name] if name else list(FINALS)
-    if any(one not in FINALS for one in names):
+    if any(chosen not in FINALS for chosen in names):
         sys.stderr.write(f"no final loss {name!r}; there are {', '.join(FINALS)}\n")
         return 2
-    broken = held = 0
-    for one in names:
+    failed = passed = 0
+    for chosen in names:
         slowest: list[float] = []
         for number in range(seed, seed + runs):
-            ended = run_final(number, one, size, before)
-            slowest.append(ended.slowest)
-            broken += bool(ended.findings.violations)
-            held += not ended.findings.violations
-            if ended.findings.violations or verbose:
-                sys.stdout.write(f"{one} seed {number}: {ended.happened} {ended.back}\n")
+            result = run_final(number, chosen, size, before)
+            slowest.append(result.slowest)
+            failed += bool(result.findings.violations)
+            passed += not result.findings.violations
+            if result.findings.violations or verbose:
+                sys.stdout.write(
+                    f"{chosen} seed {number}: {result.events} {result.recovery_seconds}\n"
+                )
                 sys.stdout.writelines(
-                    f"  BROKEN {line}\n" for line in ended.findings.violations[:6]
+                    f"  BROKEN {line}\n" for line in result.findings.violations[:6]
                 )
         slowest.sort()
         sys.stdout.write(
-            f"{one} {size}: back after median {slowest[len(slowest) // 2]:.1f} s, "
+            f"{chosen} {size}: back after median {slowest[len(slowest) // 2]:.1f} s, "
             f"longest {slowest[-1]:.1f} s\n"
         )
         sys.stdout.flush()
-    sys.stdout.write(f"{held} passed, {broken} failed\n")
-    return 1 if broken else 0
+    sys.stdout.write(f"{passed} passed, {failed} failed\n")
+    return 1 if failed else 0
 
 
 def measures(like: str = "", *, seed: int = 1, runs: int = 10) -> int:
-    """Measure what follows from the protocol, in the simulator, over seeds.
+    """Measure properties of the protocols in the simulator, over seeds.
 
-    :param like: only measures whose names have this in them
-    :param seed: the first seed
-    :param runs: how many seeds
+    :param like: only measures whose names contain this text
+    :param seed: first seed
+    :param runs: number of seeds
     """
     sys.stdout.write(
         "| what | unit | lowest | median | highest | runs |\n|---|---|---|---|---|---|\n"
@@ -205,7 +207,7 @@
 
 
 def parse_numbers(text: str) -> list[int]:
-    """Parse whole numbers divided by commas."""
+    """Parse integers separated by commas."""
     return [int(part) for part in text.split(",")]
 
 
@@ -227,25 +229,25 @@
     write: str = "",
     plots: str = "",
 ) -> int:
-    """Bring up real cores and an edge beside hollow nodes, at each size, and print the costs.
+    """Run real control nodes and an edge with hollow nodes, at each size, and print the costs.
 
-    One of the four sizes may be a list, divided by commas: the figures stand against it.
+    One of the four sizes may be a list separated by commas; results are shown by that size.
 
-    :param nodes: hollow nodes
-    :param zones: zones that they stand in
-    :param servers: servers that the platform lists
-    :param routes: routes of the configuration
-    :param runs: bring-ups of each size
-    :param processes: processes that share the hollow nodes
-    :param seconds: length of the window at rest
+    :param nodes: number of hollow nodes
+    :param zones: number of their zones
+    :param servers: number of servers that the platform lists
+    :param routes: number of routes in the configuration
+    :param runs: number of runs of each size
+    :param processes: number of processes that run the hollow nodes
+    :param seconds: length of the idle window
     :param changes: changes, and purges, one after another
     :param restarts: nodes restarted, and listings changed, one after another
-    :param flood: purges a second in the flood; 0: none
-    :param probe_seconds: cadence of the rows that hollow nodes tell; 0: none
-    :param joins: nodes that join a second
-    :param losses: also kill the leader, and last all cores
-    :param write: file for all figures of all runs, JSON
-    :param plots: folder for a plot of each figure
+    :param flood: purges per second in the purge load; 0: none
+    :param probe_seconds: seconds between probe results of a hollow node; 0: none
+    :param joins: nodes that join per second
+    :param losses: also kill the leader, and finally all control nodes
+    :param write: JSON file for the results of all runs
+    :param plots: folder for a plot of each result
     """
     sizes = {
         "nodes": parse_numbers(nodes),
@@ -285,15 +287,15 @@
     runs: int = 3,
     judged: bool = False,
 ) -> int:
-    """Take the pieces of a control node's work one by one, in this process, at any size.
-
-    :param nodes: edges with a session, divided by commas
-    :param zones: zones that they stand in
-    :param servers: servers that the platform lists
-    :param routes: routes of the configuration
-    :param copies: copies that an edge holds
-    :param runs: times that each size is measured
-    :param judged: also fill a whole history of probes and judge it
+    """Measure the single operations of a control node in this process, at any size.
+
+    :param nodes: numbers of edges with a session, separated by commas
+    :param zones: number of their zones
+    :param servers: number of servers that the platform lists
+    :param routes: number of routes in the configuration
+    :param copies: number of cached copies at an edge
+    :param runs: number of measurements of each size
+    :param judged: also fill a complete history of probe results and evaluate it
     """
     points = [
         Point(f"{count} nodes", Size(count, zones, servers, routes))
@@ -309,11 +311,11 @@
 
 
 def catch_up(*, changes: str = "100,400,1600", routes: str = "5,650", runs: int = 3) -> int:
-    """Measure what it costs a control node and an edge that were away to catch up.
+    """Measure the cost for a control node and an edge of catching up after an absence.
 
-    :param changes: changes that they lack, divided by commas
-    :param routes: routes that each change sets anew, divided by commas
-    :param runs: times that each pair is measured
+    :param changes: numbers of missed changes, separated by commas
+    :param routes: numbers of routes that each change replaces, separated by commas
+    :param runs: number of measurements of each pair
     """
     for route_count in parse_numbers(routes):
         points = [
@@ -334,13 +336,13 @@
     without: str = "",
     replay: str = "",
 ) -> int:
-    """Run random schedules of the consensus model, one a seed; exit status 1 after a finding.
+    """Run random schedules of the consensus model, one per seed; exit status 1 after a finding.
 
-    :param schedules: how many
-    :param seed: the first seed
+    :param schedules: number of schedules
+    :param seed: first seed
     :param jobs: processes that run them
-    :param without: kinds of steps to leave out, divided by commas
-    :param replay: a file with one schedule as a finding prints it, to run alone
+    :param without: kinds of steps to leave out, separated by commas
+    :param replay: file with one schedule, as printed with a finding, to run instead
     """
     if replay:
         return replay_schedule(replay)
@@ -356,7 +358,7 @@
 
 def main() -> None:
     """Run the command that the arguments name, and exit with its status."""
-    # A simulated process is dropped in the middle of whatever it does, with tasks that never ran.
+    # A simulated crash drops tasks that never ran.
     warnings.filterwarnings("ignore", "coroutine .* was never awaited", RuntimeWarning)
     commands = [
         fleet,
--- a/packages/testing/ryelock/testing/cases/control.py
+++ b/packages/testing/ryelock/testing/cases/control.py
@@ -200,7 +200,7 @@
     clients.running = False
     reconnect(scenario, name)
     healed_at = scenario.world.time
-    judge_return(scenario, name, term, found, way)
+    check_return(scenario, name, term, found, way)
     return_seconds = scenario.world.time - healed_at
     scenario.world.run(12)
     check_isolated_answers(clients, cut_at, healed_at, found, way)
@@ -423,7 +423,7 @@
             )
 
 
-def judge_return(scenario: Scenario, name: str, term: int, found: Findings, way: str) -> None:
+def check_return(scenario: Scenario, name: str, term: int, found: Findings, way: str) -> None:
     """Check that the reconnected node serves in time and causes no new term."""
     node = scenario.node(name)
 
--- a/packages/testing/ryelock/testing/checks.py
+++ b/packages/testing/ryelock/testing/checks.py
@@ -1,6 +1,6 @@
-"""Checkers of the "must never" rules, from histories of stand-ins and callers alone.
+"""Checkers of invariants over the histories of callers and server stand-ins.
 
-Each adds what it looked at to `checked` and what broke a rule to `violations`. Tests plant a
+Each checker counts its checks in `checked` and adds violations to `violations`. Tests inject a
 violation for each of them.
 """
 
@@ -18,38 +18,42 @@
 
 
 class Findings:
-    """What checkers looked at, by rule, and what they found broken."""
+    """Results of checkers.
+
+    Attributes:
+        checked: number of checks by rule.
+        violations: texts of the violations, each with its rule in front.
+    """
 
     __slots__ = ("checked", "violations")
 
     def __init__(self) -> None:
-        """Create findings of nothing."""
+        """Create empty findings."""
         self.checked: dict[str, int] = {}
         self.violations: list[str] = []
 
     def count_check(self, rule: str, count: int = 1) -> None:
-        """Count what was looked at for a rule."""
+        """Count checks of a rule."""
         self.checked[rule] = self.checked.get(rule, 0) + count
 
     def add_violation(self, rule: str, text: str) -> None:
-        """Note a violation of a rule."""
+        """Add a violation of a rule."""
         self.violations.append(f"{rule}: {text}")
 
 
 def check_at_most_once(
-    found: Findings, notes: list[RequestRecord], history: list[ServedRequest]
+    found: Findings, records: list[RequestRecord], history: list[ServedRequest]
 ) -> None:
-    """An at-most-once request ran at most once, however often it was sent under its key.
+    """Check that an at-most-once request ran at most once, however often it was retried.
 
-    A run belongs to an attempt that began before it; where all of those were answered "not run",
-    the request ran although the answer denied it.
+    Each execution must have an earlier attempt that was not answered "not-run".
     """
     runs: dict[str, list[ServedRequest]] = {}
     for request in history:
         if request.identity and request.method == "POST":
             runs.setdefault(request.identity, []).append(request)
     sent: dict[str, list[RequestRecord]] = {}
-    for record in notes:
+    for record in records:
         if record.method == "POST":
             sent.setdefault(record.identity, []).append(record)
     for identity, attempts in sent.items():
@@ -69,10 +73,13 @@
 
 
 def check_bytes(
-    found: Findings, notes: list[RequestRecord], objects: dict[str, Objects], routes: dict[str, str]
+    found: Findings,
+    records: list[RequestRecord],
+    objects: dict[str, Objects],
+    routes: dict[str, str],
 ) -> None:
-    """A whole 200 carries a body that its service could have sent."""
-    for record in notes:
+    """Check that a complete 200 has a body that its service could have sent."""
+    for record in records:
         if not record.complete or record.status != 200:
             continue
         service = next(
@@ -81,17 +88,17 @@
         if not service:
             continue
         found.count_check("bytes")
-        known = objects[service]
-        right = any(
-            record.body == body_for(service, record.target, revision, known.size)
-            for revision in range(known.revision(record.target) + 1)
+        service_objects = objects[service]
+        is_expected = any(
+            record.body == body_for(service, record.target, revision, service_objects.size)
+            for revision in range(service_objects.revision(record.target) + 1)
         )
-        if not right:
+        if not is_expected:
             found.add_violation("bytes", f"{record.identity} {record.target}: {record.body[:60]!r}")
 
 
 def check_rates(found: Findings, history: list[ServedRequest], rates: dict[str, float]) -> None:
-    """No service was sent more than a tenth over its rate in any 5 s."""
+    """Check that no service received over `RATE_OVERSHOOT` of its rate in any window."""
     for service, rate in rates.items():
         times = sorted(request.at for request in history if request.service == service)
         start = 0
@@ -106,7 +113,7 @@
 
 
 def check_retry_budget(found: Findings, history: list[ServedRequest]) -> None:
-    """Retries stayed within a fifth and a small slack in any 10 s."""
+    """Check that retries stay within their fraction of requests, plus a burst, in any window."""
     by_service: dict[str, list[tuple[float, bool]]] = {}
     seen: set[tuple[str, str]] = set()
     for request in sorted(history, key=lambda request: request.at):
@@ -133,15 +140,15 @@
 
 @dataclass(slots=True, eq=False)
 class ChangeRecord:
-    """A change of the configuration as its operator knows it.
+    """A change of the configuration as seen by its operator.
 
     Attributes:
-        identity: the operator's name for the change.
-        marker_path: a path that only this change routes; empty where it brings none.
+        identity: id of the change.
+        marker_path: path of a route that only this change adds; empty if it adds none.
         requested_at: seconds at which it was sent.
         answered_at: seconds at which its answer came; None before.
         status: status of the answer, -1 before it.
-        version: version of the configuration that it made; 0 where it made none.
+        version: version of the configuration that it created; 0 if none.
     """
 
     identity: str
@@ -152,17 +159,17 @@
     version: int = 0
 
     def answered_before(self, moment: float) -> bool:
-        """Tell whether the answer had come by a moment."""
+        """Return True if the answer had arrived by a time."""
         return self.answered_at is not None and self.answered_at <= moment
 
 
 @dataclass(slots=True, eq=False)
 class PurgeRecord:
-    """A purge as its operator knows it.
+    """A purge as seen by its operator.
 
     Attributes:
         target: path that was purged.
-        revision: newest revision of the object when the purge was asked for.
+        revision: newest revision of the object when the purge was requested.
         acknowledged_at: seconds at which the purge was acknowledged; None before.
     """
 
@@ -174,7 +181,7 @@
 def check_misrouted(
     found: Findings, history: list[ServedRequest], service_of: dict[str, str]
 ) -> None:
-    """No request ran at a service that no configuration sent it to."""
+    """Check that requests ran only at the service that their path routes to."""
     for request in history:
         service = next(
             (service for path, service in service_of.items() if request.target.startswith(path)), ""
@@ -191,7 +198,7 @@
 def check_leaving(
     found: Findings, history: list[ServedRequest], shown: list[tuple[float, str, str, bool]]
 ) -> None:
-    """A server gets no new work more than 2 s after it shows as leaving or is not listed."""
+    """Check that a server gets no requests later than 2 s after it is leaving or unlisted."""
     for position, (at, _, address, leaving) in enumerate(shown):
         if not leaving:
             continue
@@ -212,18 +219,18 @@
 
 def check_changes(
     found: Findings,
-    notes: list[RequestRecord],
+    records: list[RequestRecord],
     changes: list[ChangeRecord],
     reads: list[tuple[float, float, int]],
 ) -> None:
-    """Acknowledged changes hold everywhere at once, rejected ones nowhere, reads miss none."""
+    """Check that acknowledged changes take effect, rejected ones don't, and reads are not stale."""
     accepted = [change for change in changes if change.status == 200]
     by_path = {change.marker_path: change for change in changes if change.marker_path}
     versions = [change.version for change in accepted]
     if len(set(versions)) != len(versions):
         found.add_violation("changes", "two changes got one version")
-    check_change_effects(found, notes, by_path)
-    check_no_rollback(found, [record for record in notes if record.target in by_path])
+    check_change_effects(found, records, by_path)
+    check_no_rollback(found, [record for record in records if record.target in by_path])
     for started, _, version in reads:
         newest = max(
             (change.version for change in accepted if change.answered_before(started)), default=0
@@ -234,10 +241,10 @@
 
 
 def check_change_effects(
-    found: Findings, notes: list[RequestRecord], by_path: dict[str, ChangeRecord]
+    found: Findings, records: list[RequestRecord], by_path: dict[str, ChangeRecord]
 ) -> None:
-    """An acknowledged change is in force 2 s later, a rejected one never."""
-    for record in notes:
+    """Check that an acknowledged change is in force 2 s later and a rejected one never is."""
+    for record in records:
         change = by_path.get(record.target)
         if change is None or not record.complete:
             continue
@@ -256,10 +263,10 @@
             )
 
 
-def check_no_rollback(found: Findings, notes: list[RequestRecord]) -> None:
-    """An edge that has served a route goes on serving it."""
+def check_no_rollback(found: Findings, records: list[RequestRecord]) -> None:
+    """Check that an edge that has served a route keeps serving it."""
     seen: dict[tuple[str, str], float] = {}
-    for record in sorted(notes, key=lambda record: record.sent_at + record.seconds):
+    for record in sorted(records, key=lambda record: record.sent_at + record.seconds):
         if not record.complete:
             continue
         key = (record.edge, record.target)
@@ -269,12 +276,12 @@
             found.add_violation("changes", f"{record.edge} slipped back on {record.target}")
 
 
-def check_purges(found: Findings, notes: list[RequestRecord], purges: list[PurgeRecord]) -> None:
-    """No copy older than a purge is served more than 2 s after the purge's acknowledgement."""
+def check_purges(found: Findings, records: list[RequestRecord], purges: list[PurgeRecord]) -> None:
+    """Check that no copy older than a purge is served later than 2 s after its acknowledgement."""
     for purge in purges:
         if purge.acknowledged_at is None:
             continue
-        for record in notes:
+        for record in records:
             if record.target != purge.target or not record.complete or record.status != 200:
                 continue
             if record.sent_at <= purge.acknowledged_at + 2.0:
@@ -291,10 +298,10 @@
 
 
 def check_lifetimes(
-    found: Findings, notes: list[RequestRecord], objects: Objects, lifetime: float
+    found: Findings, records: list[RequestRecord], objects: Objects, lifetime: float
 ) -> None:
-    """No copy outlives its lifetime by more than 2 s."""
-    for record in notes:
+    """Check that no copy is served later than 2 s after its lifetime."""
+    for record in records:
         changed_at = objects.changed_at.get(record.target)
         if (
             changed_at is None
@@ -318,7 +325,7 @@
 
 
 def revision_of(body: bytes) -> int | None:
-    """Return the revision that a body is of; None where it is no object's."""
+    """Return the revision of the object in a body; None if it holds no object."""
     parts = body.split(b" ", 4)
     if len(parts) < 5 or parts[0] != b"OBJECT" or not parts[3].isdigit():
         return None
@@ -327,7 +334,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDown:
-    """A down verdict as the record showed it, with the rows it rests on by target."""
+    """A down verdict of a zone, with its evidence: each target's failed probes."""
 
     at: float
     zone: str
@@ -337,7 +344,7 @@
 
 @dataclass(slots=True, eq=False)
 class ProbeRecord:
-    """One probe as its prober kept it, on the world's time."""
+    """One probe as its prober recorded it; `at` is in simulated seconds."""
 
     at: float
     edge: str
@@ -362,13 +369,20 @@
     span: float = 600.0,
     late: float = MAX_EVALUATION_SECONDS,
 ) -> None:
-    """A zone is down only by fetches that really failed, as its own record names them.
-
-    For every edge, each target the record shows as judged must name at least three rows of two
-    machines, and each row must stand in its prober's own store: of that edge and watch, failed,
-    and taken when the record says, or earlier by as long as a row may be on its way to the
-    aggregator. The judging was not long before the verdict stood in the record: 2 s, and where
-    the lead changed meanwhile an election more.
+    """Check that each down verdict rests on probes that really failed.
+
+    Each edge of the zone must have a target in the evidence. Each target must name at least
+    `MIN_PROBES` probes from `MIN_MACHINES` machines. Each named probe must be in its prober's own
+    store, as failed, for the same edge and watch, and taken at the stated time or earlier by at
+    most the delivery time to the aggregator.
+
+    Args:
+        found: receives the results.
+        downs: verdicts to check.
+        probed: all probes from the probers' stores.
+        span: largest age of a named probe, in seconds.
+        late: longest time from the evaluation to the commit of a verdict, in seconds: 2 s, plus
+            an election if the leader changed meanwhile.
     """
     by_row: dict[tuple[str, int, str, str], list[ProbeRecord]] = {}
     for row in probed:
@@ -382,25 +396,25 @@
             if not any(target.get("edge") == edge for target in down.targets):
                 found.add_violation("downs", f"{text}, but {edge} was never fetched from")
         for target in down.targets:
-            fault = target_fault(target, by_row, down.at, span, late)
+            fault = evidence_fault(target, by_row, down.at, span, late)
             if fault:
                 found.add_violation("downs", f"{text}: {target.get('edge')} {fault}")
 
 
-def target_fault(
+def evidence_fault(
     target: dict[str, object],
     by_row: dict[tuple[str, int, str, str], list[ProbeRecord]],
     at: float,
     span: float,
     late: float,
 ) -> str:
-    """What is wrong with the evidence of one failed target; empty when nothing is."""
-    named = target.get("failed_rows")
-    rows = named if isinstance(named, list) else []
+    """Return the violation in the evidence of one failed target; empty if there is none."""
+    failed_rows = target.get("failed_rows")
+    rows = failed_rows if isinstance(failed_rows, list) else []
     matched: list[ProbeRecord] = []
     for row in rows:
-        ago = float(row["seconds_ago"])
-        real = [
+        seconds_ago = float(row["seconds_ago"])
+        matching = [
             probe
             for probe in by_row.get(
                 (row["prober"], row["sequence"], str(target["edge"]), str(target["watch"])), []
@@ -408,14 +422,14 @@
             if probe.failed
             and probe.machine == row["machine"]
             and at - late - MAX_DELIVERY_SECONDS - ROUNDING_SECONDS
-            <= probe.at + ago
+            <= probe.at + seconds_ago
             <= at + ROUNDING_SECONDS
         ]
-        if not real:
+        if not matching:
             return f"names a failed fetch that there was not, or long ago: {row}"
-        if ago > span:
-            return f"names a fetch of {ago} s before"
-        matched.append(real[0])
+        if seconds_ago > span:
+            return f"names a fetch of {seconds_ago} s before"
+        matched.append(matching[0])
     machines = {probe.machine for probe in matched}
     if len(matched) < MIN_PROBES or len(machines) < MIN_MACHINES:
         return f"has {len(matched)} failed fetches of {len(machines)} machines"
@@ -424,16 +438,16 @@
     return ""
 
 
-def false_downs(
-    downs: list[ZoneDown], notes: list[RequestRecord], addresses: dict[str, str]
+def count_false_downs(
+    downs: list[ZoneDown], records: list[RequestRecord], addresses: dict[str, str]
 ) -> int:
-    """Down verdicts of zones whose edges served callers well in the 3 s before."""
+    """Count down verdicts of zones whose edges served callers well in the 3 s before."""
     count = 0
     for down in downs:
         served_at = {addresses[edge] for edge in down.edges if edge in addresses}
         recent = [
             record
-            for record in notes
+            for record in records
             if record.edge in served_at
             and record.ending
             and down.at - 3.0 <= record.sent_at <= down.at
--- a/packages/testing/ryelock/testing/scenario.py
+++ b/packages/testing/ryelock/testing/scenario.py
@@ -1,8 +1,9 @@
-"""A simulated fleet with its outside, and what runs do to it.
+"""A simulated fleet with its environment, and the actions that runs apply to it.
 
-Cores, edges, probers, servers, a platform, callers and operators, each a node of the world.
-Callers and operators keep notes; `findings` checks every rule that notes and histories can
-decide. What an operator was told is kept with when, so that later orders can be held to it.
+Control nodes, edges, probers, servers, a platform, callers and operators are nodes of the world.
+Callers and operators record their requests and answers; `findings` checks all invariants over
+these records and the servers' histories. Operators' answers are recorded with their times, so
+that later requests can be checked against acknowledged changes and purges.
 """
 
 from collections import deque
@@ -71,7 +72,24 @@
 
 
 class Scenario:
-    """One simulated fleet."""
+    """One simulated fleet.
+
+    Attributes:
+        world: the simulated machines and network.
+        plans: role and settings of each planned process, by name.
+        history: requests that servers executed.
+        request_records: requests that callers sent.
+        changes: changes that operators sent.
+        purges: acknowledged purges.
+        reads: start, end and version of each read of the configuration.
+        downs: down verdicts found in the replicated state.
+        probe_stores: results kept by each started prober, with its node.
+        polled_ready: edges found ready over the network; None while readiness is read directly.
+        callers_on: callers run while it is set.
+        service_rates: rates that the checkers allow, by service.
+        max_evaluation_seconds: longest time that `check_down_verdicts` allows from evaluation
+            to commit.
+    """
 
     __slots__ = (
         "callers_on",
@@ -111,7 +129,16 @@
         probers: int = 2,
         settings: dict[str, object] | None = None,
     ) -> None:
-        """Plan a deployment of so many processes; `set_up` starts them."""
+        """Plan a deployment; `set_up` starts it.
+
+        Args:
+            seed: seed of the world and of the scenario's draws.
+            cores: number of control nodes.
+            zones: number of zones.
+            edges: edges per zone.
+            probers: probers per zone.
+            settings: settings of all processes; "spread_servers" adds servers to two zones.
+        """
         settings = dict(settings or {})
         spread = settings.pop("spread_servers", False) is True
         self.world = World(seed)
@@ -148,7 +175,7 @@
             self.platform_node.log,
             "10.9.0.3:80",
         )
-        # Few zones' servers stand in pairs; where a whole zone may go, each has its own.
+        # Two servers per zone and service; three where one of two zones may be lost.
         for number, zone in enumerate(self.zones * (3 if spread and zones == 2 else 2)):
             for service in ("pages", "desks"):
                 self.add_server(service, zone, f"{service}{number}", 1)
@@ -167,17 +194,17 @@
             for number in range(probers)
         ]
 
-    # Building.
+    # Processes.
 
     def plan(self, role: str, name: str, zone: str) -> str:
-        """Plan a process of a role in a zone; returns its name. `start` starts it."""
+        """Plan a process of a role in a zone and return its name; `start` starts it."""
         host = f"10.{1 + self.planned_count // 200}.0.{1 + self.planned_count % 200}"
         self.planned_count += 1
         node = self.world.add(name, name, host)
         node.alive = False
         node.clock.zero = node.random.random() * 1000
         seeds = [f"10.1.0.{number}:1" for number in (1, 2, 3)]
-        plain: dict[str, object] = {
+        process_settings: dict[str, object] = {
             "name": name,
             "zone": zone,
             "machine": name,
@@ -187,10 +214,10 @@
             **self.settings,
         }
         if role == "core":
-            plain.update(data_folder="/data", platform_address="10.9.0.3:80")
+            process_settings.update(data_folder="/data", platform_address="10.9.0.3:80")
         if role == "edge":
-            plain["order_address"] = f"{host}:3"
-        self.plans[name] = (role, plain)
+            process_settings["order_address"] = f"{host}:3"
+        self.plans[name] = (role, process_settings)
         return name
 
     def add_server(
@@ -218,9 +245,9 @@
 
     def start(self, name: str) -> None:
         """Start a planned process."""
-        role, plain = self.plans[name]
+        role, process_settings = self.plans[name]
         node = self.world.nodes[name]
-        self.world.start_daemon(node, role, plain)
+        self.world.start_daemon(node, role, process_settings)
         if role == "prober" and node.alive:
             prober = node.traffic.prober
             assert prober is not None
@@ -232,7 +259,7 @@
             self.start(name)
 
     def lose_disk(self, name: str) -> None:
-        """The machine comes back empty."""
+        """Cut a machine's power and replace its disk by an empty one."""
         self.world.kill(name, True)
         self.world.nodes[name].folder = SimFolder()
 
@@ -241,11 +268,11 @@
         return self.world.nodes[name]
 
     def alive(self, names: list[str]) -> list[str]:
-        """Return those of some processes that run."""
+        """Return the names of those processes that run and are not frozen."""
         return [name for name in names if self.node(name).alive and not self.node(name).frozen]
 
     def leader(self) -> str:
-        """Return the settled leader's name; empty where there is none."""
+        """Return the name of a leader that is ready; empty if there is none."""
         for name in self.alive(self.cores):
             if self.node(name).core.consensus.leader_ready:
                 return name
@@ -256,7 +283,11 @@
     async def operator(
         self, method: str, target: str, given: object = None, through: str = ""
     ) -> tuple[int, dict[str, object]]:
-        """Send an operator's request, through any process unless one is named."""
+        """Send an operator's request through a named process, or through a random one.
+
+        Returns:
+            Status, 0 without an answer, and body.
+        """
         names = [through] if through else self.alive(self.cores + self.edges)
         if not names:
             return 0, {"fault": "no process runs"}
@@ -292,7 +323,7 @@
         marker_path: str = "",
         through: str = "",
     ) -> ChangeRecord:
-        """Make one change and record its answer; `marker_path` is a route path it brings."""
+        """Send one change and record its answer; `marker_path` is the path of a route it adds."""
         change = ChangeRecord(identity, marker_path, self.world.time)
         self.changes.append(change)
         status, answer = await self.operator(
@@ -305,7 +336,7 @@
         return change
 
     async def add_route(self, name: str, base: int, through: str = "") -> ChangeRecord:
-        """A change that brings a route of its own name, by which later orders tell it."""
+        """Send a change that adds a route of its own name, so that requests show its effect."""
         return await self.change(
             name,
             base,
@@ -315,7 +346,7 @@
         )
 
     def set_up(self, seconds: float = 30.0) -> None:
-        """Everything started, founded and configured."""
+        """Start all processes and wait for a leader, the configuration and ready edges."""
         self.start_all()
         if not self.world.run_until(lambda: bool(self.leader()), seconds):
             raise AssertionError("no leader")
@@ -328,7 +359,7 @@
             raise AssertionError("edges are not ready")
 
     async def operate(self, number: int, seconds: float) -> None:
-        """An operator that makes changes, races, errs, reads and purges."""
+        """Run an operator that sends valid, conflicting and invalid changes, reads and purges."""
         random = Random(f"operator {self.world.seed} {number}")
         version = 1
         until = self.world.time + seconds
@@ -337,14 +368,14 @@
             count += 1
             await self.operators.scheduler.sleep(0.3 + random.random() * 1.5)
             name = f"gen-{number}-{count}"
-            what = random.random()
-            if what < 0.5:
+            draw = random.random()
+            if draw < 0.5:
                 route = {"path": f"/{name}", "service": "pages"}
-                if what < 0.1:
+                if draw < 0.1:
                     route["service"] = "nobody"
                 change = await self.change(name, version, {"routes": {name: route}}, f"/{name}")
                 version = change.version or version
-            elif what < 0.75:
+            elif draw < 0.75:
                 started = self.world.time
                 status, answer = await self.operator("GET", "/configuration")
                 if status == 200:
@@ -356,7 +387,7 @@
                 await self.change_and_purge(target, f"purge-{name}")
 
     async def change_and_purge(self, target: str, identity: str) -> None:
-        """An object changes and is purged; kept in the notes once that was acknowledged."""
+        """Change an object and purge it; record the purge if it is acknowledged."""
         self.objects["pages"].change(target, self.world.time)
         purge = PurgeRecord(target, self.objects["pages"].revision(target))
         status, _ = await self.operator(
@@ -368,8 +399,8 @@
 
     # Callers.
 
-    async def call(self, number: int, rate: float, again: bool = False) -> None:
-        """One caller; `again` sends what failed once more at once, as an eager client does."""
+    async def call(self, number: int, rate: float, retries: bool = False) -> None:
+        """Run one caller; with `retries`, it retries failures almost at once."""
         random = Random(f"caller {self.world.seed} {number}")
         scheduler = self.outside.scheduler
         caller = Caller(scheduler, self.outside.network, random, self.request_records, 8.0)
@@ -387,48 +418,48 @@
             record = await caller.request(
                 edge, method, target, identity, key, b"body" if method == "POST" else b""
             )
-            sendings = 1
+            attempts = 1
             while (
-                again
+                retries
                 and method == "POST"
                 and record.status != 200
-                and sendings < 6
+                and attempts < 6
                 and self.callers_on
             ):
-                sendings += 1
+                attempts += 1
                 await scheduler.sleep(0.3 * random.random())
                 edges = self.ready_edges() or edges
                 edge = f"{self.node(random.choice(edges)).host}:3"
                 record = await caller.request(edge, method, target, identity, key, b"body")
-            repeats = 0
+            retry_count = 0
             while (
-                again
+                retries
                 and method == "GET"
                 and record.status not in (200, 404)
-                and repeats < 40
+                and retry_count < 40
                 and self.callers_on
             ):
-                repeats += 1
+                retry_count += 1
                 await scheduler.sleep(0.05)
                 record = await caller.request(
                     edge,
                     method,
                     target,
-                    f"{identity}r{repeats}",
-                    [(b"X-Retry-Count", b"%d" % repeats)],
+                    f"{identity}r{retry_count}",
+                    [(b"X-Retry-Count", b"%d" % retry_count)],
                 )
         caller.close()
 
     def poll_readiness(self) -> None:
-        """From now on readiness is what the platform finds by asking, over the network."""
+        """Poll the edges' readiness over the network, as the platform does, from now on."""
         self.polled_ready = set(self.edges)
         for name in self.edges:
             self.platform_node.scheduler.create_task(
-                self.ask_ready(name), name=f"readiness of {name}"
+                self.poll_edge_readiness(name), name=f"readiness of {name}"
             )
 
-    async def ask_ready(self, name: str) -> None:
-        """Ask one edge again and again whether it is ready, as the platform does."""
+    async def poll_edge_readiness(self, name: str) -> None:
+        """Poll the readiness of one edge, as the platform does."""
         ready = self.polled_ready
         assert ready is not None
         scheduler = self.platform_node.scheduler
@@ -443,12 +474,12 @@
                 b"",
                 1.0,
             )
-            fine = found.is_ok() and found.ok[0].status == 200
-            (ready.add if fine else ready.discard)(name)
+            is_ready = found.is_ok() and found.ok[0].status == 200
+            (ready.add if is_ready else ready.discard)(name)
             await scheduler.sleep(0.25)
 
     def ready_edges(self) -> list[str]:
-        """What the platform would hand callers: edges that say they are ready."""
+        """Return the edges that report ready, to which the platform sends callers."""
         if self.polled_ready is not None:
             return sorted(self.polled_ready)
         return [
@@ -468,18 +499,18 @@
             return "GET", f"/lookups/{random.randrange(50)}"
         if draw < 0.9:
             return "POST", f"/orders/{random.randrange(1000)}"
-        asked = [change.marker_path for change in self.changes if change.marker_path]
-        return "GET", random.choice(asked) if asked else "/nothing"
+        marker_paths = [change.marker_path for change in self.changes if change.marker_path]
+        return "GET", random.choice(marker_paths) if marker_paths else "/nothing"
 
-    def start_callers(self, count: int = 12, rate: float = 3.0, again: int = 4) -> None:
-        """Start callers; the first `again` of them repeat what failed."""
+    def start_callers(self, count: int = 12, rate: float = 3.0, retrying: int = 4) -> None:
+        """Start `count` callers at `rate` per second each; the first `retrying` retry failures."""
         for number in range(count):
             self.outside.scheduler.create_task(
-                self.call(number, rate, number < again), name=f"caller {number}"
+                self.call(number, rate, number < retrying), name=f"caller {number}"
             )
 
     async def watch_verdicts(self) -> None:
-        """Notes every down verdict that the record shows, with its evidence."""
+        """Record every down verdict in the replicated state, with its evidence."""
         seen: set[tuple[str, int]] = set()
         while True:
             await self.operators.scheduler.sleep(0.1)
@@ -499,7 +530,10 @@
                         )
 
     def served_since(self, since: float) -> Callable[[], bool]:
-        """Whether every edge that is not drained has answered with a whole 200 since a moment."""
+        """Return a condition that holds once every undrained edge has served since a time.
+
+        Each such edge must have given a complete 200, and one must have been to a POST.
+        """
 
         def done() -> bool:
             edges = {
@@ -507,7 +541,7 @@
                 for name in self.alive(self.edges)
                 if self.node(name).traffic.readiness.not_ready_reason not in DRAINED_REASONS
             }
-            fine = {
+            served = {
                 record.edge
                 for record in self.request_records
                 if record.sent_at >= since and record.status == 200 and record.complete
@@ -516,12 +550,12 @@
                 record.sent_at >= since and record.status == 200 and record.method == "POST"
                 for record in self.request_records
             )
-            return bool(edges) and edges <= fine and posted
+            return bool(edges) and edges <= served and posted
 
         return done
 
     def clear_faults(self) -> None:
-        """The end of all faults: everything that was killed is started, every path healed."""
+        """End all faults: heal the network, restart processes, restore disks and servers."""
         self.world.heal()
         for name in self.cores:
             folder = self.node(name).folder
@@ -535,8 +569,8 @@
             server.behavior = ServerBehavior.SOUND
             server.delay = 0.0
 
-    def probed(self) -> list[ProbeRecord]:
-        """Return all probes that the probers have kept."""
+    def probe_records(self) -> list[ProbeRecord]:
+        """Return the probes that all probers have stored."""
         return [
             ProbeRecord(
                 row.started_at - node.clock.zero,
@@ -552,7 +586,7 @@
         ]
 
     def findings(self) -> Findings:
-        """Check all rules against the notes of callers and the histories of servers."""
+        """Check all invariants over the records of callers and the histories of servers."""
         found = Findings()
         check_at_most_once(found, self.request_records, self.history)
         check_bytes(found, self.request_records, self.objects, SERVICE_OF)
@@ -563,7 +597,9 @@
         check_changes(found, self.request_records, self.changes, self.reads)
         check_purges(found, self.request_records, self.purges)
         check_lifetimes(found, self.request_records, self.objects["pages"], LIFETIME_SECONDS)
-        check_down_verdicts(found, self.downs, self.probed(), late=self.max_evaluation_seconds)
+        check_down_verdicts(
+            found, self.downs, self.probe_records(), late=self.max_evaluation_seconds
+        )
         for fault in self.world.faults:
             found.add_violation("faults", fault)
         return found
--- a/packages/testing/ryelock/testing/schedules.py
+++ b/packages/testing/ryelock/testing/schedules.py
@@ -1,30 +1,30 @@
-"""Random schedules of faults, by seed: a fleet under traffic, faults, mending, and a verdict.
+"""Random schedules of faults, by seed, against a simulated fleet under traffic.
 
-Each fault is an action on a scenario. A schedule draws some of them, at times of its own,
-then everything is mended, and service must be back within 15 s. What a run came to is its
-findings; a failing seed is run again by `python -m ryelock.testing simulate --seed N`.
+A schedule draws faults, which are actions on a scenario, and their times. After the last fault
+everything is repaired, and service must recover within `RETURN_SECONDS`. A run results in
+findings; `python -m ryelock.testing simulate --seed N` repeats a failing seed.
 """
 
 from collections.abc import Callable
 from random import Random
 
-from ryelock.testing.checks import Findings, false_downs
+from ryelock.testing.checks import Findings, count_false_downs
 from ryelock.testing.scenario import Scenario
 from ryelock.testing.stand_ins.servers import ServerBehavior
 
 RETURN_SECONDS = 15.0
 UNSOUND = [behavior for behavior in ServerBehavior if behavior is not ServerBehavior.SOUND]
-"""In the order of the enum: a seed draws by position."""
+"""In the order of the enum, since a seed draws by position."""
 Fault = Callable[[Scenario, Random], str]
 
 
 def choose_or_empty(random: Random, names: list[str]) -> str:
-    """Draw one of some names; empty where there are none."""
+    """Draw one of the names; return an empty string if there are none."""
     return random.choice(names) if names else ""
 
 
 def kill_core(scenario: Scenario, random: Random) -> str:
-    """Kill a control node and start it again."""
+    """Kill a control node and restart it."""
     name = choose_or_empty(random, scenario.alive(scenario.cores))
     if name:
         scenario.world.kill(name)
@@ -33,7 +33,7 @@
 
 
 def power_core(scenario: Scenario, random: Random) -> str:
-    """Cut a control node's power and start it again."""
+    """Cut a control node's power and restart it."""
     name = choose_or_empty(random, scenario.alive(scenario.cores))
     if name:
         scenario.world.kill(name, True)
@@ -42,7 +42,7 @@
 
 
 def empty_core(scenario: Scenario, random: Random) -> str:
-    """One disk lost; never while another core is away, so a majority of disks is left."""
+    """Lose the disk of a control node; only while all others run, so that a majority is left."""
     if len(scenario.alive(scenario.cores)) < len(scenario.cores):
         return "nothing"
     if not voters_caught_up(scenario):
@@ -54,7 +54,7 @@
 
 
 def voters_caught_up(scenario: Scenario) -> bool:
-    """Whether every core is a voter that has caught up."""
+    """Return True if every control node is a voter that has caught up."""
     leader = scenario.leader()
     if not leader:
         return False
@@ -72,7 +72,7 @@
 
 
 def kill_edge(scenario: Scenario, random: Random) -> str:
-    """Kill an edge, perhaps with its power, and start it again."""
+    """Kill an edge, perhaps with a power loss, and restart it."""
     name = choose_or_empty(random, scenario.alive(scenario.edges))
     if name:
         scenario.world.kill(name, random.random() < 0.5)
@@ -81,7 +81,7 @@
 
 
 def kill_prober(scenario: Scenario, random: Random) -> str:
-    """Kill a prober and start it again."""
+    """Kill a prober and restart it."""
     name = choose_or_empty(random, scenario.alive(scenario.probers))
     if name:
         scenario.world.kill(name)
@@ -90,7 +90,7 @@
 
 
 def all_cores(scenario: Scenario, random: Random) -> str:
-    """Kill all control nodes at once, or cut their power, and start them again."""
+    """Kill all control nodes at once, or cut their power, and restart them."""
     power = random.random() < 0.5
     for name in scenario.alive(scenario.cores):
         scenario.world.kill(name, power)
@@ -104,7 +104,7 @@
 
 
 def isolate(scenario: Scenario, random: Random) -> str:
-    """Cut one machine off from all others for some seconds."""
+    """Partition one machine from all others for some seconds."""
     name = choose_or_empty(random, [*scenario.cores, *scenario.edges, *scenario.probers])
     scenario.world.isolate(name)
     scenario.world.later(0.5 + random.random() * 4, scenario.world.heal)
@@ -112,28 +112,28 @@
 
 
 def split_cores(scenario: Scenario, random: Random) -> str:
-    """Cut one control node off from the other ones for some seconds, perhaps one way only."""
-    one = choose_or_empty(random, scenario.cores)
+    """Partition one control node from the others for some seconds, perhaps one way only."""
+    name = choose_or_empty(random, scenario.cores)
     both = random.random() < 0.5
     for other in scenario.cores:
-        if other != one:
-            scenario.world.cut(one, other, both)
+        if other != name:
+            scenario.world.cut(name, other, both)
     scenario.world.later(0.5 + random.random() * 4, scenario.world.heal)
-    return f"split {one} from other cores, both ways {both}"
+    return f"split {name} from other cores, both ways {both}"
 
 
 def scatter_cores(scenario: Scenario, random: Random) -> str:
-    """Cut all control nodes off from each other for some seconds."""
-    for one in scenario.cores:
+    """Partition all control nodes from each other for some seconds."""
+    for first in scenario.cores:
         for other in scenario.cores:
-            if one < other:
-                scenario.world.cut(one, other)
+            if first < other:
+                scenario.world.cut(first, other)
     scenario.world.later(1 + random.random() * 4, scenario.world.heal)
     return "every core alone"
 
 
 def cut_edge(scenario: Scenario, random: Random) -> str:
-    """Cut an edge off from each control node, both ways or one way."""
+    """Partition an edge from each control node, both ways or one way."""
     name = choose_or_empty(random, scenario.edges)
     for core in scenario.cores:
         scenario.world.cut(name, core, random.random() < 0.5)
@@ -142,7 +142,7 @@
 
 
 def freeze(scenario: Scenario, random: Random) -> str:
-    """Freeze a control node or an edge for some seconds."""
+    """Pause a control node or an edge for some seconds."""
     name = choose_or_empty(random, scenario.alive([*scenario.cores, *scenario.edges]))
     if name:
         scenario.world.freeze(name, True)
@@ -151,22 +151,22 @@
 
 
 def mean_server(scenario: Scenario, random: Random) -> str:
-    """Let a server treat requests badly for some seconds."""
+    """Make a server misbehave for some seconds."""
     servers = [
         server for name, server in scenario.servers.items() if scenario.world.nodes[name].alive
     ]
     server = random.choice(servers)
     server.behavior = random.choice(UNSOUND)
 
-    def mend() -> None:
+    def restore() -> None:
         server.behavior = ServerBehavior.SOUND
 
-    scenario.world.later(1 + random.random() * 4, mend)
+    scenario.world.later(1 + random.random() * 4, restore)
     return f"{server.service} {server.address} is {server.behavior}"
 
 
-def staying(scenario: Scenario) -> list[str]:
-    """Servers that run and are listed as staying, while another of their service is, too."""
+def replaceable_servers(scenario: Scenario) -> list[str]:
+    """Return running servers, not listed as leaving, whose service has another such server."""
     listed = scenario.platform.servers
     found = sorted(
         name
@@ -179,8 +179,8 @@
 
 
 def crash_server(scenario: Scenario, random: Random) -> str:
-    """A server vanishes; another of the same service comes up elsewhere."""
-    name = choose_or_empty(random, staying(scenario))
+    """Kill a server; another of the same service starts at a new address."""
+    name = choose_or_empty(random, replaceable_servers(scenario))
     if not name:
         return "nothing"
     server = scenario.servers[name]
@@ -188,17 +188,17 @@
     scenario.world.kill(name, random.random() < 0.3)
     service, address = server.service, server.address
 
-    def again() -> None:
+    def replace() -> None:
         scenario.platform.hide(address)
         scenario.add_server(service, random.choice(scenario.zones), f"again-{name}", 2)
 
-    scenario.world.later(0.5 + random.random() * 2, again)
+    scenario.world.later(0.5 + random.random() * 2, replace)
     return f"{service} {address} crashed"
 
 
 def hand_address(scenario: Scenario, random: Random) -> str:
-    """A server leaves in order, and its address goes to the other service."""
-    name = choose_or_empty(random, staying(scenario))
+    """Remove a server gracefully and give its address to the other service."""
+    name = choose_or_empty(random, replaceable_servers(scenario))
     if not name:
         return "nothing"
     server = scenario.servers[name]
@@ -207,7 +207,7 @@
     zone = str(scenario.platform.servers.get(address, {}).get("zone", scenario.zones[0]))
     scenario.platform.show(service, address, zone, 1, leaving=True)
 
-    def hand() -> None:
+    def reassign() -> None:
         server.close()
         scenario.world.kill(name)
         scenario.platform.hide(address)
@@ -216,42 +216,42 @@
     def refill() -> None:
         scenario.add_server(service, zone, f"refill-{name}", 1)
 
-    scenario.world.later(2.5, hand)
+    scenario.world.later(2.5, reassign)
     scenario.world.later(0.5, refill)
     return f"{address} goes from {service} to {other}"
 
 
 def silent_platform(scenario: Scenario, random: Random) -> str:
-    """Let the platform say nothing for some seconds."""
+    """Stop the platform's answers for some seconds."""
     scenario.platform.silent = True
 
-    def speak() -> None:
+    def resume() -> None:
         scenario.platform.silent = False
 
-    scenario.world.later(0.5 + random.random() * 3, speak)
+    scenario.world.later(0.5 + random.random() * 3, resume)
     return "the platform is silent"
 
 
 def wrong_clocks(scenario: Scenario, random: Random) -> str:
-    """Set the time of day of some machines wrong."""
+    """Set wrong wall clocks on some machines."""
     for name in [*scenario.cores, *scenario.edges, *scenario.probers]:
         scenario.node(name).clock.error = random.choice([0.0, 300.0, -300.0, 4000.0])
     return "wall clocks are wrong"
 
 
 def slow_network(scenario: Scenario, random: Random) -> str:
-    """Let many messages take long for some seconds."""
+    """Delay many messages for some seconds."""
     scenario.world.spikes = 0.15
 
-    def calm() -> None:
+    def restore() -> None:
         scenario.world.spikes = 0.005
 
-    scenario.world.later(1 + random.random() * 3, calm)
+    scenario.world.later(1 + random.random() * 3, restore)
     return "a slow network"
 
 
 def planned_stop(scenario: Scenario, random: Random) -> str:
-    """A process is stopped with a warning, and started again once it has left."""
+    """Stop a process gracefully and restart it once it has result."""
     name = choose_or_empty(
         random, scenario.alive([*scenario.cores, *scenario.edges, *scenario.probers])
     )
@@ -259,21 +259,21 @@
         return "nothing"
     node = scenario.node(name)
 
-    def again() -> None:
+    def restart() -> None:
         scenario.world.kill(name)
         scenario.world.later(0.3, lambda: scenario.start(name))
 
-    async def whole() -> None:
+    async def stop() -> None:
         assert node.inner is not None
         await node.inner.stop()
-        scenario.world.later(0.01, again)
+        scenario.world.later(0.01, restart)
 
-    node.scheduler.create_task(whole(), name="planned stop")
+    node.scheduler.create_task(stop(), name="planned stop")
     return f"planned stop of {name}"
 
 
 def kill_many(scenario: Scenario, random: Random, names: list[str]) -> None:
-    """Kill several processes at once and start each again."""
+    """Kill several processes at once and restart each."""
     for name in scenario.alive(names):
         scenario.world.kill(name, random.random() < 0.5)
         scenario.world.later(
@@ -286,13 +286,13 @@
 
 def whole_zone(scenario: Scenario, random: Random) -> str:
     """Kill all processes of a zone at once."""
-    place = random.choice(scenario.zones)
+    zone = random.choice(scenario.zones)
     kill_many(
         scenario,
         random,
-        [name for name, (_, plain) in scenario.plans.items() if plain["zone"] == place],
+        [name for name, (_, plain) in scenario.plans.items() if plain["zone"] == zone],
     )
-    return f"all of {place} killed"
+    return f"all of {zone} killed"
 
 
 def several_edges(scenario: Scenario, random: Random) -> str:
@@ -303,7 +303,7 @@
 
 
 def freeze_prober(scenario: Scenario, random: Random) -> str:
-    """Freeze a prober for some seconds."""
+    """Pause a prober for some seconds."""
     name = choose_or_empty(random, scenario.alive(scenario.probers))
     if name:
         scenario.world.freeze(name, True)
@@ -312,14 +312,14 @@
 
 
 def cut_one_way(scenario: Scenario, random: Random) -> str:
-    """An edge or a prober hears nothing, or is not heard, by anyone."""
+    """Drop all messages to or from an edge or a prober for some seconds."""
     name = random.choice([*scenario.edges, *scenario.probers])
-    heard = random.random() < 0.5
+    sending = random.random() < 0.5
     for other in scenario.plans:
         if other != name:
-            scenario.world.cut(*((name, other) if heard else (other, name)), False)
+            scenario.world.cut(*((name, other) if sending else (other, name)), False)
     scenario.world.later(0.5 + random.random() * 4, scenario.world.heal)
-    return f"{name} is cut one way, sending {heard}"
+    return f"{name} is cut one way, sending {sending}"
 
 
 def full_disk(scenario: Scenario, random: Random) -> str:
@@ -330,15 +330,15 @@
         return "nothing"
     folder.full = True
 
-    def room() -> None:
+    def free_space() -> None:
         folder.full = False
 
-    scenario.world.later(0.5 + random.random() * 3, room)
+    scenario.world.later(0.5 + random.random() * 3, free_space)
     return f"the disk of {name} is full"
 
 
 def damaged_tail(scenario: Scenario, random: Random) -> str:
-    """Power goes in the middle of a write: bytes of no record behind the last one."""
+    """Cut a control node's power and append a torn write behind its journal's last record."""
     name = choose_or_empty(random, scenario.alive(scenario.cores))
     if not name or not voters_caught_up(scenario):
         return "nothing"
@@ -355,22 +355,22 @@
 
 
 def core_elsewhere(scenario: Scenario, random: Random) -> str:
-    """A core machine is gone for good; an empty one takes its place at another address."""
+    """Remove a control node for good; an empty one at a new address replaces it."""
     if len(scenario.alive(scenario.cores)) < len(scenario.cores) or not voters_caught_up(scenario):
         return "nothing"
     name = random.choice(scenario.cores)
-    place = str(scenario.plans[name][1]["zone"])
+    zone = str(scenario.plans[name][1]["zone"])
     scenario.world.kill(name, True)
     scenario.cores.remove(name)
     del scenario.plans[name]
-    fresh = scenario.plan("core", f"core-{len(scenario.world.nodes)}", place)
+    fresh = scenario.plan("core", f"core-{len(scenario.world.nodes)}", zone)
     scenario.cores.append(fresh)
     scenario.world.later(0.5 + random.random() * 2, lambda: scenario.start(fresh))
     return f"{name} is gone, {fresh} comes empty at {scenario.node(fresh).host}"
 
 
 def new_edge(scenario: Scenario, random: Random) -> str:
-    """Let a new edge join."""
+    """Add an edge."""
     name = scenario.plan("edge", f"edge-{len(scenario.world.nodes)}", random.choice(scenario.zones))
     scenario.edges.append(name)
     scenario.start(name)
@@ -378,11 +378,11 @@
 
 
 def drain_and_recover(scenario: Scenario, random: Random) -> str:
-    """Drain an edge or a zone and take that back after a while."""
-    target = random.choice([*scenario.edges, *(f"zone:{place}" for place in scenario.zones)])
+    """Drain an edge or a zone and recover it after a while."""
+    target = random.choice([*scenario.edges, *(f"zone:{zone}" for zone in scenario.zones)])
     number = len(scenario.world.events) + scenario.world.points
 
-    async def whole() -> None:
+    async def run_drain() -> None:
         await scenario.operator("POST", "/drains", {"id": f"drain-{number}", "target": target})
         await scenario.operators.scheduler.sleep(0.5 + 3 * random.random())
         for turn in range(20):
@@ -395,7 +395,7 @@
                 return
             await scenario.operators.scheduler.sleep(0.5)
 
-    scenario.operators.scheduler.create_task(whole(), name="drains")
+    scenario.operators.scheduler.create_task(run_drain(), name="drains")
     return f"{target} is drained for a while"
 
 
@@ -403,22 +403,22 @@
     """Purge objects in quick succession."""
     number = scenario.world.points
 
-    async def whole(turn: int) -> None:
+    async def purge_objects(turn: int) -> None:
         for count in range(6):
             await scenario.change_and_purge(
                 f"/covers/{(turn + count) % 8}", f"flood-{number}-{turn}-{count}"
             )
 
     for turn in range(4):
-        scenario.operators.scheduler.create_task(whole(turn), name="flood")
+        scenario.operators.scheduler.create_task(purge_objects(turn), name="flood")
     return "a flood of purges"
 
 
 def many_routes(scenario: Scenario, random: Random) -> str:
-    """Changes in quick succession, each growing by hundreds of routes."""
+    """Send changes in quick succession, each adding hundreds of routes."""
     number = scenario.world.points
 
-    async def whole() -> None:
+    async def add_routes() -> None:
         base = max((change.version for change in scenario.changes), default=1)
         for turn in range(3):
             name = f"gen-many-{number}-{turn}"
@@ -430,14 +430,14 @@
             change = await scenario.change(name, base, {"routes": routes}, f"/{name}")
             base = change.version or base
 
-    scenario.operators.scheduler.create_task(whole(), name="many routes")
+    scenario.operators.scheduler.create_task(add_routes(), name="many routes")
     return "changes of hundreds of routes"
 
 
 def hang_ups(scenario: Scenario, random: Random) -> str:
-    """Callers that leave in the middle: of their order, of its answer, or having read nothing."""
+    """Abort connections during the request, during the answer, or before reading any of it."""
 
-    async def whole(turn: int) -> None:
+    async def abort_request(turn: int) -> None:
         edges = scenario.ready_edges()
         if not edges:
             return
@@ -455,7 +455,7 @@
 
     number = scenario.world.points
     for turn in range(20):
-        scenario.outside.scheduler.create_task(whole(turn), name="hangs up")
+        scenario.outside.scheduler.create_task(abort_request(turn), name="hangs up")
     return "callers hang up"
 
 
@@ -494,36 +494,51 @@
 
 
 class ScheduleResult:
-    """What a schedule came to."""
+    """Result of one schedule.
+
+    Attributes:
+        scenario: fleet of the run.
+        findings: what the checkers found.
+        events: time and description of each fault.
+        recovery_seconds: time from the repair to service; None if it did not recover.
+        digest: digest of the simulated world.
+        fault_counts: injected faults by the name of their function.
+        false_downs: down verdicts of zones that served callers well.
+    """
 
     __slots__ = (
-        "back_after",
-        "counts",
         "digest",
+        "events",
         "false_downs",
+        "fault_counts",
         "findings",
-        "happened",
+        "recovery_seconds",
         "scenario",
     )
 
     def __init__(
-        self, scenario: Scenario, findings: Findings, happened: list[str], back_after: float | None
+        self,
+        scenario: Scenario,
+        findings: Findings,
+        events: list[str],
+        recovery_seconds: float | None,
     ) -> None:
-        """Note a run: its scenario, what was found, what happened, and seconds until it served."""
+        """Create the result of a run that has result."""
         self.scenario = scenario
         self.findings = findings
-        self.happened = happened
-        self.back_after = back_after
+        self.events = events
+        self.recovery_seconds = recovery_seconds
         self.digest = scenario.world.digest()
-        self.counts: dict[str, int] = {}
-        self.false_downs = false_downs(
+        self.fault_counts: dict[str, int] = {}
+        self.false_downs = count_false_downs(
             scenario.downs,
             scenario.request_records,
             {name: f"{scenario.node(name).host}:3" for name in scenario.edges},
         )
 
 
-# Cores, zones, edges and probers a zone: the quick start's size, and the two deployments'.
+# Control nodes (0: drawn by seed), zones, and edges and probers per zone, of the quick start and
+# of the two deployments.
 SIZES = {"small": (0, 2, 2, 2), "buchfalter": (6, 4, 3, 2), "wanjiru": (5, 3, 3, 2)}
 
 
@@ -534,7 +549,15 @@
     pool: tuple[Fault, ...] = FAULTS,
     size: str = "small",
 ) -> ScheduleResult:
-    """One schedule from founding to the return after the last fault."""
+    """Run one schedule, from the bootstrap to the recovery after the last fault.
+
+    Args:
+        seed: seed of the run.
+        faults: number of faults to draw.
+        seconds: length of the run before the repair.
+        pool: faults to draw from.
+        size: key of `SIZES`.
+    """
     random = Random(f"schedule {seed}")
     drawn = random.choice([3, 3, 5])
     cores, zones, edges, probers = SIZES[size]
@@ -555,37 +578,37 @@
         scenario.operators.scheduler.create_task(
             scenario.operate(number, seconds + 5), name="operator"
         )
-    happened: list[str] = []
-    counts: dict[str, int] = {}
+    events: list[str] = []
+    fault_counts: dict[str, int] = {}
     start = scenario.world.time
     moments = sorted(start + 1 + random.random() * (seconds - 6) for _ in range(faults))
     for moment in moments:
         scenario.world.run(max(0.0, moment - scenario.world.time))
         fault = random.choice(pool)
-        said = fault(scenario, random)
-        if said != "nothing":
-            counts[fault.__name__] = counts.get(fault.__name__, 0) + 1
-        happened.append(f"{scenario.world.time:.2f} {said}")
+        description = fault(scenario, random)
+        if description != "nothing":
+            fault_counts[fault.__name__] = fault_counts.get(fault.__name__, 0) + 1
+        events.append(f"{scenario.world.time:.2f} {description}")
     scenario.world.run(max(0.0, start + seconds - scenario.world.time))
     scenario.clear_faults()
-    mended = scenario.world.time
-    back = scenario.world.run_until(scenario.served_since(mended), RETURN_SECONDS + 10)
-    back_after = scenario.world.time - mended if back else None
+    repaired_at = scenario.world.time
+    recovered = scenario.world.run_until(scenario.served_since(repaired_at), RETURN_SECONDS + 10)
+    recovery_seconds = scenario.world.time - repaired_at if recovered else None
     scenario.world.run(3.0)
     findings = scenario.findings()
     findings.count_check("return")
-    if back_after is None or back_after > RETURN_SECONDS:
-        findings.add_violation("return", f"service was not back: {back_after}")
+    if recovery_seconds is None or recovery_seconds > RETURN_SECONDS:
+        findings.add_violation("return", f"service was not back: {recovery_seconds}")
     check_final_configuration(scenario, findings)
-    ended = ScheduleResult(scenario, findings, happened, back_after)
-    ended.counts = counts
-    return ended
+    result = ScheduleResult(scenario, findings, events, recovery_seconds)
+    result.fault_counts = fault_counts
+    return result
 
 
 def check_final_configuration(scenario: Scenario, findings: Findings) -> None:
-    """The last read, through any node, has the newest acknowledged change."""
-    told = [change for change in scenario.changes if change.status == 200]
-    newest = max((change.version for change in told), default=0)
+    """Check that a final read has every acknowledged change and no rejected one."""
+    accepted = [change for change in scenario.changes if change.status == 200]
+    newest = max((change.version for change in accepted), default=0)
     status, answer = scenario.ask_now("GET", "/configuration")
     version = answer.get("version")
     findings.count_check("end of day")
@@ -597,8 +620,8 @@
     for change in scenario.changes:
         if not change.marker_path or not isinstance(routes, dict):
             continue
-        there = change.identity in routes
-        if change in told and not there:
+        present = change.identity in routes
+        if change in accepted and not present:
             findings.add_violation("end of day", f"{change.identity} is missing")
-        if change.status in (409, 422) and there:
+        if change.status in (409, 422) and present:
             findings.add_violation("end of day", f"{change.identity} took effect")
--- a/tests/control_plane/test_finals.py
+++ b/tests/control_plane/test_finals.py
@@ -108,7 +108,7 @@
 def make_test(name: str, number: int) -> Callable[[FinalTests], None]:
     def test(case: FinalTests) -> None:
         result = run_final(1 + number % 3, name, before=number % 2)
-        case.assertEqual([], result.findings.violations, f"{name}: {result.happened}")
+        case.assertEqual([], result.findings.violations, f"{name}: {result.events}")
         case.assertGreater(result.findings.checked["final"], 0)
 
     return test
--- a/tests/health/test_health.py
+++ b/tests/health/test_health.py
@@ -383,7 +383,7 @@
         scenario.world.run(25)
         self.assert_no_violations(scenario)
         self.assertEqual([], scenario.downs)
-        return sum(probe.failed and probe.at >= since for probe in scenario.probed())
+        return sum(probe.failed and probe.at >= since for probe in scenario.probe_records())
 
     def test_probes_take_precedence_under_overload(self) -> None:
         failed = sum(self.failed_probes_under_overload(seed) for seed in (1, 2, 3))
--- a/tests/project/test_checked.py
+++ b/tests/project/test_checked.py
@@ -374,7 +374,7 @@
 def schedule_holds(seed: int) -> Callable[[ScheduleTests], None]:
     def test(case: ScheduleTests) -> None:
         ended = run_schedule(seed)
-        case.assertEqual([], ended.findings.violations, f"seed {seed}: {ended.happened}")
+        case.assertEqual([], ended.findings.violations, f"seed {seed}: {ended.events}")
 
     return test
 
