--- a/packages/testing/ryelock/testing/cases/answers.py
+++ b/packages/testing/ryelock/testing/cases/answers.py
@@ -204,11 +204,11 @@
     return RequestTrace(fleet, kind, name, target, fleet.ask_now(name, method, target, more))
 
 
-def warm_up(fleet: AnswerFleet, stem: str) -> None:
+def warm_up(fleet: AnswerFleet, prefix: str) -> None:
     """Send concurrent requests until the edge holds an idle connection to every server."""
     for turn in range(MAX_WARM_UP_ROUNDS):
         for number in range(WARM_UP_REQUESTS):
-            name = f"{stem}-warm_up{turn}-{number}"
+            name = f"{prefix}-warm{turn}-{number}"
             fleet.outside.scheduler.create_task(send_ignoring_answer(fleet, name), name="warm")
         fleet.world.run(SETTLE_SECONDS)
         if all(
@@ -223,15 +223,15 @@
     await fleet.ask(name, "GET", f"/plain/{name}")
 
 
-def run_cell(fleet: AnswerFleet, cell: Cell, stem: str) -> Outcome:
-    """Run one cell; `stem` prefixes the names of its requests."""
+def run_cell(fleet: AnswerFleet, cell: Cell, prefix: str) -> Outcome:
+    """Run one cell; the names of its requests start with `prefix`."""
     fleet.script = None
     fleet.forget()
     fleet.world.run(SETTLE_SECONDS)
-    name = f"{stem}-first"
+    name = f"{prefix}-first"
     script = Script(name, cell.moment, cell.event)
     if cell.moment is not Moment.OPENING:
-        warm_up(fleet, stem)
+        warm_up(fleet, prefix)
     if cell.moment is Moment.IDLE:
         script.done = True
         for server in fleet.servers:
@@ -239,7 +239,7 @@
         fleet.world.run(SETTLE_SECONDS)
     fleet.script = script
     first = trace_request(fleet, cell.kind, name)
-    following = trace_request(fleet, cell.kind, f"{stem}-next")
+    following = trace_request(fleet, cell.kind, f"{prefix}-next")
     fleet.world.run(LATE_SECONDS + 0.3 if cell.event is Event.LATE else SETTLE_SECONDS)
     fleet.script = None
     return Outcome(
@@ -346,5 +346,5 @@
     fleet.world.run(2.0)
     for number in range(SILENT_REQUESTS):
         if len(fleet.arrivals(f"swallowed{number}")) > 1:
-            lost.append(f"asks: check_hung_owner{number} was sent again by the edge that hung")
+            lost.append(f"asks: swallowed{number} was sent again by the edge that hung")
     return lost
--- a/packages/testing/ryelock/testing/cases/catch_up.py
+++ b/packages/testing/ryelock/testing/cases/catch_up.py
@@ -121,7 +121,7 @@
         return caught_up
 
     def run_case(self) -> Findings:
-        """Run the whole case."""
+        """Run the case."""
         scenario = self.scenario
         scenario.set_up()
         scenario.operators.scheduler.create_task(self.writer.write(), name="writer")
--- a/packages/testing/ryelock/testing/cases/control.py
+++ b/packages/testing/ryelock/testing/cases/control.py
@@ -171,11 +171,11 @@
 
 def isolate_and_check(seed: int, leading: bool) -> Findings:
     """Isolate one control node in a way chosen by the seed and check its answers."""
-    ways = sorted(ISOLATIONS)
-    return run_isolation(seed, leading, ways[seed % len(ways)]).findings
+    kinds = sorted(ISOLATIONS)
+    return run_isolation(seed, leading, kinds[seed % len(kinds)]).findings
 
 
-def run_isolation(seed: int, leading: bool, way: str) -> IsolationResult:
+def run_isolation(seed: int, leading: bool, kind: str) -> IsolationResult:
     """Isolate the leader or a follower in one way under load, then reconnect it."""
     scenario = Scenario(seed, edges=1, probers=1)
     scenario.set_up()
@@ -187,32 +187,32 @@
     stale_base = scenario.node(name).core.replicated_state.version
     clients = IsolatedClients(name, scenario.edges[0])
     in_flight_statuses = send_in_flight_change(scenario, name, stale_base)
-    ISOLATIONS[way](scenario, name)
-    cut_at = scenario.world.time
+    ISOLATIONS[kind](scenario, name)
+    isolated_at = scenario.world.time
     scenario.operators.scheduler.create_task(
         send_to_isolated(scenario, clients, stale_base), name="asks"
     )
     scenario.operators.scheduler.create_task(renew_with_isolated(scenario, clients), name="renews")
     failover_seconds = await_new_leader(scenario, others, found)
     majority_change = change_through_majority(scenario, others, clients.drained, found)
-    scenario.world.run(cut_at + ISOLATION_SECONDS - scenario.world.time)
+    scenario.world.run(isolated_at + ISOLATION_SECONDS - scenario.world.time)
     term = scenario.node(others[0]).core.consensus.term
     clients.running = False
     reconnect(scenario, name)
     healed_at = scenario.world.time
-    check_return(scenario, name, term, found, way)
+    check_return(scenario, name, term, found, kind)
     return_seconds = scenario.world.time - healed_at
     scenario.world.run(12)
-    check_isolated_answers(clients, cut_at, healed_at, found, way)
+    check_isolated_answers(clients, isolated_at, healed_at, found, kind)
     if majority_change is not None:
-        check_isolated_rejections(clients, majority_change, healed_at, found, way)
-        check_stale_recoveries(clients, majority_change, found, way)
-        check_isolated_renewals(clients, majority_change, found, way)
+        check_isolated_rejections(clients, majority_change, healed_at, found, kind)
+        check_stale_recoveries(clients, majority_change, found, kind)
+        check_isolated_renewals(clients, majority_change, found, kind)
     check_in_flight_change(scenario, in_flight_statuses, majority_change is not None, found)
     answers = [
         request.answered_at - request.sent_at
         for request in clients.answers
-        if cut_at < request.sent_at and request.answered_at < healed_at
+        if isolated_at < request.sent_at and request.answered_at < healed_at
     ]
     return IsolationResult(found, failover_seconds, max(answers, default=0.0), return_seconds)
 
@@ -222,10 +222,10 @@
     started = scenario.world.time
     found.count_check("succession")
 
-    def led() -> bool:
+    def has_leader() -> bool:
         return any(scenario.node(other).core.consensus.leader_ready for other in others)
 
-    if not scenario.world.run_until(led, FAILOVER_SECONDS):
+    if not scenario.world.run_until(has_leader, FAILOVER_SECONDS):
         found.add_violation("succession", f"no leader {FAILOVER_SECONDS} s after the isolation")
     return scenario.world.time - started
 
@@ -338,20 +338,22 @@
 
 
 def check_isolated_answers(
-    clients: IsolatedClients, cut_at: float, healed_at: float, found: Findings, way: str
+    clients: IsolatedClients, isolated_at: float, healed_at: float, found: Findings, kind: str
 ) -> None:
     """Check that no request succeeds without a majority and none waits too long."""
     for request in clients.answers:
-        if request.sent_at <= cut_at or request.answered_at >= healed_at:
+        if request.sent_at <= isolated_at or request.answered_at >= healed_at:
             continue
-        place = f"{way}: {request.method} {request.target} at {request.sent_at - cut_at:.2f} s"
+        request_text = (
+            f"{kind}: {request.method} {request.target} at {request.sent_at - isolated_at:.2f} s"
+        )
         found.count_check("isolated answers")
         if request.status == OK:
-            found.add_violation("isolated answers", f"{place} was served")
+            found.add_violation("isolated answers", f"{request_text} was served")
         found.count_check("bounded answers")
         seconds = request.answered_at - request.sent_at
         if seconds > MAX_ANSWER_SECONDS:
-            found.add_violation("bounded answers", f"{place} took {seconds:.1f} s")
+            found.add_violation("bounded answers", f"{request_text} took {seconds:.1f} s")
 
 
 def check_isolated_rejections(
@@ -359,7 +361,7 @@
     majority_change: MajorityChange,
     healed_at: float,
     found: Findings,
-    way: str,
+    kind: str,
 ) -> None:
     """Check that a node without a majority rejects no request for good."""
     for request in clients.answers:
@@ -370,19 +372,19 @@
             after = request.sent_at - majority_change.acknowledged_at
             found.add_violation(
                 "isolated refusals",
-                f"{way}: {request.target} refused ({request.status}) {after:.2f} s after",
+                f"{kind}: {request.target} refused ({request.status}) {after:.2f} s after",
             )
 
 
 def check_stale_recoveries(
-    clients: IsolatedClients, majority_change: MajorityChange, found: Findings, way: str
+    clients: IsolatedClients, majority_change: MajorityChange, found: Findings, kind: str
 ) -> None:
     """Check that no recovery is rejected because the isolated node lacks the drain.
 
     A rejection is correct only if another recovery may have been committed before it.
     """
     recoveries = [request for request in clients.answers if request.target == "/recoveries"]
-    taken = [
+    possibly_committed = [
         request.sent_at for request in recoveries if request.status in (OK, UNKNOWN, NO_ANSWER)
     ]
     for request in recoveries:
@@ -390,14 +392,14 @@
             continue
         found.count_check("stale recoveries")
         refused = request.status in FINAL_REJECTIONS
-        if refused and not any(sent_at < request.answered_at for sent_at in taken):
+        if refused and not any(sent_at < request.answered_at for sent_at in possibly_committed):
             found.add_violation(
-                "stale recoveries", f"{way}: refused ({request.status}) from old state"
+                "stale recoveries", f"{kind}: refused ({request.status}) from old state"
             )
 
 
 def check_isolated_renewals(
-    clients: IsolatedClients, majority_change: MajorityChange, found: Findings, way: str
+    clients: IsolatedClients, majority_change: MajorityChange, found: Findings, kind: str
 ) -> None:
     """Check that renewals sent after an acknowledged change get that change or no state."""
     for renewal in clients.renewals:
@@ -415,15 +417,15 @@
             replicated_state.restore(snapshot)
             if replicated_state.version < majority_change.version:
                 found.add_violation(
-                    "isolated renewals", f"{way}: version {replicated_state.version}, {after}"
+                    "isolated renewals", f"{kind}: version {replicated_state.version}, {after}"
                 )
         elif any(renewal.answer.get(part) for part in SOFT_STATE):
             found.add_violation(
-                "isolated renewals", f"{way}: soft state without a version, {after}"
+                "isolated renewals", f"{kind}: soft state without a version, {after}"
             )
 
 
-def check_return(scenario: Scenario, name: str, term: int, found: Findings, way: str) -> None:
+def check_return(scenario: Scenario, name: str, term: int, found: Findings, kind: str) -> None:
     """Check that the reconnected node serves in time and causes no new term."""
     node = scenario.node(name)
 
@@ -433,16 +435,16 @@
     found.count_check("return")
     if not scenario.world.run_until(serves, RETURN_SECONDS):
         found.add_violation(
-            "return", f"{way}: no leader known {RETURN_SECONDS} s after the cut healed"
+            "return", f"{kind}: no leader known {RETURN_SECONDS} s after the cut healed"
         )
     found.count_check("undisturbed")
     now = max(scenario.node(core).core.consensus.term for core in scenario.cores)
-    if now != term and way != "outgoing":
-        found.add_violation("undisturbed", f"{way}: epoch {term} became {now} on the return")
+    if now != term and kind != "outgoing":
+        found.add_violation("undisturbed", f"{kind}: epoch {term} became {now} on the return")
     status, _ = scenario.ask_now("GET", "/configuration", None, name)
     found.count_check("return")
     if status != OK:
-        found.add_violation("return", f"{way}: the first read was answered {status}")
+        found.add_violation("return", f"{kind}: the first read was answered {status}")
 
 
 def check_in_flight_change(
@@ -500,8 +502,8 @@
             found.add_violation("race", "the version could not be read before a race")
             return found
         racing = [
-            Racer(f"race-{number}-{place}", base)
-            for place in range(random.randrange(2, MAX_RACERS + 1))
+            Racer(f"race-{number}-{index}", base)
+            for index in range(random.randrange(2, MAX_RACERS + 1))
         ]
         racers += racing
         run_race_round(scenario, random, number, racing)
--- a/packages/testing/ryelock/testing/cases/losses.py
+++ b/packages/testing/ryelock/testing/cases/losses.py
@@ -86,10 +86,10 @@
     return found
 
 
-def pick_victim(scenario: Scenario, random: Random, role: str, taken: Collection[str]) -> str:
+def pick_victim(scenario: Scenario, random: Random, role: str, excluded: Collection[str]) -> str:
     """Draw a running control node of a role, or any non-leader if no node has the role."""
     leader = scenario.leader()
-    alive = [name for name in scenario.alive(scenario.cores) if name not in taken]
+    alive = [name for name in scenario.alive(scenario.cores) if name not in excluded]
     if role == "leader" and leader in alive:
         return leader
     others = [name for name in alive if name != leader]
@@ -134,26 +134,26 @@
     scenario: Scenario, identity: str, version: int, found: Findings, text: str
 ) -> int:
     """Retry a change until it commits; return the new version, or -1 if it never does."""
-    taken: list[int] = []
+    versions: list[int] = []
 
     async def send() -> None:
-        while not taken:
+        while not versions:
             status, answer = await scenario.operator(
                 "POST", "/changes", route_change(identity, version)
             )
             new = answer.get("version")
             if status == OK and isinstance(new, int):
-                taken.append(new)
+                versions.append(new)
             await scenario.operators.scheduler.sleep(RETRY_INTERVAL_SECONDS)
 
     running = scenario.operators.scheduler.create_task(send(), name="change")
-    scenario.world.run_until(lambda: bool(taken), CHANGE_SECONDS)
+    scenario.world.run_until(lambda: bool(versions), CHANGE_SECONDS)
     running.cancel()
     found.count_check("majority kept")
-    if not taken:
+    if not versions:
         found.add_violation("majority kept", f"{text}: no change was taken in {CHANGE_SECONDS} s")
         return -1
-    return taken[0]
+    return versions[0]
 
 
 def restart_victims(scenario: Scenario, victims: dict[str, str]) -> None:
--- a/packages/testing/ryelock/testing/cases/mass_losses.py
+++ b/packages/testing/ryelock/testing/cases/mass_losses.py
@@ -82,7 +82,7 @@
     Each is retried through the leader under the same id until it is acknowledged.
     """
     target = f"/covers/{number}"
-    place = "/recoveries" if number % 2 else "/drains"
+    target_path = "/recoveries" if number % 2 else "/drains"
     base = read_newest_version(scenario)
 
     async def change() -> bool:
@@ -96,7 +96,7 @@
 
     async def drain() -> bool:
         given = {"id": f"drain-{number}", "target": drained, "force": True}
-        status, _ = await scenario.operator("POST", place, given, scenario.leader())
+        status, _ = await scenario.operator("POST", target_path, given, scenario.leader())
         return status == OK
 
     requests: list[Callable[[], TaskCoroutine[bool]]] = [change, purge, drain]
