--- a/packages/testing/ryelock/testing/__main__.py
+++ b/packages/testing/ryelock/testing/__main__.py
@@ -15,7 +15,7 @@
 from ryelock.testing.finals import FINALS, run_final  # noqa: E402
 from ryelock.testing.measure import MEASURES, measure  # noqa: E402
 from ryelock.testing.model.replay import replay_schedule  # noqa: E402
-from ryelock.testing.model.schedule import LEFT_OUT  # noqa: E402
+from ryelock.testing.model.schedule import EXCLUDABLE_KINDS  # noqa: E402
 from ryelock.testing.model.search import report, search  # noqa: E402
 from ryelock.testing.processes.run import run_fleet  # noqa: E402
 from ryelock.testing.scale import Point, Size, run_scale, table  # noqa: E402
@@ -345,7 +345,7 @@
     if replay:
         return replay_schedule(replay)
     left_out = frozenset(filter(None, without.split(",")))
-    unknown = left_out - LEFT_OUT
+    unknown = left_out - EXCLUDABLE_KINDS
     if unknown:
         sys.stderr.write(f"unknown: {', '.join(sorted(unknown))}\n")
         return 2
--- a/packages/testing/ryelock/testing/model/adapter.py
+++ b/packages/testing/ryelock/testing/model/adapter.py
@@ -1,6 +1,6 @@
-"""All that the model uses of consensus, journal, replicated state and voter manager.
+"""Adapter between the model and the real consensus, journal, replicated state and voter manager.
 
-Renames in those packages cost edits in this module only.
+The other modules of the model use these packages only through this one.
 """
 
 from collections.abc import Iterator
@@ -38,7 +38,7 @@
 ]
 
 RETAINING_SNAPSHOT_RECORDS = 8
-"""Clusters that write snapshots this often retain entries behind them; others retain none."""
+"""Clusters with this snapshot interval retain log entries behind a snapshot; others retain none."""
 HEARTBEAT_SECONDS = 0.15
 ELECTION_SECONDS = 0.7
 QUORUM_LEASE_SECONDS = 1.5
@@ -47,58 +47,58 @@
 
 @contextmanager
 def batch_limit(size: int) -> Iterator[None]:
-    """Entries of one heartbeat stay below so many bytes (at least one entry is sent)."""
+    """Limit the entries of one AppendEntries request to `size` bytes, but at least one entry."""
     with mock.patch("ryelock.consensus.followers.MAX_BATCH_BYTES", size):
         yield
 
 
 class SilentLog(Log):
-    """Drops all events."""
+    """A log that discards all events."""
 
     __slots__ = ()
 
     def __init__(self) -> None:
-        """A log without a stream."""
+        """Create a log without an output stream."""
         self.node = ""
 
     def write(self, event: Event, **fields: object) -> None:
-        """Nothing is kept."""
+        """Discard an event."""
 
 
 class EmptyMembership:
-    """A membership without sessions: the voter manager then knows no zones."""
+    """A membership without sessions, so that the voter manager ignores zones."""
 
     def members(self) -> dict[str, object]:
-        """No sessions."""
+        """Return no sessions."""
         return {}
 
 
 class Observer(Protocol):
-    """What observes a node and its state machine."""
+    """Receives the events of a node and its state machine."""
 
     def applied(self, disk: str, index: int, data: bytes, state: object) -> None:
-        """A command was applied."""
+        """Handle a command applied to the state machine, and the state after it."""
 
     def snapshot_taken(self, disk: str, index: int, data: bytes) -> None:
-        """A snapshot was written."""
+        """Handle a snapshot taken of the state machine."""
 
     def restored(self, disk: str, index: int, data: bytes) -> None:
-        """A snapshot was restored."""
+        """Handle a snapshot restored into the state machine."""
 
     def started(self, disk: str) -> None:
-        """A process runs on a disk."""
+        """Handle the start of a process on a disk."""
 
     def release(self, disk: str) -> None:
-        """The process on a disk may end."""
+        """Handle the permission for the process on a disk to end."""
 
 
 class ObservedReplicatedState(ReplicatedState):
-    """The replicated state, which reports to an observer all that happens to it."""
+    """A replicated state that reports its commands and snapshots to an observer."""
 
     __slots__ = ("disk", "observer")
 
     def __init__(self, disk: str, observer: Observer) -> None:
-        """An empty state of the node on a disk."""
+        """Create an empty state for the node on a disk."""
         super().__init__()
         self.disk = disk
         self.observer = observer
@@ -111,7 +111,7 @@
         return result
 
     def snapshot(self) -> bytes:
-        """Write a snapshot and report it."""
+        """Take a snapshot and report it."""
         data = super().snapshot()
         self.observer.snapshot_taken(self.disk, self.index, data)
         return data
@@ -122,30 +122,30 @@
         self.observer.restored(self.disk, self.index, data)
 
     def newest_change(self) -> str:
-        """The id of the newest change, which each change writes into the configuration."""
+        """Return the id of the newest change, which each change writes into the configuration."""
         limits = self.configuration.limits
         found = limits.get("callers")
         return found.annotation if found is not None else ""
 
 
 class DiskUnusableError(Exception):
-    """The disk could not be opened for now."""
+    """The disk could not be opened, perhaps only because of an injected fault."""
 
 
 class Change:
-    """An attempt of an operator to change the configuration; `token` tells attempts apart."""
+    """An attempt to change the configuration; `token` distinguishes attempts of one change."""
 
     __slots__ = ("base", "identity", "token", "version")
 
     def __init__(self, identity: str, base: int, version: int, token: int) -> None:
-        """Keep what is given."""
+        """Create an attempt of a change."""
         self.identity = identity
         self.base = base
         self.version = version
         self.token = token
 
     def encode(self) -> bytes:
-        """The command that the consensus group agrees on."""
+        """Return the command to be proposed to the consensus group."""
         change = {
             "id": self.identity,
             "base": self.base,
@@ -156,13 +156,13 @@
 
 
 def purge_command(number: int) -> bytes:
-    """A purge with an id of its own."""
+    """Return the command of a purge with a unique id."""
     scopes = [{"path": f"/{number}"}]
     return encode_command("purge", id=f"purge-{number}", wall=0.0, scopes=scopes)
 
 
 def change_of(data: bytes) -> tuple[str, int, int] | None:
-    """Id, base and version of a change command; None for any other command."""
+    """Return id, base and version of a change command, or None for any other command."""
     command = cbor2.loads(data)
     if not isinstance(command, dict) or command.get("word") != "change":
         return None
@@ -171,7 +171,11 @@
 
 
 class ChangeOutcome:
-    """What an attempt came to: `status` as in linearizability, the log index where taken."""
+    """The outcome of an attempt.
+
+    `status` is one of those of the linearizability module. `version` and `index` (of the log entry)
+    are 0 unless the change was executed. `certain` is True if it certainly never will be.
+    """
 
     __slots__ = ("certain", "index", "status", "version")
 
@@ -182,7 +186,7 @@
         index: int = 0,
         certain: bool = False,
     ) -> None:
-        """Keep what is given."""
+        """Create an outcome."""
         self.status = status
         self.version = version
         self.index = index
@@ -190,7 +194,7 @@
 
 
 class ProductNode:
-    """One control node without its daemon: consensus, state and voter manager on a disk."""
+    """A control node without its daemon: consensus, state and voter manager on a disk."""
 
     __slots__ = (
         "consensus",
@@ -214,7 +218,7 @@
         snapshot_records: int,
         segment_bytes: int,
     ) -> None:
-        """Open the disk and build the node; raises DiskUnusableError where it cannot."""
+        """Open the disk and create the node; raise DiskUnusableError if that fails."""
         self.rpc_clients = rpc_clients
         log = SilentLog()
         found = open_disk(folder, log, segment_bytes, random)
@@ -252,55 +256,55 @@
         )
 
     def start(self) -> None:
-        """Start the consensus group and the care for its voters."""
+        """Start consensus and the voter manager."""
         self.observer.started(self.disk)
         self.consensus.start()
         self.scheduler.create_task(self.voter_manager.run(), name="voters")
 
     @property
     def disk(self) -> str:
-        """The name of the disk."""
+        """Return the id of the disk."""
         return self.consensus.disk
 
     @property
     def leads(self) -> bool:
-        """Whether this node says that it leads."""
+        """Return True if this node has the leader role, even if it has been superseded."""
         return self.consensus.role == "leader"
 
     @property
-    def settled(self) -> bool:
-        """Whether it leads and has seen an entry of its own term agreed."""
+    def ready(self) -> bool:
+        """Return True if it is a leader with a committed entry of its own term."""
         return self.consensus.leader_ready
 
     @property
     def applied(self) -> int:
-        """The index of the last entry applied."""
+        """Return the index of the last applied entry."""
         return self.consensus.applied_index
 
     @property
     def voters(self) -> dict[str, str]:
-        """Addresses of the voters by disk."""
+        """Return the addresses of the voters by disk."""
         return dict(self.consensus.voters)
 
     @property
     def term(self) -> int:
-        """The current term."""
+        """Return the current term."""
         return self.consensus.term
 
     @property
     def learners(self) -> dict[str, str]:
-        """Addresses of the disks that asked to join, by disk."""
+        """Return the addresses of the learners by disk."""
         return {disk: address for disk, (address, _) in self.consensus.learners.items()}
 
     def answer(self, message: Message, reply: Reply) -> bool:
-        """Take a request of another process; False where it is for no part of this node."""
+        """Handle a request of another process; return False if no component accepts it."""
         if message.get("kind") == RELEASE_REQUEST:
             reply(self.voter_manager.on_release_request(message))
             return True
         return self.consensus.answer(message, reply)
 
     async def change(self, change: Change) -> ChangeOutcome:
-        """Agree on a change, as the control API does at the leader."""
+        """Propose a change, as the control API does at the leader."""
         outcome = await self.consensus.propose(change.encode())
         if outcome.is_error():
             certain = outcome.error.certain
@@ -313,36 +317,36 @@
         )
 
     async def purge(self, number: int) -> int:
-        """Agree on a purge; the index of its entry, or 0 where it was not acknowledged."""
+        """Propose a purge; return the index of its entry, or 0 if it was not acknowledged."""
         outcome = await self.consensus.propose(purge_command(number))
         result = outcome.ok if outcome.is_ok() else None
         return int(result["index"]) if isinstance(result, dict) and "index" in result else 0
 
     async def read(self) -> tuple[int, str] | None:
-        """A confirmed read: version and newest change; None where it was not confirmed."""
+        """Return version and newest change after confirming leadership; None if not confirmed."""
         if not await self.consensus.confirm_leadership(2.0):
             return None
         return self.replicated_state.version, self.replicated_state.newest_change()
 
     async def change_voters(self, voters: dict[str, str]) -> None:
-        """Ask for another set of voters."""
+        """Propose a set of voters."""
         await self.consensus.change_voters(voters)
 
     async def leave(self) -> None:
-        """A planned stop, as the daemon leaves: open requests get a while before it ends."""
+        """Leave as the daemon does on a graceful stop, with time for open requests to finish."""
         until = self.scheduler.now() + MAX_DEPARTURE_SECONDS
         await ObservedDeparture(self).leave(until)
         await self.scheduler.sleep(FINISH_SECONDS)
 
     async def hand_over(self) -> None:
-        """Hand leadership to the best successor."""
+        """Transfer leadership to the best successor."""
         successor = self.consensus.best_successor()
         if self.leads and successor:
             await self.consensus.transfer_leadership(successor)
 
 
 class ObservedDeparture(ConsensusDeparture):
-    """Leaves as the daemon does; the history gets to know when the node may end."""
+    """The departure of the daemon, which also reports to the observer when the node may end."""
 
     __slots__ = ("node",)
 
@@ -353,7 +357,7 @@
         self.node = node
 
     async def wait_for_release(self, until: float) -> bool:
-        """Wait as the daemon does."""
+        """Wait as the daemon does, then report the release."""
         released = await super().wait_for_release(until)
         if released:
             self.node.observer.release(self.consensus.disk)
@@ -361,12 +365,12 @@
 
 
 class DiskLog:
-    """What a fresh open reads back: identity, vote, snapshot and entries of one disk."""
+    """The recovered state of one disk: identity, term, vote, snapshot and entries."""
 
     __slots__ = ("base_index", "base_term", "base_voters", "disk", "entries", "term", "voted")
 
     def __init__(self, disk: str, stored: RecoveredState) -> None:
-        """Take over what a fresh open replayed."""
+        """Create the log of a disk from the state that consensus recovers from it."""
         self.disk = disk
         self.term = stored.term
         self.voted = stored.voted_for
@@ -377,28 +381,28 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry."""
+        """Return the index of the last entry."""
         return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry."""
+        """Return the term of the last entry."""
         return self.entries[-1].term if self.entries else self.base_term
 
     def entry(self, index: int) -> Entry | None:
-        """The entry at an index; None where the snapshot stands for it or it is lacking."""
+        """Return the entry at an index, or None if it is compacted into the snapshot or missing."""
         position = index - self.base_index - 1
         return self.entries[position] if 0 <= position < len(self.entries) else None
 
     def holds(self, index: int, data: bytes) -> bool:
-        """Whether an entry is in the log, or in the snapshot that stands for it."""
+        """Return True if the log has an entry, or a snapshot that covers its index."""
         if index <= self.base_index:
             return True
         found = self.entry(index)
         return found is not None and found.data == data
 
     def configurations(self) -> list[tuple[int, dict[str, str]]]:
-        """The snapshot's voters and those of each later entry, with their indexes."""
+        """Return index and voters of the snapshot and of each later configuration entry."""
         found = [(self.base_index, dict(self.base_voters))] if self.base_voters else []
         found += [
             (entry.index, decode_voters(entry.data))
@@ -409,7 +413,12 @@
 
 
 def read_disk(folder: Folder, segment_bytes: int) -> DiskLog | None:
-    """Open a disk afresh; None where it has no identity yet. Raises JournalError or ValueError."""
+    """Recover the state of a disk; return None if it has no identity yet.
+
+    Raises:
+        JournalError: the journal cannot be opened.
+        ValueError: a record is malformed.
+    """
     if not folder.names():
         return None
     disk = read_identity(folder)
--- a/packages/testing/ryelock/testing/model/cluster.py
+++ b/packages/testing/ryelock/testing/model/cluster.py
@@ -1,4 +1,4 @@
-"""Control nodes on simulated machines, their operators, and one edge that asks for votes."""
+"""A simulated cluster: control nodes on machines, operators, and an edge that requests leases."""
 
 from collections.abc import Callable
 from random import Random
@@ -23,10 +23,10 @@
 )
 from ryelock.testing.model.disk import Crash, ModelFolder
 from ryelock.testing.model.invariants import (
+    DISK_READABLE,
     LIVENESS,
-    READABLE,
+    NO_TASK_FAULT,
     RETRY_ACKNOWLEDGED,
-    TASK_FAULT,
     History,
     QuorumLeaseWindow,
 )
@@ -34,14 +34,14 @@
     ACCEPTED,
     CHANGE,
     CONFLICT,
-    NOT_TAKEN,
+    NOT_EXECUTED,
     READ,
     UNKNOWN,
     Operation,
 )
-from ryelock.testing.model.network import CALM, World
+from ryelock.testing.model.network import RELIABLE, World
 
-SEEDS = 3
+SEED_COUNT = 3
 SEGMENT_BYTES = 1500
 HEAL_SECONDS = 20.0
 DEPARTURE_SECONDS = 12.0
@@ -50,46 +50,44 @@
 CHANGE_SECONDS = 12.0
 CHANGE_ATTEMPTS = 4
 
-# Variants that a schedule can leave out, so that a search goes on behind a known fault.
-
 
 class MachineClock:
-    """A monotonic clock that may run fast or slow; a blocked process reads later times."""
+    """A monotonic clock with drift; a stalled process reads the time at which its stall ends."""
 
     __slots__ = ("machine", "rate", "zero")
 
     def __init__(self, machine: "Machine") -> None:
-        """A clock that reads 0 at the world's time 0."""
+        """Create a clock that reads 0 at time 0 of the world."""
         self.machine = machine
         self.rate = 1.0
         self.zero = 0.0
 
     def now(self) -> float:
-        """Seconds on this machine's clock."""
+        """Return the monotonic time of this machine in seconds."""
         return max(self.machine.world.time, self.machine.busy_until) * self.rate + self.zero
 
     def wall(self) -> float:
-        """The consensus group does not use the wall clock."""
+        """Return 0: consensus does not use the wall clock."""
         return 0.0
 
     def set_rate(self, rate: float) -> None:
-        """Run at another rate from now on; the reading does not jump."""
+        """Change the rate of the clock without a jump of its reading."""
         now = self.now()
         self.rate = rate
         self.zero += now - self.now()
 
     def world_time(self, reading: float) -> float:
-        """The world's time at a reading of this clock."""
+        """Return the time of the world at which this clock reads `reading`."""
         return (reading - self.zero) / self.rate
 
 
 class ModelRpcClients:
-    """The requests of one process, over the model's world, in place of `ryelock.rpc.RpcClients`."""
+    """RPC clients of one process over the simulated network; replaces `ryelock.rpc.RpcClients`."""
 
     __slots__ = ("cluster", "machine", "pending_calls", "sequence")
 
     def __init__(self, cluster: "Cluster", machine: "Machine") -> None:
-        """Clients of one incarnation of a machine's process."""
+        """Create the clients of one incarnation of a machine's process."""
         self.cluster = cluster
         self.machine = machine
         self.sequence = 0
@@ -98,7 +96,7 @@
     async def call(
         self, address: str, message: Message, timeout: float
     ) -> Result[Message, NoResponseError]:
-        """Send a request to another process; an error where no answer came in time."""
+        """Send a request to another process; return an error if no response arrives in time."""
         self.sequence += 1
         number = self.sequence
         responses: Queue[Message] = Queue(self.machine.scheduler)
@@ -114,17 +112,17 @@
 
 
 class Machine:
-    """One machine: disk, clock and perhaps a running process."""
+    """A simulated machine with a disk, a clock and at most one running process."""
 
     __slots__ = (
         "busy_until",
         "clock",
         "cluster",
+        "departing",
         "folder",
         "frozen",
-        "leaving",
         "log",
-        "log_changes",
+        "log_change_count",
         "name",
         "node",
         "power_mode",
@@ -135,7 +133,7 @@
     )
 
     def __init__(self, cluster: "Cluster", name: str) -> None:
-        """A machine with an empty disk and no process."""
+        """Create a machine with an empty disk and no process."""
         self.cluster = cluster
         self.world = cluster.world
         self.name = name
@@ -147,36 +145,36 @@
         self.node: ProductNode | None = None
         self.frozen = False
         self.power_mode = ""
-        self.leaving: ProductNode | None = None
+        self.departing: ProductNode | None = None
         self.folder = self.new_folder()
         self.log: DiskLog | None = None
-        self.log_changes = -1
+        self.log_change_count = -1
 
     def new_folder(self) -> ModelFolder:
-        """An empty disk of this machine."""
+        """Return an empty disk for this machine."""
         folder = ModelFolder(self.random)
         folder.on_stall = self.stall
         return folder
 
     def fault(self, task: str, error: BaseException) -> None:
-        """A task of the process ended by an exception."""
-        self.cluster.history.fail(TASK_FAULT, f"{self.name} {task}: {error!r}")
+        """Record that a task of the process ended with an unhandled exception."""
+        self.cluster.history.record_violation(NO_TASK_FAULT, f"{self.name} {task}: {error!r}")
 
     def stall(self, seconds: float) -> None:
-        """The process is blocked in a disk operation for so long."""
+        """Block the process in a disk operation for `seconds`."""
         self.busy_until = max(self.world.time, self.busy_until) + seconds
         self.world.at(self.busy_until, lambda: None)
 
-    # As the world sees a process.
+    # The `Process` protocol of the world
 
     def run(self) -> bool:
-        """Run the process's tasks that are ready; says whether there were any."""
+        """Run the ready tasks of the process; return True if there were any."""
         if self.node is None or self.frozen or self.busy_until > self.world.time:
             return False
         scheduler = self.scheduler
         if not scheduler.has_ready:
-            heartbeat = scheduler.next_timer()
-            if heartbeat is None or heartbeat > self.clock.now():
+            timer = scheduler.next_timer()
+            if timer is None or timer > self.clock.now():
                 return False
         try:
             scheduler.run_ready(200)
@@ -185,22 +183,22 @@
         return True
 
     def next_time(self) -> float | None:
-        """When the process wants to run next, in the world's time."""
+        """Return the time of the world at which the next timer of the process is due, if any."""
         if self.node is None or self.frozen or self.busy_until > self.world.time:
             return None
-        heartbeat = self.scheduler.next_timer()
-        return None if heartbeat is None else self.clock.world_time(heartbeat)
+        timer = self.scheduler.next_timer()
+        return None if timer is None else self.clock.world_time(timer)
 
-    # Life.
+    # Process lifecycle
 
     def start(self) -> None:
-        """Start a process on what the disk holds; it stays down where that cannot be opened."""
+        """Start a process on this disk; it stays down if the disk cannot be opened."""
         if self.node is not None:
             return
         self.scheduler = Scheduler(self.clock, self.fault)
         self.rpc_clients = ModelRpcClients(self.cluster, self)
         self.frozen = False
-        self.folder.point()
+        self.folder.crash_point()
         try:
             self.node = ProductNode(
                 self.scheduler,
@@ -219,10 +217,10 @@
             self.node = None
         except UNREADABLE as error:
             self.node = None
-            self.cluster.history.fail(READABLE, f"{self.name}: {error!r}")
+            self.cluster.history.record_violation(DISK_READABLE, f"{self.name}: {error!r}")
 
     def start_or_crash(self) -> None:
-        """Start the process; an armed crash may end it at once."""
+        """Start the process; an injected crash may end it while it starts."""
         try:
             self.start()
         except Crash:
@@ -230,32 +228,32 @@
             self.kill(self.power_mode)
 
     def kill(self, power_mode: str) -> None:
-        """End the process at once; with a mode the power goes too."""
+        """Kill the process; a non-empty `power_mode` (see LossMode) also cuts the power."""
         self.node = None
         self.frozen = False
         self.busy_until = 0.0
-        self.folder.crash_in = 0
+        self.folder.crash_countdown = 0
         self.folder.stall_seconds = 0.0
         if power_mode:
             self.folder.lose_power(power_mode)
 
     def read_log(self) -> DiskLog | None:
-        """The durable part of the disk, opened afresh; kept until the disk changes."""
-        if self.log_changes != self.folder.changes:
+        """Return the recovered durable state of the disk, cached until the disk changes."""
+        if self.log_change_count != self.folder.change_count:
             try:
-                self.log = read_disk(self.folder.view(), SEGMENT_BYTES)
+                self.log = read_disk(self.folder.durable_view(), SEGMENT_BYTES)
             except UNREADABLE as error:
-                self.cluster.history.fail(READABLE, f"{self.name}: {error!r}")
+                self.cluster.history.record_violation(DISK_READABLE, f"{self.name}: {error!r}")
                 self.log = None
-            self.log_changes = self.folder.changes
+            self.log_change_count = self.folder.change_count
         return self.log
 
 
 class Cluster:
-    """Machines, world, history, and the steps that a schedule is made of."""
+    """Machines, world and history of one run, and the operations that schedules perform on them."""
 
     def __init__(self, seed: int, machines: int, snapshot_records: int) -> None:
-        """Machines that are all down yet."""
+        """Create the machines, all down."""
         self.seed = seed
         self.snapshot_records = snapshot_records
         self.random = Random(f"cluster {seed}")
@@ -263,20 +261,20 @@
         self.history = History()
         self.machines = [Machine(self, f"n{number}") for number in range(machines)]
         self.by_name = {machine.name: machine for machine in self.machines}
-        self.seeds = tuple(machine.name for machine in self.machines[:SEEDS])
+        self.seeds = tuple(machine.name for machine in self.machines[:SEED_COUNT])
         self.world.processes = list(self.machines)
         self.changes: list[Change] = []
-        self.tokens = 0
-        self.purges = 0
+        self.attempt_count = 0
+        self.purge_count = 0
 
-    # Messages.
+    # Messages
 
     def send_request(
         self, rpc_clients: ModelRpcClients, address: str, message: Message, number: int
     ) -> None:
-        """Carry a request to the process at an address, and its answer back."""
+        """Send a request to the process at an address, and its response back."""
         source, target = rpc_clients.machine, self.by_name[address]
-        self.history.sent(message)
+        self.history.on_request(message)
         target_clients = target.rpc_clients
 
         def deliver() -> None:
@@ -287,8 +285,8 @@
             def reply(answer: Message) -> None:
                 if message.get("kind") == RELEASE_REQUEST and answer.get("may_end") is True:
                     self.read_disks()
-                    self.history.check_left(str(message["disk"]))
-                self.history.answered(message, answer)
+                    self.history.check_departure(str(message["disk"]))
+                self.history.on_response(message, answer)
                 self.world.send(
                     target.name,
                     source.name,
@@ -301,7 +299,7 @@
         self.world.send(source.name, target.name, source.busy_until, deliver)
 
     def deliver_response(self, rpc_clients: ModelRpcClients, number: int, answer: Message) -> None:
-        """Hand an answer to the process that asked, where it still lives."""
+        """Deliver a response, unless the process that sent the request has ended or restarted."""
         responses = rpc_clients.pending_calls.get(number)
         if (
             responses is not None
@@ -310,70 +308,73 @@
         ):
             responses.put(answer)
 
-    # Checking.
+    # Invariant checks
 
     def check(self) -> None:
-        """Read all disks back and raise the first violation."""
+        """Read back all disks and raise the first recorded violation."""
         self.read_disks()
-        self.raise_found()
+        self.raise_violation()
 
-    def raise_found(self) -> None:
-        """Raise the violation that was seen first."""
-        if self.history.found is not None:
-            raise self.history.found
+    def raise_violation(self) -> None:
+        """Raise the first recorded violation, if any."""
+        if self.history.violation is not None:
+            raise self.history.violation
 
-    # Who leads, for driving only.
+    # Current leaders: used to direct steps, not for invariants
 
     def leader(self, pick: int = 0) -> Machine | None:
-        """A machine whose process leads by its own account; the newest term first."""
+        """Return a machine whose process has the leader role, ordered by descending term.
+
+        Several can have it at once, since a partitioned leader steps down only after a while.
+        """
         found = [
             machine for machine in self.machines if machine.node is not None and machine.node.leads
         ]
         found.sort(key=lambda machine: -machine.node.term if machine.node is not None else 0)
         return found[pick % len(found)] if found else None
 
-    def leading(self) -> set[tuple[str, int]]:
-        """Name and term of every process that leads by its own account."""
+    def current_leaders(self) -> set[tuple[str, int]]:
+        """Return name and term of every process that has the leader role."""
         return {
             (machine.name, machine.node.term)
             for machine in self.machines
             if machine.node is not None and machine.node.leads
         }
 
-    # Operators.
+    # Operators
 
     def new_change(self, base: int, version: int) -> Change:
-        """A change with an id of its own."""
+        """Return a change with a new id."""
         change = Change(f"c{len(self.changes)}", base, version, 0)
         self.changes.append(change)
         return change
 
     def send_change(self, change: Change, machine: Machine) -> Operation | None:
-        """One attempt of a change at a node; ends in the history."""
+        """Start an attempt of a change at a leader; its outcome is recorded in the history."""
         node = machine.node
         if node is None or not node.leads:
             return None
-        self.tokens += 1
-        attempt = Change(change.identity, change.base, change.version, self.tokens)
+        self.attempt_count += 1
+        attempt = Change(change.identity, change.base, change.version, self.attempt_count)
         operation = Operation(
-            CHANGE, change.identity, change.base, change.version, self.history.tick()
+            CHANGE, change.identity, change.base, change.version, self.history.next_event()
         )
         operation.node = machine.name
         self.history.operations.append(operation)
         machine.scheduler.create_task(
-            self.attempt(machine, node, attempt, operation), name="operator"
+            self.run_change(machine, node, attempt, operation), name="operator"
         )
         return operation
 
-    async def attempt(
+    async def run_change(
         self, machine: Machine, node: ProductNode, change: Change, operation: Operation
     ) -> None:
-        """Send one attempt and note its outcome."""
+        """Send one attempt and record its outcome."""
         outcome = await node.change(change)
-        operation.ended = self.history.tick()
+        operation.ended = self.history.next_event()
         if outcome.certain:
-            operation.status = NOT_TAKEN
-            self.history.refuse(change)
+            operation.status = NOT_EXECUTED
+            self.history.record_rejection(change)
         elif outcome.status == ACCEPTED:
             operation.status = ACCEPTED
             self.read_disks()
@@ -385,88 +386,94 @@
         elif outcome.status == UNKNOWN:
             operation.ended = 0
         else:
-            raise AssertionError(f"{change.identity} was answered {outcome.status}")
+            raise AssertionError(f"change {change.identity}: unexpected status {outcome.status!r}")
 
     def send_read(self, machine: Machine) -> Operation | None:
-        """Begin a confirmed read at a node that leads."""
+        """Start a confirmed read at a leader."""
         node = machine.node
         if node is None or not node.leads:
             return None
-        operation = Operation(READ, "", 0, 0, self.history.tick())
+        operation = Operation(READ, "", 0, 0, self.history.next_event())
         operation.node = machine.name
         self.history.operations.append(operation)
-        machine.scheduler.create_task(self.reading(node, operation), name="operator")
+        machine.scheduler.create_task(self.run_read(node, operation), name="operator")
         return operation
 
-    async def reading(self, node: ProductNode, operation: Operation) -> None:
-        """Read and note what was seen."""
-        seen = await node.read()
-        if seen is not None:
-            operation.ended = self.history.tick()
-            operation.seen = seen
+    async def run_read(self, node: ProductNode, operation: Operation) -> None:
+        """Read and record the result; an unconfirmed read stays open."""
+        result = await node.read()
+        if result is not None:
+            operation.ended = self.history.next_event()
+            operation.result = result
             operation.status = ACCEPTED
 
     def send_purge(self, machine: Machine) -> None:
-        """Begin a purge at a node that leads."""
+        """Start a purge at a leader."""
         node = machine.node
         if node is not None and node.leads:
-            self.purges += 1
-            machine.scheduler.create_task(self.purging(machine, node, self.purges), name="operator")
+            self.purge_count += 1
+            machine.scheduler.create_task(
+                self.run_purge(machine, node, self.purge_count), name="operator"
+            )
 
-    async def purging(self, machine: Machine, node: ProductNode, number: int) -> None:
-        """Purge and note the acknowledgement."""
+    async def run_purge(self, machine: Machine, node: ProductNode, number: int) -> None:
+        """Purge and record the acknowledgement."""
         index = await node.purge(number)
         if index:
             self.read_disks()
             self.history.acknowledge_command(index, node.disk, self.world.time)
 
     def read_disks(self) -> None:
-        """Open all disks afresh and check them."""
+        """Recover the state of all disks and check it."""
         found = [log for machine in self.machines if (log := machine.read_log()) is not None]
-        self.history.disks_read(found)
+        self.history.check_disks(found)
 
     def change_voters(self, machine: Machine, wanted: dict[str, str]) -> None:
-        """Ask a leader for another set of voters, beside what its voter manager does."""
+        """Request a voter change from a leader, concurrently with its voter manager."""
         node = machine.node
         if node is not None:
             machine.scheduler.create_task(node.change_voters(wanted), name="voters")
 
     def leave(self, machine: Machine) -> None:
-        """Stop a node in order; its process ends once it was let go, or waited long enough."""
+        """Stop a node gracefully; its process ends after its release or a timeout."""
         node = machine.node
-        if node is not None and machine.leaving is not node:
-            machine.leaving = node
-            machine.scheduler.create_task(self.leave_then_end(machine, node), name="leave")
+        if node is not None and machine.departing is not node:
+            machine.departing = node
+            machine.scheduler.create_task(self.leave_and_end(machine, node), name="leave")
 
-    async def leave_then_end(self, machine: Machine, node: ProductNode) -> None:
-        """Leave in order, then end."""
+    async def leave_and_end(self, machine: Machine, node: ProductNode) -> None:
+        """Leave the consensus group, then end the process."""
         await node.leave()
         self.world.at(self.world.time, lambda: self.end(machine, node))
 
     def end(self, machine: Machine, node: ProductNode) -> None:
-        """End a process unless another incarnation has begun."""
+        """End a process unless the machine already runs another incarnation."""
         if machine.node is node:
             machine.kill("")
 
-    # The edge.
+    # Edge
 
     def request_quorum_lease(self) -> None:
-        """Ask all nodes to follow no leader for a while, as an edge without a leader does."""
-        asked = self.world.time
+        """Request a quorum lease from all nodes, as an edge without contact to a leader does."""
+        requested_at = self.world.time
         votes: list[QuorumLeaseVote] = []
-        over = [False]
+        granted = [False]
         message: Message = {"kind": "council.promise", "seconds": QUORUM_LEASE_SECONDS}
 
         def on_response(answer: Message) -> None:
             vote = decode_vote(answer)
-            if over[0] or vote is None or self.world.time > asked + QUORUM_LEASE_ROUND_SECONDS:
+            if (
+                granted[0]
+                or vote is None
+                or self.world.time > requested_at + QUORUM_LEASE_ROUND_SECONDS
+            ):
                 return
             votes.append(vote)
             if is_quorum(votes):
-                over[0] = True
+                granted[0] = True
                 last = max(vote.last_index for vote in votes)
-                self.history.windows.append(
-                    QuorumLeaseWindow(self.world.time, asked + QUORUM_LEASE_SECONDS, last)
+                self.history.lease_windows.append(
+                    QuorumLeaseWindow(self.world.time, requested_at + QUORUM_LEASE_SECONDS, last)
                 )
 
         for machine in self.machines:
@@ -475,7 +482,7 @@
     def send_from_edge(
         self, machine: Machine, message: Message, on_response: Callable[[Message], None]
     ) -> None:
-        """Send a request to one node as the edge."""
+        """Send a request from the edge to one node."""
 
         def deliver() -> None:
             if machine.node is not None:
@@ -486,64 +493,65 @@
 
         self.world.send("edge", machine.name, self.world.time, deliver)
 
-    # Losing disks.
+    # Loss of disks
 
-    def may_wipe(self, machine: Machine) -> bool:
-        """Whether all configurations on disks keep a majority without this machine's disk."""
+    def can_wipe(self, machine: Machine) -> bool:
+        """Return True if every recent configuration keeps a majority of disks without this one."""
         logs = {other.name: log for other in self.machines if (log := other.read_log()) is not None}
-        own = logs.pop(machine.name, None)
-        if own is None:
+        own_log = logs.pop(machine.name, None)
+        if own_log is None:
             return True
-        there = {log.disk for log in logs.values()}
+        present = {log.disk for log in logs.values()}
         configurations = [
-            voters for log in (*logs.values(), own) for _, voters in log.configurations()[-2:]
+            voters for log in (*logs.values(), own_log) for _, voters in log.configurations()[-2:]
         ]
         if not configurations:
             return False
         return all(
-            own.disk not in voters or len(there & set(voters)) > len(voters) // 2
+            own_log.disk not in voters or len(present & set(voters)) > len(voters) // 2
             for voters in configurations
         )
 
     def wipe(self, machine: Machine) -> None:
-        """Replace a machine's disk by an empty one, where the cluster can bear it."""
-        if self.may_wipe(machine):
+        """Replace a machine's disk by an empty one, unless that would lose a majority."""
+        if self.can_wipe(machine):
             self.check()
             machine.kill("")
             machine.folder = machine.new_folder()
-            machine.log_changes = -1
+            machine.log_change_count = -1
 
-    # Healing.
+    # Healing and liveness
 
     def heal(self) -> None:
-        """End all faults of network and disks and start what is down."""
+        """End all network and disk faults and start the machines that are down."""
         self.world.cuts.clear()
-        self.world.weather = CALM
+        self.world.conditions = RELIABLE
         for machine in self.machines:
             machine.folder.repair()
             machine.frozen = False
             machine.start_or_crash()
 
-    def all_left(self) -> bool:
-        """Whether no node is waiting for its planned end."""
+    def all_departed(self) -> bool:
+        """Return True if no graceful stop is in progress."""
         return all(
-            machine.node is None or machine.node is not machine.leaving for machine in self.machines
+            machine.node is None or machine.node is not machine.departing
+            for machine in self.machines
         )
 
-    def majority_exists(self) -> bool:
-        """Whether the newest configuration on each voter's disk still has a majority of disks."""
+    def has_majority(self) -> bool:
+        """Return True if the newest configuration on each disk has a majority of its disks left."""
         logs = [log for machine in self.machines if (log := machine.read_log()) is not None]
-        there = {log.disk for log in logs}
+        present = {log.disk for log in logs}
         return all(
-            len(there & set(voters)) > len(voters) // 2
+            len(present & set(voters)) > len(voters) // 2
             for log in logs
             for _, voters in log.configurations()[-1:]
         )
 
-    def caught_up(self) -> bool:
-        """Whether a settled leader stands and every machine has applied what it has."""
+    def all_caught_up(self) -> bool:
+        """Return True if there is a ready leader and every node has applied as much as it has."""
         leader = self.leader()
-        if leader is None or leader.node is None or not leader.node.settled:
+        if leader is None or leader.node is None or not leader.node.ready:
             return False
         node = leader.node
         return all(
@@ -552,94 +560,103 @@
         )
 
     def finish(self) -> None:
-        """Heal, wait for a leader and for all to catch up, then read, change and send again."""
+        """Heal the cluster, wait until all nodes have caught up, and check that it is available.
+
+        Liveness is not required where a configuration has lost the majority of its disks.
+        """
         self.heal()
-        self.world.run_until_about(self.all_left, DEPARTURE_SECONDS)
+        self.world.run_until_about(self.all_departed, DEPARTURE_SECONDS)
         self.heal()
         self.check()
-        if not self.majority_exists():
+        if not self.has_majority():
             return
-        if not self.world.run_until_about(self.caught_up, HEAL_SECONDS):
+        if not self.world.run_until_about(self.all_caught_up, HEAL_SECONDS):
             self.check()
-            if not self.majority_exists():
+            if not self.has_majority():
                 return
-            self.history.fail(LIVENESS, f"not healed in {HEAL_SECONDS} s: {self.describe()}")
-            self.raise_found()
+            self.history.record_violation(
+                LIVENESS, f"cluster did not recover within {HEAL_SECONDS} s: {self.describe()}"
+            )
+            self.raise_violation()
         self.check()
         self.check_serving()
-        found = self.history.found
-        if found is not None and found.invariant == LIVENESS and not self.majority_exists():
+        found = self.history.violation
+        if found is not None and found.invariant == LIVENESS and not self.has_majority():
             return
         self.check()
         self.history.check_operations()
-        self.raise_found()
+        self.raise_violation()
 
     def check_serving(self) -> None:
-        """Read, send the newest change again, and make another change."""
+        """Check that a read, a retry of the newest change and a new change succeed."""
         newest = self.history.newest_acknowledged()
         for _ in range(CHANGE_ATTEMPTS):
             read = self.confirmed_read()
             if read is None:
                 break
-            version, identity = read.seen
+            version, identity = read.result
             if newest is not None and identity == newest.identity:
                 self.retry_change(newest.identity, read)
             newest = None
-            if self.accepted(self.new_change(version, version + 1)):
+            if self.send_until_decided(self.new_change(version, version + 1)):
                 return
-        self.history.fail(LIVENESS, f"no read and change after healing: {self.describe()}")
+        self.history.record_violation(
+            LIVENESS, f"read or change failed after healing: {self.describe()}"
+        )
 
     def retry_change(self, identity: str, read: Operation) -> None:
-        """The newest change must be acknowledged again, unless another was taken meanwhile."""
-        if not self.accepted(self.change_named(identity)) and self.unchanged(read):
-            self.history.fail(RETRY_ACKNOWLEDGED, f"{identity}: {self.describe()}")
+        """Check that the newest change is acknowledged again, unless another one followed it."""
+        if not self.send_until_decided(self.find_change(identity)) and self.is_read_unchanged(read):
+            self.history.record_violation(
+                RETRY_ACKNOWLEDGED, f"change {identity}: {self.describe()}"
+            )
 
-    def unchanged(self, read: Operation) -> bool:
-        """Whether a read finds what an earlier one found."""
-        repeated = self.confirmed_read()
-        return repeated is not None and repeated.seen == read.seen
+    def is_read_unchanged(self, read: Operation) -> bool:
+        """Return True if a new read returns the result of an earlier one."""
+        latest = self.confirmed_read()
+        return latest is not None and latest.result == read.result
 
-    def change_named(self, identity: str) -> Change:
-        """The change with an id."""
+    def find_change(self, identity: str) -> Change:
+        """Return the change with an id."""
         return next(change for change in self.changes if change.identity == identity)
 
     def confirmed_read(self) -> Operation | None:
-        """A read at whoever leads; tried again, as leadership may change in between."""
+        """Read at the current leader; retry while leadership changes. None after a timeout."""
         until = self.world.time + HEAL_SECONDS
         while self.world.time < until:
             leader = self.leader()
             read = self.send_read(leader) if leader is not None else None
-            if self.ended(read, READ_SECONDS):
+            if self.wait_for_end(read, READ_SECONDS):
                 return read
         return None
 
-    def accepted(self, change: Change) -> bool:
-        """Whether a change is acknowledged; sent again while the outcome is unknown."""
+    def send_until_decided(self, change: Change) -> bool:
+        """Send a change until its outcome is decided; return True if it is acknowledged."""
         until = self.world.time + HEAL_SECONDS
         while self.world.time < until:
             leader = self.leader()
             operation = self.send_change(change, leader) if leader is not None else None
-            ended = self.ended(operation)
-            if ended and operation is not None and operation.status != NOT_TAKEN:
+            ended = self.wait_for_end(operation)
+            if ended and operation is not None and operation.status != NOT_EXECUTED:
                 return operation.status == ACCEPTED
         return False
 
-    def ended(self, operation: Operation | None, seconds: float = CHANGE_SECONDS) -> bool:
-        """Wait for the end of an operation; False where it did not end in time."""
+    def wait_for_end(self, operation: Operation | None, seconds: float = CHANGE_SECONDS) -> bool:
+        """Wait for the end of an operation; return False after a timeout."""
         if operation is None:
             self.world.run(0.1)
             return False
         return self.world.run_until_about(lambda: operation.ended > 0, seconds)
 
     def describe(self) -> str:
-        """What each process says of itself, for a finding."""
+        """Return the role, term and progress of each node, for the detail of a violation."""
         found = []
         for machine in self.machines:
             node = machine.node
             if node is None:
-                found.append(f"{machine.name} down")
+                found.append(f"{machine.name} not running")
                 continue
-            role = "leads" if node.leads else "follows"
-            voter = "voter" if node.disk in node.voters else "spare"
-            found.append(f"{machine.name} {role} {node.term} applied {node.applied} {voter}")
+            role = "leader" if node.leads else "follower"
+            voter = "voter" if node.disk in node.voters else "learner"
+            found.append(f"{machine.name} {role} term {node.term} applied {node.applied} {voter}")
         return "; ".join(found)
--- a/packages/testing/ryelock/testing/model/search.py
+++ b/packages/testing/ryelock/testing/model/search.py
@@ -1,4 +1,4 @@
-"""Long searches: many seeds over several processes, and all short lists of few steps."""
+"""Searches for violations: many random seeds in parallel, and exhaustive short schedules."""
 
 import itertools
 import time
@@ -7,12 +7,12 @@
 
 from ryelock.testing.model.schedule import Schedule, Step, draw, run_schedule, shrink
 
-CHUNK = 50
+SEEDS_PER_CHUNK = 50
 
 
 @dataclass(slots=True)
 class Finding:
-    """A schedule that broke an invariant, shrunk."""
+    """A schedule that broke an invariant."""
 
     seed: int
     invariant: str
@@ -21,21 +21,21 @@
 
 
 @dataclass(slots=True)
-class Searched:
-    """What a search came to."""
+class SearchResult:
+    """The result of a search."""
 
     schedules: int = 0
     seconds: float = 0.0
     findings: list[Finding] = field(default_factory=list)
 
     @property
-    def per_minute(self) -> float:
-        """Schedules a minute."""
+    def schedules_per_minute(self) -> float:
+        """Return the number of schedules run per minute."""
         return 60 * self.schedules / self.seconds if self.seconds else 0.0
 
 
 def run_seeds(first: int, count: int, without: frozenset[str]) -> list[Finding]:
-    """Run the schedules of consecutive seeds; findings are not shrunk."""
+    """Run the schedules of consecutive seeds; the findings are not shrunk."""
     found = []
     for seed in range(first, first + count):
         schedule = draw(seed, without)
@@ -46,14 +46,18 @@
 
 
 def search(
-    schedules: int, seed: int, jobs: int, without: frozenset[str] = frozenset(), most: int = 10
-) -> Searched:
-    """Run seeds from `seed` on; at most so many findings an invariant are kept and shrunk."""
+    schedules: int,
+    seed: int,
+    jobs: int,
+    without: frozenset[str] = frozenset(),
+    max_shrunk: int = 10,
+) -> SearchResult:
+    """Run consecutive seeds in `jobs` processes; shrink the first findings of each invariant."""
     started = time.monotonic()
-    searched = Searched(schedules)
+    result = SearchResult(schedules)
     chunks = [
-        (first, min(CHUNK, seed + schedules - first))
-        for first in range(seed, seed + schedules, CHUNK)
+        (first, min(SEEDS_PER_CHUNK, seed + schedules - first))
+        for first in range(seed, seed + schedules, SEEDS_PER_CHUNK)
     ]
     with ProcessPoolExecutor(jobs) as pool:
         results = pool.map(
@@ -63,34 +67,34 @@
             itertools.repeat(without),
         )
         for found in results:
-            searched.findings += found
-    searched.seconds = time.monotonic() - started
-    kept: dict[str, int] = {}
-    for finding in searched.findings:
-        kept[finding.invariant] = kept.get(finding.invariant, 0) + 1
-        if kept[finding.invariant] <= most:
+            result.findings += found
+    result.seconds = time.monotonic() - started
+    shrunk_counts: dict[str, int] = {}
+    for finding in result.findings:
+        shrunk_counts[finding.invariant] = shrunk_counts.get(finding.invariant, 0) + 1
+        if shrunk_counts[finding.invariant] <= max_shrunk:
             finding.schedule = shrink(finding.schedule, finding.invariant)
-    return searched
+    return result
 
 
 def exhaustive_schedules(
     alphabet: tuple[Step, ...], length: int, machines: int, snapshot_records: int = 1000
 ) -> list[Schedule]:
-    """Every list of so many steps from an alphabet."""
+    """Return every sequence of `length` steps from an alphabet."""
     return [
         Schedule(0, machines, snapshot_records, steps)
         for steps in itertools.product(alphabet, repeat=length)
     ]
 
 
-def report(searched: Searched, shown: int = 3) -> str:
-    """Figures, and the first findings of each invariant."""
+def report(result: SearchResult, shown: int = 3) -> str:
+    """Return a text with totals and the first findings of each invariant."""
     lines = [
-        f"{searched.schedules} schedules, {len(searched.findings)} with a broken invariant, "
-        f"{searched.seconds:.1f} s, {searched.per_minute:.0f} a minute"
+        f"{result.schedules} schedules, {len(result.findings)} with a broken invariant, "
+        f"{result.seconds:.1f} s, {result.schedules_per_minute:.0f} a minute"
     ]
     counts: dict[str, int] = {}
-    for finding in searched.findings:
+    for finding in result.findings:
         counts[finding.invariant] = counts.get(finding.invariant, 0) + 1
         if counts[finding.invariant] <= shown:
             lines.append(f"seed {finding.seed}: {finding.invariant}: {finding.detail}")
--- a/packages/testing/ryelock/testing/model/violation.py
+++ b/packages/testing/ryelock/testing/model/violation.py
@@ -1,11 +1,11 @@
-"""The error that ends a schedule in which an invariant did not hold."""
+"""The error that reports a broken invariant."""
 
 
 class ViolationError(Exception):
-    """An invariant was broken; `invariant` is its usual name, `detail` says by what."""
+    """A schedule broke the invariant named `invariant`; `detail` has the evidence."""
 
     def __init__(self, invariant: str, detail: str) -> None:
-        """Name the invariant and what broke it."""
+        """Create an error for an invariant."""
         super().__init__(f"{invariant}: {detail}")
         self.invariant = invariant
         self.detail = detail
--- a/packages/testing/ryelock/testing/simulated/__init__.py
+++ b/packages/testing/ryelock/testing/simulated/__init__.py
@@ -1,4 +1,4 @@
-"""The simulator: whole processes on a seeded clock, network and disk."""
+"""Deterministic simulation of complete processes with a seeded clock, network and disks."""
 
 from ryelock.testing.simulated.world import (
     Crash,
--- a/packages/testing/ryelock/testing/simulated/memory_files.py
+++ b/packages/testing/ryelock/testing/simulated/memory_files.py
@@ -1,4 +1,4 @@
-"""What the simulated disks share: files that are kept in memory, by name."""
+"""In-memory files, shared by the simulated disks."""
 
 from collections.abc import Mapping
 
@@ -6,7 +6,7 @@
 
 
 def read_file(files: Mapping[str, bytes | bytearray], name: str) -> bytes:
-    """Return a file's bytes; raises FolderError where there is no such file."""
+    """Return the contents of a file; raise FolderError if it does not exist."""
     if name not in files:
         raise FolderError(f"{name}: no such file")
     return bytes(files[name])
--- a/packages/testing/ryelock/testing/simulated/simulated_time.py
+++ b/packages/testing/ryelock/testing/simulated/simulated_time.py
@@ -1,52 +1,52 @@
-"""Simulated time: acts at given moments, and processes that run until none has anything to do."""
+"""Discrete-event simulation of time: scheduled callbacks, and processes with timers."""
 
 import heapq
 from collections.abc import Callable
 
-Act = Callable[[], None]
+Callback = Callable[[], None]
 
 
 class SimulatedTime:
-    """A clock that moves from one moment to the next at which something is due.
+    """A simulated clock that jumps to the next due callback or process timer.
 
-    A subclass says how its processes run and when the next of them wants to run.
+    A subclass defines how its processes run and when the next of their timers is due.
     """
 
     __slots__ = ("events", "sequence", "time")
 
     step_past_seconds = 1e-9
-    """Time moves so far past a moment that timers due at it are certainly due."""
+    """How far the clock moves past a due time, so that rounding leaves no timer undue."""
 
     def __init__(self) -> None:
-        """Start at time 0, in seconds, with nothing due."""
+        """Create a clock at 0 seconds without callbacks."""
         self.time = 0.0
         self.sequence = 0
-        self.events: list[tuple[float, int, Act]] = []
+        self.events: list[tuple[float, int, Callback]] = []
 
     def run_processes(self) -> None:
-        """Run all processes until none has anything to do now."""
+        """Run all processes until none has a ready task."""
         raise NotImplementedError
 
     def next_process_time(self) -> float | None:
-        """When the next process wants to run; None where none waits for a moment."""
+        """Return when the next timer of a process is due; None if there is no timer."""
         raise NotImplementedError
 
-    def at(self, when: float, act: Act) -> None:
-        """Run an act at a time; acts of one moment run in the order in which they came."""
+    def at(self, when: float, callback: Callback) -> None:
+        """Schedule a callback; those due at the same time run in the order of scheduling."""
         self.sequence += 1
-        heapq.heappush(self.events, (when, self.sequence, act))
+        heapq.heappush(self.events, (when, self.sequence, callback))
 
-    def later(self, seconds: float, act: Act) -> None:
-        """Run an act after so many seconds."""
-        self.at(self.time + seconds, act)
+    def later(self, seconds: float, callback: Callback) -> None:
+        """Run a callback after a delay in seconds."""
+        self.at(self.time + seconds, callback)
 
     def step(self, until: float) -> bool:
-        """Run all that is due now, then move to the next moment; False at the end."""
+        """Run ready tasks and advance to the next due time; return False if it is after `until`."""
         self.run_processes()
         times = [self.events[0][0]] if self.events else []
-        wanted = self.next_process_time()
-        if wanted is not None:
-            times.append(wanted)
+        next_timer = self.next_process_time()
+        if next_timer is not None:
+            times.append(next_timer)
         if not times or min(times) > until:
             self.time = max(self.time, until)
             return False
@@ -56,13 +56,13 @@
         return True
 
     def run(self, seconds: float) -> None:
-        """Run for so many seconds."""
+        """Run the simulation for a time in seconds."""
         until = self.time + seconds
         while self.step(until):
             pass
 
     def run_until(self, done: Callable[[], bool], seconds: float) -> bool:
-        """Run until `done`, looked at at every moment; False when the time is over."""
+        """Run until `done`, checked after every step; return False after `seconds`."""
         until = self.time + seconds
         while not done():
             if not self.step(until):
--- a/packages/testing/ryelock/testing/simulated/world.py
+++ b/packages/testing/ryelock/testing/simulated/world.py
@@ -1,10 +1,11 @@
-"""All nodes in one process on a seeded clock, network and disk; the same code as the daemons.
-
-Time moves only when nobody has anything to do. Bytes of a link arrive in order after a seeded
-delay; a cut path holds them back until it heals, one way or both. A killed process resets its
-links, a machine without power says nothing. A disk keeps what was synced and, after a loss of
-power, a seeded part of what was not. Every write to disk and every message between processes
-is a numbered point at which a fault can be fired. Same seed, same trace.
+"""Simulation of all nodes in one process, running the code of the daemons.
+
+Time advances only while no node has a ready task. Bytes on a connection arrive in order after a
+random delay; a network partition, in one or both directions, holds them back until it heals. A
+killed process resets its connections, a machine without power sends nothing. After a loss of
+power a disk has all synced data and a random prefix of the unsynced data. Every write to disk
+and every message between processes is a numbered fault point. Runs with the same seed produce
+the same trace.
 """
 
 import hashlib
@@ -30,20 +31,20 @@
 from ryelock.testing.simulated.simulated_time import SimulatedTime
 
 Found = TypeVar("Found")
-WALL_ZERO = 1_800_000_000.0
+WALL_CLOCK_START_SECONDS = 1_800_000_000.0
 
 
 class Crash(BaseException):
-    """The process ends here, in the middle of whatever it does."""
+    """Raised at a fault point to end the simulated process."""
 
 
 class NodeClock:
-    """A machine's clock: monotonic from its own zero, a wall clock that may be wrong."""
+    """The clock of a machine: monotonic time with its own origin, and wall time with an error."""
 
     __slots__ = ("error", "world", "zero")
 
     def __init__(self, world: "World", zero: float) -> None:
-        """Create a node's clock; its monotonic time starts at `zero` seconds."""
+        """Create the clock of a node; its monotonic time starts at `zero` seconds."""
         self.world = world
         self.zero = zero
         self.error = 0.0
@@ -54,16 +55,26 @@
 
     def wall(self) -> float:
         """Return the node's time of day in seconds since 1970, with its error."""
-        return WALL_ZERO + self.world.time + self.error
+        return WALL_CLOCK_START_SECONDS + self.world.time + self.error
 
 
 class SimConnection(Connection):
-    """One end of a link; `other` is the other end once it stands."""
+    """One end of a connection.
+
+    Attributes:
+        other: The other end, once the connection is established.
+        due: Earliest arrival of further bytes at the other end, which keeps them in order.
+        closing: True once this end was closed and its end of stream is in flight.
+        gone: True once the process of this end was killed.
+        reading: False while reading is paused.
+        was_reset: True once this end reset the connection.
+        waiting: Bytes written before the connection was established.
+    """
 
     __slots__ = ("closing", "due", "gone", "node", "other", "reading", "waiting", "was_reset")
 
     def __init__(self, node: "SimNode", peer: str) -> None:
-        """Create one end on a node; it stands once `other` is set."""
+        """Create one end on a node, not connected yet."""
         super().__init__(node.scheduler, peer)
         self.node = node
         self.other: SimConnection | None = None
@@ -75,7 +86,7 @@
         self.waiting: list[bytes] = []
 
     def write(self, data: bytes) -> None:
-        """Send bytes, or keep them until the connection stands."""
+        """Send bytes, or buffer them until the connection is established."""
         if self.closed or self.closing or not data:
             return
         self.unsent_bytes += len(data)
@@ -87,7 +98,7 @@
         self.node.world.carry(self, data)
 
     def close(self) -> None:
-        """End in order: the other side gets what was written, then the end."""
+        """Close gracefully: the other end receives all written bytes, then an end of stream."""
         if self.closed or self.closing:
             return
         if not self.connected:
@@ -105,25 +116,25 @@
         self.connection_lost()
 
     def pause_reading(self) -> None:
-        """Stop reading; what comes waits at the other end."""
+        """Pause reading; further bytes are held back at the other end."""
         self.reading = False
 
     def resume_reading(self) -> None:
-        """Read on."""
+        """Resume reading."""
         self.reading = True
 
 
 class SimNetwork:
-    """The network as one node has it."""
+    """The network interface of one node."""
 
     __slots__ = ("node",)
 
     def __init__(self, node: "SimNode") -> None:
-        """Create the network of a node."""
+        """Create the network interface of a node."""
         self.node = node
 
-    def listen(self, address: str, greeting: ConnectionHandler) -> str:
-        """Listen at host:port, port 0 for any; raises NetworkError where it is taken."""
+    def listen(self, address: str, handler: ConnectionHandler) -> str:
+        """Listen on host:port, port 0 for any free one; raise NetworkError if it is in use."""
         world = self.node.world
         host, _, port = address.rpartition(":")
         if port == "0":
@@ -131,17 +142,17 @@
             address = f"{host}:{20_000 + world.ports}"
         if address in world.listeners:
             raise NetworkError(f"cannot listen on {address}: taken")
-        world.listeners[address] = (self.node, greeting)
+        world.listeners[address] = (self.node, handler)
         return address
 
     def stop_listening(self, address: str) -> None:
-        """Close this node's listener at an address."""
+        """Close the listener of this node at an address."""
         found = self.node.world.listeners.get(address)
         if found is not None and found[0] is self.node:
             del self.node.world.listeners[address]
 
     def connect(self, address: str) -> Connection:
-        """Return a connection that is being opened; see Connection.wait_connected."""
+        """Return a connection that is being established; see Connection.wait_connected."""
         connection = SimConnection(self.node, address)
         self.node.connections.append(connection)
         self.node.world.try_open(connection, address)
@@ -149,19 +160,19 @@
 
 
 class SimFolder:
-    """A disk that loses what was not synced when the power goes."""
+    """A disk that may lose unsynced data at a loss of power."""
 
     __slots__ = ("files", "full", "node", "synced")
 
     def __init__(self) -> None:
-        """Create an empty folder that belongs to no node yet."""
+        """Create an empty folder that is not yet attached to a node."""
         self.files: dict[str, bytearray] = {}
         self.synced: dict[str, int] = {}
         self.full = False
         self.node: SimNode | None = None
 
     def point(self, what: str) -> None:
-        """Pass a numbered point; raises FolderError on a full disk."""
+        """Pass a fault point; raise FolderError if the disk is full."""
         if self.node is not None:
             self.node.world.point(self.node, what)
         if self.full and what in ("append", "whole"):
@@ -172,49 +183,49 @@
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
-        """Return a file's bytes; raises FolderError where there is none."""
+        """Return the contents of a file; raise FolderError if it does not exist."""
         return read_file(self.files, name)
 
     def append(self, name: str, data: bytes) -> None:
-        """Append bytes to a file, which may be new; not synced."""
+        """Append bytes to a new or existing file, without fsync."""
         self.point("append")
         self.files.setdefault(name, bytearray()).extend(data)
         self.synced.setdefault(name, 0)
 
     def sync(self, name: str) -> None:
-        """Make a file's bytes survive a loss of power."""
+        """Make the contents of a file durable (fsync)."""
         self.point("sync")
         self.synced[name] = len(self.files.get(name, b""))
         self.point("synced")
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size in bytes."""
+        """Truncate a file to a size in bytes."""
         del self.files[name][size:]
         self.synced[name] = min(self.synced.get(name, 0), size)
 
     def write_atomically(self, name: str, data: bytes) -> None:
-        """Replace a file by bytes that survive a loss of power."""
+        """Replace a file by durable contents."""
         self.point("whole")
         self.files[name] = bytearray(data)
         self.synced[name] = len(data)
         self.point("wholed")
 
     def sync_directory(self) -> None:
-        """Nothing to do: names last at once here; the models of the journal's tests tear them."""
+        """Do nothing: names are durable at once; `ModelFolder` simulates the loss of renames."""
 
     def rename(self, name: str, other: str) -> None:
-        """Give a file another name, replacing what had it."""
+        """Rename a file, replacing one of that name."""
         self.files[other] = self.files.pop(name)
         self.synced[other] = self.synced.pop(name, 0)
 
     def delete(self, name: str) -> None:
-        """Remove a file, if it is there."""
+        """Remove a file if it exists."""
         self.point("delete")
         self.files.pop(name, None)
         self.synced.pop(name, None)
 
     def lose_power(self, random: Random) -> None:
-        """Keep what was synced, and a torn part of what was not."""
+        """Keep synced data and a random prefix of unsynced data."""
         for name, data in self.files.items():
             synced = self.synced.get(name, 0)
             if len(data) > synced:
@@ -223,7 +234,7 @@
 
 
 class SimNode:
-    """One process: a scheduler, a network, perhaps a folder, and what runs in it."""
+    """One simulated process: its scheduler, network, optional disk, and the daemon in it."""
 
     __slots__ = (
         "alive",
@@ -244,7 +255,7 @@
     )
 
     def __init__(self, world: "World", name: str, machine: str, host: str) -> None:
-        """Create a node on a machine at a host address; nothing runs in it yet."""
+        """Create a node on a machine at a host address, without a daemon."""
         self.world = world
         self.name = name
         self.machine = machine
@@ -262,11 +273,11 @@
         self.scheduler = Scheduler(self.clock, self.fault)
 
     def fault(self, task: str, error: BaseException) -> None:
-        """Note the error of a failed task among the world's faults."""
+        """Record the exception of a failed task among the faults of the world."""
         self.world.faults.append(f"{self.world.time:.3f} {self.name} {task}: {error!r}")
 
     def begin(self) -> None:
-        """A fresh process: nothing of the old one is left but its disk and its log."""
+        """Begin a new process; only the disk and the log of the previous one remain."""
         self.scheduler = Scheduler(self.clock, self.fault)
         self.connections = []
         self.alive = True
@@ -275,13 +286,13 @@
 
     @property
     def core(self) -> ControlNode:
-        """The control node that runs here."""
+        """Return the control node that runs here."""
         assert isinstance(self.inner, ControlNode)
         return self.inner
 
     @property
     def traffic(self) -> TrafficNode:
-        """The edge, prober or control API that runs here."""
+        """Return the edge, prober or control API that runs here."""
         assert isinstance(self.inner, TrafficNode)
         return self.inner
 
@@ -290,7 +301,16 @@
 
 
 class World(SimulatedTime):
-    """Time, the network between all nodes, and the points at which faults are fired."""
+    """Simulated time, nodes and network, with fault injection.
+
+    Attributes:
+        cuts: Pairs of machines; messages from the first to the second are held back.
+        spikes: Probability of a long network delay.
+        reset_drops_held_bytes: True if a reset drops bytes held back by a cut or a paused reader.
+        fire: Called at each fault point with its number, node and kind; True crashes the node.
+        faults: Exceptions of failed tasks.
+        trace: Digest of the events so far, by which runs are compared.
+    """
 
     __slots__ = (
         "cuts",
@@ -308,7 +328,7 @@
     )
 
     def __init__(self, seed: int) -> None:
-        """Create an empty world; all chance in it follows from the seed."""
+        """Create an empty world; the seed determines all random draws."""
         super().__init__()
         self.seed = seed
         self.random = Random(f"world {seed}")
@@ -323,22 +343,22 @@
         self.faults: list[str] = []
         self.trace = hashlib.sha256()
 
-    # Nodes.
+    # Nodes
 
     def add(self, name: str, machine: str, host: str) -> SimNode:
-        """Add a node; `host` is its IP number."""
+        """Add a node; `host` is its IP address."""
         node = SimNode(self, name, machine, host)
         self.nodes[name] = node
         node.begin()
         return node
 
     def start_daemon(self, node: SimNode, role: str, plain: dict[str, object]) -> None:
-        """Start a role on a node, as the program does."""
+        """Start the daemon of a role on a node, as the command line does."""
         settings = read_settings(role, "", plain)
         self.start_built(node, lambda: self.build(node, role, settings))
 
     def start_built(self, node: SimNode, build: Build) -> None:
-        """Start whatever `build` makes on a fresh node; a crash while starting ends it."""
+        """Start the daemon that `build` returns; a crash during the start kills the node."""
         node.begin()
         try:
             node.inner = build()
@@ -347,13 +367,13 @@
             self.kill(node.name)
 
     def build(self, node: SimNode, role: str, settings: Settings) -> ControlNode | TrafficNode:
-        """Create what runs a role on a node, without starting it."""
+        """Create the daemon of a role on a node without starting it."""
         if role != "core":
             return TrafficNode(role, settings, node.scheduler, node.network, node.log, node.random)
         return self.open_control(node, settings)
 
     def open_control(self, node: SimNode, settings: Settings) -> ControlNode:
-        """A control node on the disk of its machine."""
+        """Create a control node on the disk of its machine."""
         if node.folder is None:
             node.folder = SimFolder()
         node.folder.node = node
@@ -366,9 +386,9 @@
         )
 
     def kill(self, name: str, power: bool = False) -> None:
-        """End a process at once. Without power its machine says nothing more.
+        """Kill a process; with `power` its machine loses power too and sends no resets.
 
-        What a killed process had not synced stays readable until the machine loses power.
+        Unsynced data of a killed process stays readable until the machine loses power.
         """
         node = self.nodes[name]
         if not node.alive:
@@ -389,50 +409,54 @@
             node.folder.lose_power(self.random)
 
     def freeze(self, name: str, frozen: bool) -> None:
-        """Freeze a process, or let it go on."""
+        """Suspend or resume a process."""
         self.nodes[name].frozen = frozen
         self.note(f"freeze {name} {frozen}")
 
     def point(self, node: SimNode, what: str) -> None:
-        """A numbered point; the fault fired there may end the node."""
+        """Pass a numbered fault point; raise Crash if `fire` returns True."""
         self.points += 1
         if self.fire is not None and self.fire(self.points, node, what):
             raise Crash
 
-    # The network.
+    # Network
 
     def delay(self) -> float:
-        """Draw the delay of one message in seconds; a few take much longer."""
+        """Draw the delay of one message in seconds; a few have a long one."""
         if self.random.random() < self.spikes:
             return 0.05 + self.random.random() * 0.3
         return 0.0003 + self.random.random() * 0.002
 
     def cut(self, one: str, other: str, both: bool = True) -> None:
-        """Cut one machine's messages to another, or both ways."""
+        """Hold back messages from one machine to another, by default in both directions."""
         self.cuts.add((one, other))
         if both:
             self.cuts.add((other, one))
         self.note(f"cut {one} {other} {both}")
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Heal all partitions."""
         self.cuts.clear()
         self.note("heal")
 
     def isolate(self, machine: str) -> None:
-        """Cut a machine off from all others."""
+        """Partition a machine from all others."""
         for other in sorted({node.machine for node in self.nodes.values()}):
             if other != machine:
                 self.cut(machine, other)
 
     def blocked(self, source: SimNode, target: SimNode) -> bool:
-        """Whether messages from one node to another are cut off."""
+        """Return True if messages from one node to another are held back."""
         return (source.machine, target.machine) in self.cuts
 
     def try_open(self, connection: SimConnection, address: str) -> None:
-        """A link that is asked for stands after a round trip, is declined, or hangs."""
+        """Establish a connection after a delay.
+
+        It is refused if the node does not listen, and retried while a cut or a machine without
+        power is in between.
+        """
 
-        def act() -> None:
+        def connect() -> None:
             if connection.closed:
                 return
             found = self.listeners.get(address)
@@ -442,23 +466,23 @@
                 or self.blocked(owner, connection.node)
                 or not owner.power
             ):
-                self.later(0.2, act)
+                self.later(0.2, connect)
                 return
             if found is None:
                 connection.connection_lost()
                 return
-            node, greeting = found
+            node, handler = found
             other = SimConnection(node, f"{connection.node.host}:{50_000 + self.sequence % 10_000}")
             node.connections.append(other)
             connection.other, other.other = other, connection
             connection.connected = other.connected = True
-            greeting(other)
+            handler(other)
             connection.writable.put(True)
             waiting, connection.waiting = connection.waiting, []
             for data in waiting:
                 self.carry(connection, data)
 
-        self.later(self.delay(), act)
+        self.later(self.delay(), connect)
 
     def owner_of(self, address: str) -> SimNode | None:
         """Return the node with the host of an address, running or not."""
@@ -466,9 +490,9 @@
         return next((node for node in self.nodes.values() if node.host == host), None)
 
     def carry(self, connection: SimConnection, data: bytes) -> None:  # noqa: C901 - not split yet
-        """Bring bytes, or the end, to the other side, in order.
+        """Deliver bytes, or the end of the stream if empty, to the other end in order.
 
-        Where `reset_drops_held_bytes` is set, bytes that a cut or a full peer holds up are lost
+        If `reset_drops_held_bytes` is set, bytes held back by a cut or a paused reader are lost
         once their sender resets the connection.
         """
         other = connection.other
@@ -476,7 +500,7 @@
             return
         when = connection.due = max(connection.due, self.time + self.delay())
 
-        def act() -> None:  # noqa: C901 - not split yet
+        def deliver() -> None:  # noqa: C901 - not split yet
             if other.gone:
                 if other.node.power and not connection.closed and not connection.gone:
                     connection.connection_lost()
@@ -487,7 +511,7 @@
                 if connection.was_reset and self.reset_drops_held_bytes:
                     return
                 connection.due = max(connection.due, self.time + 0.1)
-                self.at(self.time + 0.1, act)
+                self.at(self.time + 0.1, deliver)
                 return
             if data:
                 connection.unsent_bytes = max(0, connection.unsent_bytes - len(data))
@@ -501,30 +525,30 @@
                 if not connection.closed:
                     connection.connection_lost()
 
-        self.at(when, act)
+        self.at(when, deliver)
 
     def reset(self, connection: SimConnection) -> None:
-        """Tell the other end that this one was reset."""
+        """Deliver a reset of the connection to the other end."""
         other = connection.other
         if other is None:
             return
 
-        def act() -> None:
+        def deliver() -> None:
             if self.blocked(connection.node, other.node):
-                self.later(0.2, act)
+                self.later(0.2, deliver)
             elif not other.closed:
                 other.connection_lost()
 
-        self.later(self.delay(), act)
+        self.later(self.delay(), deliver)
 
-    # Running.
+    # Execution
 
     def note(self, text: str) -> None:
-        """Add a line to the trace, by which two runs are compared."""
+        """Add an event to the digest of the trace."""
         self.trace.update(f"{self.time:.6f} {text}\n".encode())
 
     def run_processes(self) -> None:
-        """Run the tasks of every living node that are due."""
+        """Run the ready tasks of all running nodes until there are none."""
         busy = True
         while busy:
             busy = False
@@ -539,7 +563,7 @@
                 busy = busy or node.scheduler.has_ready
 
     def next_process_time(self) -> float | None:
-        """Return when a living node's next timer is due; None where there is none."""
+        """Return when the next timer of a running node is due; None if there is none."""
         times: list[float] = []
         for node in self.nodes.values():
             if node.alive and not node.frozen:
@@ -549,21 +573,21 @@
         return min(times, default=None)
 
     def task(self, node: SimNode, work: TaskCoroutine[Found], seconds: float) -> Found:
-        """Run one task on a node to its end."""
+        """Run a task on a node until it ends and return its result."""
         found: list[Found] = []
 
-        async def whole() -> None:
+        async def run_work() -> None:
             found.append(await work)
 
-        running: Task = node.scheduler.create_task(whole(), name="task")
+        running: Task = node.scheduler.create_task(run_work(), name="task")
         if not self.run_until(lambda: running.done, seconds):
-            raise AssertionError(f"a task did not end in {seconds} s at {self.time:.3f}")
+            raise AssertionError(f"task did not end within {seconds} s at {self.time:.3f}")
         if not found:
-            raise AssertionError(f"a task failed: {self.faults[-1:]}")
+            raise AssertionError(f"task failed: {self.faults[-1:]}")
         return found[0]
 
     def digest(self) -> str:
-        """Return a digest of all that happened."""
+        """Return the digest of the trace and of all logged events."""
         for name, node in self.nodes.items():
             for number, fields in node.log.records:
                 self.trace.update(f"{name} {number} {sorted(fields)}\n".encode())
--- a/tests/consensus/test_consensus_model.py
+++ b/tests/consensus/test_consensus_model.py
@@ -16,9 +16,9 @@
     linearizable,
 )
 from ryelock.testing.model.schedule import (
-    ARGUMENT_MOST,
-    KINDS,
+    MAX_ARGUMENT,
     MOTIFS,
+    STEP_KINDS,
     Schedule,
     Step,
     decode_schedule,
@@ -56,11 +56,11 @@
     "vote not synced": ("", 1),
     "votes twice": ("", 4),
 }
-"""By take-out: the motif of its schedules ("" for any), and the number of seeds, from 0 on, until a
-schedule breaks an invariant with the take-out and none without it."""
+"""By mutation: the motif of its schedules ("" for any), and the number of seeds from 0 on until a
+schedule breaks an invariant only with the mutation."""
 
 MIN_SCHEDULES = 60
-"""Minimum schedules per take-out; changes to the product shift the seed that finds a violation."""
+"""Minimum schedules per mutation; changes to the product shift the seed that finds a violation."""
 
 ALPHABET: tuple[Step, ...] = (
     ("change", 0, 1, 0),
@@ -75,13 +75,13 @@
 )
 
 
-def first_found(take_out: TakeOut, motif: str, most: int) -> tuple[int, str]:
-    """Run schedules until one breaks a safety invariant only with the take-out.
+def find_violation(take_out: TakeOut, motif: str, max_schedules: int) -> tuple[int, str]:
+    """Run schedules until one breaks a safety invariant only with the mutation.
 
     Returns:
         The number of schedules run and the invariant; 0 and an empty string if none broke one.
     """
-    for seed in range(most):
+    for seed in range(max_schedules):
         schedule = draw(seed, motif=motif)
         with take_out():
             violation = run_schedule(schedule)
@@ -126,8 +126,8 @@
         assert violation is None, f"seed {seed}: {violation}"
 
 
-ARGUMENT = st.integers(0, ARGUMENT_MOST)
-STEPS = st.lists(st.tuples(st.sampled_from(KINDS), ARGUMENT, ARGUMENT, ARGUMENT), max_size=20)
+ARGUMENT = st.integers(0, MAX_ARGUMENT)
+STEPS = st.lists(st.tuples(st.sampled_from(STEP_KINDS), ARGUMENT, ARGUMENT, ARGUMENT), max_size=20)
 
 
 @settings(
@@ -153,9 +153,9 @@
 @pytest.mark.parametrize("name", sorted(TAKE_OUTS))
 def test_a_taken_out_mechanism_is_missed(name: str) -> None:
     motif, schedules = SCHEDULES_UNTIL_FOUND[name]
-    most = max(MIN_SCHEDULES, 3 * schedules)
-    found, _ = first_found(TAKE_OUTS[name], motif, most)
-    assert found, f"{name}: none of {most} schedules broke an invariant"
+    max_schedules = max(MIN_SCHEDULES, 3 * schedules)
+    found, _ = find_violation(TAKE_OUTS[name], motif, max_schedules)
+    assert found, f"{name}: none of {max_schedules} schedules broke an invariant"
 
 
 def test_every_take_out_has_schedules() -> None:
@@ -174,7 +174,7 @@
         operation = Operation(READ, "", 0, 0, began)
         operation.ended = ended
         operation.status = ACCEPTED
-        operation.seen = (version, name)
+        operation.result = (version, name)
         return operation
 
     def test_a_read_behind_an_acknowledgement_must_see_it(self) -> None:
