--- a/tests/support/consensus_lab.py
+++ b/tests/support/consensus_lab.py
@@ -1,4 +1,4 @@
-"""A leader and a follower of the consensus group that exchange messages by hand."""
+"""A leader and a follower that exchange messages under the control of a test."""
 
 from random import Random
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class HandClock:
-    """Stands still until it is moved."""
+    """A clock that a test advances."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -33,7 +33,7 @@
 
 
 class CountingMachine:
-    """Keeps the commands it was given, in order."""
+    """A state machine that records the applied commands in order."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
@@ -50,7 +50,7 @@
 
 
 class Lab:
-    """A leader and one follower on disks of their own."""
+    """A leader and one follower with separate disks."""
 
     def __init__(self, **pace: Any) -> None:
         self.clock = HandClock()
@@ -85,7 +85,7 @@
         return consensus.state_machine.commands
 
     def lead(self, term: int) -> None:
-        """The leader's role as it is after an election, without its tasks."""
+        """Put the leader into the state after an election, without starting its tasks."""
         assert self.leader.replicated_log.save_vote(term, "leader")
         self.leader.state.role = Role.LEADER
         self.leader.state.voters = {"leader": "leader:1", "follower": "follower:1"}
@@ -93,7 +93,7 @@
         self.peer.next_index = self.leader.last_index + 1
 
     def round(self, limit: int = 1 << 30) -> Message:
-        """One message and its answer; a message over `limit` bytes of entries comes too late."""
+        """Exchange a message and its reply, which is late if the entries exceed `limit` bytes."""
         leader, peer = self.leader, self.peer
         message = leader.replicator.next_message(peer)
         snapshot = message["kind"] == "council.image"
--- a/tests/support/consensus_takeouts.py
+++ b/tests/support/consensus_takeouts.py
@@ -1,4 +1,7 @@
-"""Mechanisms of consensus, journal and register taken out one at a time, by mock patches."""
+"""Mutations of consensus, journal and replicated state that each disable one safety mechanism.
+
+The model tests check that each of them breaks an invariant.
+"""
 
 from collections.abc import Callable, Iterator
 from contextlib import AbstractContextManager, contextmanager
@@ -39,7 +42,7 @@
 
 @contextmanager
 def unsynced(part: type, method: str) -> Iterator[None]:
-    """What a method of a part of consensus writes stays unsynced."""
+    """Skip the fsync of all writes made by a method."""
     depth = [0]
     sync, original = ModelFolder.sync, getattr(part, method)
 
@@ -47,10 +50,10 @@
         if not depth[0]:
             sync(folder, name)
 
-    def called(instance: object, *given: object) -> object:
+    def called(instance: object, *arguments: object) -> object:
         depth[0] += 1
         try:
-            return original(instance, *given)
+            return original(instance, *arguments)
         finally:
             depth[0] -= 1
 
@@ -63,7 +66,7 @@
 
 @contextmanager
 def older_terms_counted() -> Iterator[None]:
-    """An entry of an older term counts as committed once it stands on a majority."""
+    """Commit entries of older terms by counting replicas, see section 5.4.2 of the Raft paper."""
     counting = [False]
     count, advance = Replicator.advance_commit_index, CommittedApplier.advance
     term_at = MemberState.term_at
@@ -79,13 +82,13 @@
         counting[0] = False
         advance(applier, commit_index)
 
-    def pretended(state: MemberState, index: int) -> int:
+    def current_term_at(state: MemberState, index: int) -> int:
         return state.term if counting[0] else term_at(state, index)
 
     with (
         mock.patch.object(Replicator, "advance_commit_index", advance_commit_index),
         mock.patch.object(CommittedApplier, "advance", advancing),
-        mock.patch.object(MemberState, "term_at", pretended),
+        mock.patch.object(MemberState, "term_at", current_term_at),
     ):
         yield
 
@@ -93,7 +96,7 @@
 def altered_vote(
     alter: Callable[[Election, VoteRequest], VoteRequest],
 ) -> AbstractContextManager[object]:
-    """Voters are given another request."""
+    """Alter each vote request before its voter handles it."""
     original = Election.on_vote
 
     def on_vote(election: Election, request: VoteRequest) -> VoteReply:
@@ -117,7 +120,7 @@
 
 @contextmanager
 def disk_names_ignored() -> Iterator[None]:
-    """A member answers what was meant for another disk at its address."""
+    """Members accept requests addressed to another disk at their address."""
     on_heartbeat, on_snapshot = LogReceiver.on_heartbeat, LogReceiver.on_snapshot
 
     def heartbeat(receiver: LogReceiver, request: AppendEntriesRequest) -> AppendReply:
@@ -154,7 +157,7 @@
 
 
 def promises_forgotten() -> AbstractContextManager[object]:
-    """A restarted voter keeps no promise of its life before."""
+    """A restarted voter ignores the leases that it granted before the restart."""
     original = QuorumLease.__init__
 
     def init(lease: QuorumLease, state: MemberState) -> None:
@@ -166,9 +169,9 @@
 
 @contextmanager
 def snapshot_drops_tail() -> Iterator[None]:
-    """Entries behind an installed snapshot go, and a follower whose disk failed is offered one.
+    """Installing a snapshot discards later entries, and followers with a failed disk are sent one.
 
-    A leader as it is now offers no snapshot to a follower whose log reaches farther than that.
+    Without the second mutation a leader sends no snapshot to a follower whose log is longer.
     """
     next_index_after = Replicator.next_index_after
 
@@ -190,7 +193,7 @@
 
 
 def unchecked_voters() -> AbstractContextManager[object]:
-    """A change of voters is not checked where it is appended."""
+    """A voter change is not validated when it is appended."""
     return mock.patch.object(
         Proposals, "voter_change_rejection", lambda _proposals, _voters, _entries: ""
     )
@@ -199,18 +202,18 @@
 def base_unchecked() -> AbstractContextManager[object]:
     original = ReplicatedState.apply_change
 
-    def change(replicated_state: ReplicatedState, word: Plain) -> Plain:
-        given = dict(word["change"])
-        given["base"] = min(replicated_state.version, given["version"] - 1)
-        replicated_state.version = given["base"]
-        return original(replicated_state, {**word, "change": given})
+    def change(replicated_state: ReplicatedState, command: Plain) -> Plain:
+        altered = dict(command["change"])
+        altered["base"] = min(replicated_state.version, altered["version"] - 1)
+        replicated_state.version = altered["base"]
+        return original(replicated_state, {**command, "change": altered})
 
     return mock.patch.object(ReplicatedState, "apply_change", change)
 
 
 @contextmanager
 def outcomes_forgotten() -> Iterator[None]:
-    """Two outcomes of a kind are remembered, that of the standing change not for longer."""
+    """Few outcomes of a kind are kept, and that of the newest change is not pinned."""
     with (
         mock.patch("ryelock.replicated_state.outcomes.MAX_OUTCOMES_PER_KIND", 1),
         mock.patch.object(Outcomes, "pin", lambda _outcomes, _kind, _identity: None),
@@ -219,12 +222,12 @@
 
 
 def torn_tail_kept() -> AbstractContextManager[object]:
-    """A torn tail is passed by on opening but stays in the file."""
+    """A torn tail of the journal is skipped on opening but not truncated."""
     return mock.patch.object(ModelFolder, "truncate", lambda _folder, _name, _size: None)
 
 
 def failed_write_left() -> AbstractContextManager[object]:
-    """What a failed write left is not cut before the next one."""
+    """The remains of a failed write are not truncated before the next write."""
 
     def repair(journal: Journal) -> None:
         journal.needs_repair = False
@@ -248,7 +251,7 @@
 
 @contextmanager
 def unsynced_opening() -> Iterator[None]:
-    """What a reopened journal gives back may not be on disk yet."""
+    """A recovered journal is not synced, so that recovered records may not be durable."""
     opening = [False]
     sync = ModelFolder.sync
 
@@ -271,7 +274,7 @@
 
 
 def failed_write_refuses() -> AbstractContextManager[object]:
-    """A failed write of the leader's is answered with "certainly not taken"."""
+    """A failed write of the leader is reported as certainly not executed."""
     original = ConsensusError.__init__
 
     def init(error: ConsensusError, reason: str, certain: bool) -> None:
@@ -281,17 +284,17 @@
 
 
 def few_promises() -> AbstractContextManager[object]:
-    """An edge serves on as few promises as hold up the voters it knows of."""
+    """An edge accepts a quorum lease from half of the voters."""
     return mock.patch("ryelock.edge.quorum_votes.majority_of", lambda voters: (voters + 1) // 2)
 
 
 def leaves_at_once() -> AbstractContextManager[object]:
-    """A member that leaves is let go at once."""
+    """A leaving member is released at once."""
     return mock.patch.object(VoterManager, "is_releasable", lambda _voters, _disk: True)
 
 
 def released_members_go_on() -> AbstractContextManager[object]:
-    """A member that was let go takes part until its process ends."""
+    """A released member takes part in consensus until its process ends."""
 
     async def leave(departure: ConsensusDeparture, until: float) -> None:
         await departure.wait_for_release(until)
--- a/tests/support/observed.py
+++ b/tests/support/observed.py
@@ -95,7 +95,7 @@
     worlds: list[World] = []
     create = World.__init__
     carry, reset, write = World.carry, World.reset, RecordingLog.write
-    model_carry, model_give = Cluster.send_request, Cluster.deliver_response
+    send_request, deliver_response = Cluster.send_request, Cluster.deliver_response
 
     def created(world: World, seed: int) -> None:
         worlds.append(world)
@@ -115,26 +115,26 @@
         observer.logged(log.node, event.number, fields)
         write(log, event, **fields)
 
-    def silently_written(log: SilentLog, event: Event, **fields: object) -> None:
+    def model_written(log: SilentLog, event: Event, **fields: object) -> None:
         observer.logged(log.node, event.number, fields)
 
-    def asked(
+    def requested(
         cluster: Cluster,
-        lines: ModelRpcClients,
+        rpc_clients: ModelRpcClients,
         address: str,
         message: dict[str, object],
         number: int,
     ) -> None:
         data = frame({**message, "ask": number})
         observer.sent(cluster.world.time, MODEL, address, False, data)
-        model_carry(cluster, lines, address, message, number)
+        send_request(cluster, rpc_clients, address, message, number)
 
-    def given(
-        cluster: Cluster, lines: ModelRpcClients, number: int, answer: dict[str, object]
+    def responded(
+        cluster: Cluster, rpc_clients: ModelRpcClients, number: int, answer: dict[str, object]
     ) -> None:
         data = frame({**answer, "answer": number})
         observer.sent(cluster.world.time, MODEL, "", True, data)
-        model_give(cluster, lines, number, answer)
+        deliver_response(cluster, rpc_clients, number, answer)
 
     gc.collect()
     gc.disable()
@@ -145,9 +145,9 @@
         stack.enter_context(patch(World, "carry", carried))
         stack.enter_context(patch(World, "reset", was_reset))
         stack.enter_context(patch(RecordingLog, "write", written))
-        stack.enter_context(patch(SilentLog, "write", silently_written))
-        stack.enter_context(patch(Cluster, "send_request", asked))
-        stack.enter_context(patch(Cluster, "deliver_response", given))
+        stack.enter_context(patch(SilentLog, "write", model_written))
+        stack.enter_context(patch(Cluster, "send_request", requested))
+        stack.enter_context(patch(Cluster, "deliver_response", responded))
         for name in FOLDER_WRITES:
             for kind in (SimFolder, ModelFolder):
                 stack.enter_context(patch(kind, name, observed_write(kind, name, observer)))
