--- a/packages/testing/ryelock/testing/cases/traffic.py
+++ b/packages/testing/ryelock/testing/cases/traffic.py
@@ -165,9 +165,9 @@
     scenario = Scenario(seed)
     scenario.set_up()
     scenario.start_callers(24, 3.0, 24)
-    desk_servers = [server for server in scenario.servers.values() if server.service == "desks"]
+    failing_servers = [server for server in scenario.servers.values() if server.service == "desks"]
     for turn in range(4):
-        for server in desk_servers:
+        for server in failing_servers:
             server.behavior = ServerBehavior.LOST if turn % 2 == 0 else ServerBehavior.SOUND
             server.delay = 0.3
         scenario.world.run(2)
