--- a/packages/edge/ryelock/edge/admission.py
+++ b/packages/edge/ryelock/edge/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: whether a request may go to its service, and the caller's idempotency key."""
+"""Admission control: rate limit, queue, retry budget and idempotency key of a request."""
 
 import hashlib
 
@@ -7,19 +7,18 @@
 from ryelock.edge.failures import Failure, FailureKind
 from ryelock.edge.idempotency_claims import ClaimStatus
 from ryelock.edge.request import AdmissionOutcome, Request
-from ryelock.edge.retry_detector import Caller
+from ryelock.edge.retry_detector import CallerDigest
 from ryelock.edge.routing import Router
 from ryelock.http import HttpExchange, field
 from ryelock.replicated_state import Route
 
-QUEUE_TIMEOUT_PART = 0.2
-"""Part of a route's latency target that a request may wait in the queue."""
-CLAIM_SECONDS = 1.0
-"""Longest wait for the claim of an idempotency key."""
+QUEUE_TIMEOUT_TARGET_FRACTION = 0.2
+"""Longest wait in the queue, as a fraction of the route's latency target."""
+CLAIM_TIMEOUT_SECONDS = 1.0
 RETRY_BUDGET_BACKOFF_SECONDS = 2.0
 CALLER_FIELDS = (b"user-agent", b"authorization", b"cookie")
 RETRY_FIELDS = (b"x-retry-count", b"x-retry-attempt", b"retry-attempt")
-"""Fields by which callers mark retries; a value of 0 marks a first attempt."""
+"""Fields by which clients mark retries; a value of 0 marks a first attempt."""
 
 SERVICE_UNKNOWN = Failure(FailureKind.SERVICE_UNKNOWN, 503, "the service is not known here yet")
 OVER_RETRY_BUDGET = Failure(
@@ -39,32 +38,37 @@
     503,
     "the Idempotency-Key could not be noted; the order was not sent",
 )
-CALLER_LEFT = Failure(FailureKind.CALLER_LEFT, 499, "the caller left before the order was sent")
+CLIENT_DISCONNECTED = Failure(
+    FailureKind.CLIENT_DISCONNECTED, 499, "the caller left before the order was sent"
+)
 NO_LEASE = Failure(FailureKind.NO_LEASE, 503, "no term: cut off")
 
 
 class AdmissionController:
-    """Admits requests to services, by the service's queue, rate and budget of retries."""
+    """Admits requests to services within their rate limits, queues and retry budgets."""
 
     __slots__ = ("context", "router")
 
     def __init__(self, context: EdgeContext, router: Router) -> None:
-        """Create the admission control of an edge."""
+        """Create the controller."""
         self.context = context
         self.router = router
 
     async def admit(
         self, exchange: HttpExchange, request: Request, route: Route, key: bytes | None = None
     ) -> Failure | None:
-        """Take a slot at the service: at once, after a short wait, or not at all.
+        """Acquire a slot at the service, after a wait in its queue if necessary.
 
-        Whoever serves the request gives `request.admitted_to` its slot back.
+        The request handler releases the slot through `request.admitted_to`.
 
         Args:
-            exchange: the caller's exchange.
+            exchange: the client's exchange.
             request: the request.
             route: its route.
-            key: its Idempotency-Key, if it has one.
+            key: its Idempotency-Key, if any.
+
+        Returns:
+            The failure of a request that is not admitted; None for one that is.
         """
         queue = self.context.admission_queues.get(request.service)
         if queue is None:
@@ -91,32 +95,32 @@
         return None
 
     def is_retry(self, exchange: HttpExchange, request: Request, key: bytes | None) -> bool:
-        """Whether a caller sends again: by its key, by a field, or by an earlier failure."""
+        """Return True for a client's retry: by its key, a retry field or an earlier failure."""
         if key is not None and self.context.idempotency_keys.was_seen(request.service, key):
             return True
         fields = exchange.head.fields
         if any((field(fields, name) or b"0").strip() not in (b"0", b"") for name in RETRY_FIELDS):
             return True
         now = self.context.scheduler.now()
-        return self.context.retry_detector.is_retry(caller_of(exchange, request), now)
+        return self.context.retry_detector.is_retry(caller_digest(exchange, request), now)
 
     def queue_timeout(self, exchange: HttpExchange, route: Route, queue: AdmissionQueue) -> float:
-        """Return the seconds that a request may wait, counted from its arrival.
+        """Return the seconds that a request may still wait in the queue.
 
-        A request that has already waited for another's fetch of the same object does not wait
-        as long again here.
+        The timeout counts from the request's arrival, so that time spent waiting for another
+        request's fetch is deducted.
         """
-        until = min(
+        deadline = min(
             self.router.deadline(exchange, route),
             exchange.received_at + queue.queue_timeout(),
         )
-        timeout = until - self.context.scheduler.now()
+        timeout = deadline - self.context.scheduler.now()
         if not self.context.profile.own and route.target_seconds:
-            timeout = min(timeout, route.target_seconds * QUEUE_TIMEOUT_PART)
+            timeout = min(timeout, route.target_seconds * QUEUE_TIMEOUT_TARGET_FRACTION)
         return timeout
 
     def reject_over_rate(self, request: Request, queue: AdmissionQueue, wait: float) -> Failure:
-        """Return the failure of a request that got no slot; `wait` is the seconds until room."""
+        """Return the failure of a request without a slot; one is expected in `wait` seconds."""
         bucket = queue.bucket
         holds_no_share = (
             bucket.current_share(self.context.scheduler.now()) <= 0 and not bucket.uses_grants
@@ -133,9 +137,9 @@
         )
 
     def check_after_wait(self, exchange: HttpExchange) -> Failure | None:
-        """The caller may have left, or the lease run out, while the request waited."""
+        """Return a failure if the client disconnected or the lease expired during the wait."""
         if exchange.client_disconnected:
-            return CALLER_LEFT
+            return CLIENT_DISCONNECTED
         if not self.context.member.serving:
             return NO_LEASE
         return None
@@ -143,35 +147,36 @@
     async def claim_key(
         self, exchange: HttpExchange, request: Request, route: Route, key: bytes
     ) -> Failure | None:
-        """Have a majority of control nodes record the key before its request is sent.
+        """Have a majority of control nodes record the key before the request is sent.
 
-        Without that record another edge could send the same request a second time.
+        Without that record another edge could send a request with the same key.
         """
-        left = self.router.deadline(exchange, route) - self.context.scheduler.now()
+        remaining = self.router.deadline(exchange, route) - self.context.scheduler.now()
         status = await self.context.member.claim(
-            digest_of_key(exchange, request, key),
+            key_digest(exchange, request, key),
             request.identity,
-            max(0.0, min(CLAIM_SECONDS, left)),
+            max(0.0, min(CLAIM_TIMEOUT_SECONDS, remaining)),
         )
         if status is ClaimStatus.CLAIMED:
             return None
-        if status is ClaimStatus.KNOWN:
+        if status is ClaimStatus.ALREADY_CLAIMED:
             return KEY_ALREADY_USED
         self.release_key(exchange, request, key)
         return KEY_NOT_CLAIMED
 
     def release_key(self, exchange: HttpExchange, request: Request, key: bytes) -> None:
-        """Give a key back whose request certainly did not run, in the background."""
+        """Release, in the background, the key of a request that certainly did not run."""
         self.context.scheduler.create_task(
-            self.context.member.release(digest_of_key(exchange, request, key), request.identity),
+            self.context.member.release(key_digest(exchange, request, key), request.identity),
             name="release",
         )
 
-    def count_send(self, exchange: HttpExchange, request: Request) -> bool:
-        """Account for a request that is about to be sent; False where it must not be.
+    def charge_retry_budget(self, exchange: HttpExchange, request: Request) -> bool:
+        """Charge the retry budget before an attempt; return False if it may not be made.
 
-        At its first sending a first request earns room for retries, a retry takes some. Only what
-        is sent counts: a service that nothing reaches earns no retries.
+        Only a request's first attempt counts here: it adds to the budget, or takes from it if the
+        client marked the request as a retry or it is detected as one. Requests that are never sent
+        do not add to the budget, so a service that is unreachable gets no retries.
         """
         queue = self.context.admission_queues.get(request.service)
         if queue is None or request.was_sent:
@@ -183,14 +188,14 @@
         if not queue.budget.try_retry():
             request.admission = AdmissionOutcome.OVER_RETRY_BUDGET
             return False
-        self.context.retry_detector.count_retry(caller_of(exchange, request))
+        self.context.retry_detector.count_retry(caller_digest(exchange, request))
         return True
 
 
-def caller_of(exchange: HttpExchange, request: Request) -> Caller:
-    """Return the digest of who asks for what; ports differ from one connection to the next."""
+def caller_digest(exchange: HttpExchange, request: Request) -> CallerDigest:
+    """Return a digest of client and request, without the client's port, which varies."""
     fields = exchange.head.fields
-    return digest_of(
+    return digest(
         exchange.connection.peer.rpartition(":")[0].encode(),
         request.method.encode(),
         request.host.encode(),
@@ -199,9 +204,9 @@
     )
 
 
-def digest_of_key(exchange: HttpExchange, request: Request, key: bytes) -> bytes:
-    """Return the digest of a caller's key with service, target and the caller's credentials."""
-    return digest_of(
+def key_digest(exchange: HttpExchange, request: Request, key: bytes) -> bytes:
+    """Return a digest of an idempotency key with its service, target and credentials."""
+    return digest(
         request.service.encode(),
         request.method.encode(),
         request.host.encode(),
@@ -211,7 +216,7 @@
     )
 
 
-def digest_of(*parts: bytes) -> bytes:
-    """Return 16 bytes that stand for all parts; their lengths keep ("ab", "c") from ("a", "bc")."""
+def digest(*parts: bytes) -> bytes:
+    """Return a 16-byte digest; lengths are included so that ("ab", "c") and ("a", "bc") differ."""
     joined = b"".join(b"%d:%s" % (len(part), part) for part in parts)
     return hashlib.sha256(joined).digest()[:16]
--- a/packages/health/ryelock/health/__init__.py
+++ b/packages/health/ryelock/health/__init__.py
@@ -1,13 +1,14 @@
-"""Health of zones by probes of real objects: from one fetch to a verdict for the network.
+"""Health checks: probes of real objects, and the health status of targets, zones and the network.
 
-`probe` is one probe of one target, whose age `ages` judges; `prober` runs probes at their interval
-and keeps the `results` that a new aggregator asks for again. `history` has the results of all
-probers, bounded, and the daily summary; `evaluation` is the rule from results to `verdicts`;
-`weights` turns what edges served into each zone's share of visitors.
+`probe` runs one probe of one target, and `ages` computes the age of the served object. `prober`
+schedules probes and stores their `results`, which are sent again to a new aggregator. `history`
+holds the results of all probers and daily summaries. `evaluation` is the rule that turns results
+into a `health_status`. `weights` computes each zone's share of the traffic.
 """
 
 from ryelock.health.ages import OutdatedTagTimer
 from ryelock.health.evaluation import evaluate, find_gone_watches
+from ryelock.health.health_status import Evaluation, EvaluationRules, HealthStatus, ZoneHealth
 from ryelock.health.history import History, TargetKey
 from ryelock.health.probe import Probe
 from ryelock.health.prober import Prober, ProbeTarget
@@ -18,13 +19,13 @@
     decode_probe_result,
     watch_fingerprint,
 )
-from ryelock.health.verdicts import Evaluation, EvaluationRules, Verdict, ZoneVerdict
 from ryelock.health.weights import ZoneShares, ZoneWeights
 
 __all__ = [
     "Evaluation",
     "EvaluationRules",
     "HealthError",
+    "HealthStatus",
     "History",
     "MalformedProbeResultError",
     "OutdatedTagTimer",
@@ -33,9 +34,8 @@
     "ProbeTarget",
     "Prober",
     "TargetKey",
-    "Verdict",
+    "ZoneHealth",
     "ZoneShares",
-    "ZoneVerdict",
     "ZoneWeights",
     "decode_probe_result",
     "evaluate",
--- a/tests/consensus/test_replicated_log.py
+++ b/tests/consensus/test_replicated_log.py
@@ -1,4 +1,4 @@
-"""The durable log of one member, without a network: appends, conflicts, snapshots, restarts."""
+"""ReplicatedLog without a network: appends, conflicts, snapshots and restarts."""
 
 import testtools
 
@@ -18,12 +18,12 @@
 
 
 class NoSnapshotFolder(SimFolder):
-    """A disk that has room for small files only."""
+    """A disk that fails to write snapshots."""
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         if name.startswith("image-"):
             raise FolderError("no space left on device")
-        super().write_whole(name, data)
+        super().write_atomically(name, data)
 
 
 class ReplicatedLogTests(testtools.TestCase):
@@ -79,12 +79,12 @@
 
     def test_compaction_keeps_the_entries_behind_and_the_vote(self) -> None:
         self.fill(5, term=3)
-        self.assertTrue(self.log.save_lease_note(True))
+        self.assertTrue(self.log.save_lease_flag(True))
         self.assertTrue(self.log.compact(self.snapshot(3, 3)))
         for log in (self.log, self.reopened()):
             self.assertEqual([(4, 3), (5, 3)], positions(log))
             self.assertEqual((3, 3, 5), (log.snapshot.index, log.term_at(3), log.last_index))
-            self.assertEqual((3, "disk", True), (log.term, log.voted_for, log.lease_noted))
+            self.assertEqual((3, "disk", True), (log.term, log.voted_for, log.lease_may_be_active))
 
     def test_voters_are_those_of_the_last_entry_that_names_some(self) -> None:
         self.fill(2)
@@ -103,12 +103,12 @@
         self.assertFalse(self.log.compact(self.snapshot(3, 3)))
         self.assertTrue(self.log.save_vote(8, "another"))
         self.assertTrue(self.log.append([command_entry(6, 8), command_entry(7, 8)]))
-        again = self.reopened()
-        self.assertEqual((8, "another"), (again.term, again.voted_for))
-        self.assertEqual([3, 3, 3, 3, 3, 8, 8], [entry.term for entry in again.entries])
+        reopened_log = self.reopened()
+        self.assertEqual((8, "another"), (reopened_log.term, reopened_log.voted_for))
+        self.assertEqual([3, 3, 3, 3, 3, 8, 8], [entry.term for entry in reopened_log.entries])
 
     def test_a_snapshot_keeps_the_acknowledged_entries_behind_it(self) -> None:
-        """With entries to 10 and a snapshot at 7, 8 to 10 stay: a leader may count on them."""
+        """Entries after the snapshot must stay: a leader may have counted them towards a commit."""
         self.fill(10, term=2)
         self.assertTrue(self.log.install(self.snapshot(7, 2)))
         for log in (self.log, self.reopened()):
--- a/tests/golden/test_golden_lists.py
+++ b/tests/golden/test_golden_lists.py
@@ -115,7 +115,7 @@
     """Return the product's settings for lines of the platform, or their faults."""
     try:
         return dict(
-            platform_settings.product_settings(role, platform_settings.NodeSettings(lines)).values
+            platform_settings.translate_settings(role, platform_settings.NodeSettings(lines)).values
         )
     except settings.SettingsError as error:
         return {"faults": error.faults}
@@ -140,7 +140,7 @@
         "control API": [[*place, kind] for place, kind in control_api.PATHS.items()],
         "statuses": control_api.STATUSES,
         "roles": session.ROLES,
-        "dating": register_configuration.DATINGS,
+        "dating": register_configuration.DATING_METHODS,
         "parts": register_configuration.SECTIONS,
         "fields of a change": configuration_change.CHANGE_FIELDS,
     }
@@ -316,7 +316,7 @@
         return super().get(key, default)
 
 
-PLATFORM_LINES = deployment.lines_for(
+PLATFORM_LINES = deployment.settings_lines(
     "m0", "10.1.0.1", "a", {"a": "north", "b": "south"}, ["10.1.0.1:8146"], "edge,control_plane"
 )
 WITHOUT = (
